--- a/tests/run.py
+++ b/tests/run.py
@@ -9,6 +9,9 @@
 from contextlib import suppress
 from pathlib import Path
 
+from hypothesis import Phase, find, settings
+from hypothesis import strategies as st
+from hypothesis.errors import NoSuchExample
 from loguru import logger
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -41,6 +44,19 @@
     return ["waxwingglade", "tests", "bench"]
 
 
+def read_literals() -> None:
+    """Have Hypothesis read the literals of all loaded modules before the first test.
+
+    It does so at its first draw of a literal, which takes seconds without a ``.hypothesis`` folder,
+    and counts the time as generation of the test that draws: that test's health check then fails.
+    """
+    # One integer in twenty is a literal, so some of these are.
+    integers = st.lists(st.integers(), min_size=50)
+    once = settings(phases=[Phase.generate], database=None, derandomize=True)
+    with suppress(NoSuchExample):
+        find(integers, lambda _: False, settings=once)
+
+
 def print_log(line: str) -> None:
     """Print a log line to wherever standard error goes at this moment."""
     sys.stderr.write(line)
@@ -72,7 +88,9 @@
     # Where the runner buffers what a test prints, the logs of a passing test stay out of sight.
     logger.remove()
     runner = unittest.TextTestRunner(verbosity=1, buffer=True, resultclass=LoggedResult)
-    result = runner.run(collect(sys.argv[1:]))
+    tests = collect(sys.argv[1:])
+    read_literals()
+    result = runner.run(tests)
     broken = {name_of(test) for test, _ in [*result.failures, *result.errors]}
     for name in sorted(broken & red.keys()):
         print(f"known red: {red[name]}")
