--- a/waxwingglade/ledger/accounts.py
+++ b/waxwingglade/ledger/accounts.py
@@ -279,7 +279,7 @@
     """Tell those that still wait that no majority agreed."""
     for each in batch:
         if not each.outcome.done():
-            each.outcome.set_exception(NoMajority(str(error), error.silent))
+            each.outcome.set_exception(NoMajority(str(error), error.unresponsive))
 
 
 def _log_held_up(program: ProgramId, waiting: _Waiting) -> None:
--- a/waxwingglade/ledger/catch_up.py
+++ b/waxwingglade/ledger/catch_up.py
@@ -36,7 +36,7 @@
 
 
 async def catch_up(
-    replica: Replica, replicas: ReplicaSet, ask: Ask, heard_of: Callable[[ReplicaSet], None]
+    replica: Replica, replicas: ReplicaSet, ask: Ask, observe_replicas: Callable[[ReplicaSet], None]
 ) -> None:
     """Read what enough members hold; from then on they refuse older sets of members.
 
@@ -48,7 +48,7 @@
         The set of members; `replica` need not be one yet.
     ask : callable
         Sends a request to a member.
-    heard_of : callable
+    observe_replicas : callable
         Called with a newer set that a member knows.
 
     Raises
@@ -57,11 +57,11 @@
         If too few members answer.
     """
     # This replica counts as read, so it has to refuse older sets as durably as the others.
-    await replica.learn_members(replicas)
+    await replica.adopt_members(replicas)
     read = {member.disk for member in replicas.members if member.disk == replica.disk}
     reading = _Reading(replica, ask)
     tasks = {
-        asyncio.ensure_future(reading.read_from(member, replicas, heard_of)): member.disk
+        asyncio.ensure_future(reading.read_from(member, replicas, observe_replicas)): member.disk
         for member in replicas.members
         if member.disk != replica.disk
     }
@@ -100,13 +100,13 @@
         self.under_way: set[TurnId] = set()
 
     async def read_from(
-        self, member: Member, replicas: ReplicaSet, heard_of: Callable[[ReplicaSet], None]
+        self, member: Member, replicas: ReplicaSet, observe_replicas: Callable[[ReplicaSet], None]
     ) -> bool:
         """Return whether all that a member holds is here, whoever it was read from."""
         try:
             held = await self.ask(member, ListHeld(replicas), SYNC_ANSWER_S)
             if isinstance(held, OtherEpoch):
-                heard_of(held.replicas)
+                observe_replicas(held.replicas)
             if not isinstance(held, Held):
                 raise WaxwinggladeError(f"{member.vm} goes by another set of members")
             turns = await self._take_turns(member, held.turns)
--- a/waxwingglade/ledger/coordinator.py
+++ b/waxwingglade/ledger/coordinator.py
@@ -58,7 +58,7 @@
         The present set of members.
     ask : callable
         Sends a request to a member and returns the answer; raises `WaxwinggladeError` if none.
-    heard_of : callable
+    observe_replicas : callable
         Called with a set of members that some replica knows.
     wall_clock : Clock
         Calendar time in seconds.
@@ -73,7 +73,7 @@
         own: Member,
         members: Callable[[], ReplicaSet],
         ask: Ask,
-        heard_of: Callable[[ReplicaSet], None],
+        observe_replicas: Callable[[ReplicaSet], None],
         confirmations: Confirmations,
         wall_clock: Clock = wall,
         unsettled: UnsettledEnds | None = None,
@@ -81,7 +81,7 @@
         self.own = own
         self.confirmations = confirmations
         self.unsettled = UnsettledEnds() if unsettled is None else unsettled
-        self.rounds = Rounds(own, members, ask, heard_of)
+        self.rounds = Rounds(own, members, ask, observe_replicas)
         self.turns = Turns(self.rounds)
         self.accounts = Accounts(self.rounds, self.unsettled, confirmations, wall_clock)
         self.reservations = Reservations(self.accounts, wall_clock)
@@ -225,7 +225,7 @@
         error: NoMajority | TimeoutError,
     ) -> None:
         """Log a turn on which no majority agreed, and the members as they are known here."""
-        silent = error.silent if isinstance(error, NoMajority) else ()
+        silent = error.unresponsive if isinstance(error, NoMajority) else ()
         replicas = self.rounds.members()
         logger.bind(
             turn=message.turn,
--- a/waxwingglade/ledger/membership.py
+++ b/waxwingglade/ledger/membership.py
@@ -139,7 +139,7 @@
         self.retire_seen: dict[str, float] = {}
         self.last_reason = ""
         self.started_at = clock()
-        self.heard_of: Callable[[ReplicaSet], None] = lambda _: None
+        self.observe_replicas: Callable[[ReplicaSet], None] = lambda _: None
 
     @property
     def replicas(self) -> ReplicaSet:
@@ -188,7 +188,7 @@
             change = self.turned_away.discard if answer.reaches_store else self.turned_away.add
             change(member.disk)
         if answer.replicas is not None:
-            self.heard_of(answer.replicas)
+            self.observe_replicas(answer.replicas)
 
     @property
     def quorum(self) -> bool:
@@ -271,7 +271,7 @@
         """Read what the members hold, while others leave that to this replica."""
         renewing = start_task(self.candidacy.renew_forever())
         try:
-            await catch_up(self.replica, replicas, self.ask, self.heard_of)
+            await catch_up(self.replica, replicas, self.ask, self.observe_replicas)
         except WaxwinggladeError:
             self.candidacy.note_failure()
             raise
@@ -309,7 +309,7 @@
 
     async def _settle(self, replicas: ReplicaSet) -> None:
         if self.synced_epoch < replicas.epoch:
-            await catch_up(self.replica, replicas, self.ask, self.heard_of)
+            await catch_up(self.replica, replicas, self.ask, self.observe_replicas)
             self.synced_epoch = replicas.epoch
         synced = [
             member
@@ -427,7 +427,7 @@
         item = await self.store.read(self.replicas_key)
         if item is not None:
             self.watcher.take_replicas(item)
-            await self.replica.learn_members(self.watcher.view.replicas)
+            await self.replica.adopt_members(self.watcher.view.replicas)
 
 
 def _surplus(members: tuple[Member, ...]) -> Member | None:
--- a/waxwingglade/ledger/node.py
+++ b/waxwingglade/ledger/node.py
@@ -145,7 +145,7 @@
             self.own,
             lambda: self.replica.replicas,
             self.ask_member,
-            self.heard_of,
+            self.observe_replicas,
             self.replica.confirmations,
             unsettled=self.replica.unsettled,
         )
@@ -161,7 +161,7 @@
             settings.status_prefix,
             Candidacy(self.own, self.watcher, store, keys.candidates),
         )
-        self.membership.heard_of = self.heard_of
+        self.membership.observe_replicas = self.observe_replicas
         self.follower = FeedFollower(
             self.beliefs, self._sources, ask_over(self.links), self._needs_source
         )
@@ -235,21 +235,21 @@
 
     def _store_changed(self) -> None:
         self._take_watched()
-        self._learn_members(self.watcher.view.replicas)
+        self._adopt_members(self.watcher.view.replicas)
 
     def _take_watched(self) -> None:
         watcher = self.watcher
         self.beliefs.merge(watcher.view, watcher.confirmed_at, watcher.complete_until)
 
-    def heard_of(self, replicas: ReplicaSet) -> None:
+    def observe_replicas(self, replicas: ReplicaSet) -> None:
         """Take in a set of members that a replica told of."""
         self.beliefs.merge(View(replicas=replicas), float("-inf"))
-        self._learn_members(replicas)
+        self._adopt_members(replicas)
 
-    def _learn_members(self, replicas: ReplicaSet) -> None:
+    def _adopt_members(self, replicas: ReplicaSet) -> None:
         known = (self.replica.replicas.epoch, self.replica.replicas.settled)
         if (replicas.epoch, replicas.settled) > known:
-            start_task(self.replica.learn_members(replicas))
+            start_task(self.replica.adopt_members(replicas))
 
     async def _confirm_forever(self) -> None:
         """Carry over what this process tells others: the store's confirmations, and the quorum."""
@@ -258,7 +258,7 @@
             await self.loop_delay.sleep(CONFIRM_S)
             self.membership.leave_out(self.loop_delay.delays[-1])
             self._take_watched()
-            self._learn_members(self.beliefs.view.replicas)
+            self._adopt_members(self.beliefs.view.replicas)
             self.quotas.learn()
             if self.membership.quorum != told:
                 told = self.membership.quorum
--- a/waxwingglade/ledger/quotas.py
+++ b/waxwingglade/ledger/quotas.py
@@ -146,7 +146,7 @@
         if not grants.refused_lately(now):
             # Programs that were refused end early, and would pass for short ones.
             self.program_size.note(is_first)
-        return Granted(now, self.replica.note_grant(client, now))
+        return Granted(now, self.replica.record_grant(client, now))
 
     def give_back(self, client: ClientAccountId, granted: Granted) -> None:
         """Take back the grant of a request that reaches no target."""
@@ -173,7 +173,7 @@
         """Remember over a restart whether this member has been one for long enough."""
         settled = self.parts.settled(now)
         if settled != self.replica.counts:
-            self.replica.note_counting(settled)
+            self.replica.record_counting(settled)
 
     def _log(self, account: ClientAccount, part: int, grants: Grants) -> None:
         if self.refusals.allows():
--- a/waxwingglade/ledger/replica.py
+++ b/waxwingglade/ledger/replica.py
@@ -208,7 +208,7 @@
         """Close the disk."""
         await self.journal.stop()
 
-    async def learn_members(self, replicas: ReplicaSet) -> None:
+    async def adopt_members(self, replicas: ReplicaSet) -> None:
         """Go over to a newer set of members, durably."""
         known = (self.replicas.epoch, self.replicas.settled)
         if (replicas.epoch, replicas.settled) > known:
@@ -297,12 +297,12 @@
 
     # Limits of client accounts
 
-    def note_grant(self, client: ClientAccountId, at: float) -> "asyncio.Future[Place]":
+    def record_grant(self, client: ClientAccountId, at: float) -> "asyncio.Future[Place]":
         """Write down that a request was granted; the future is done once that is durable."""
         self.granted_in[self.journal.active] = at
         return self._write(GrantRecord(client, at))
 
-    def note_counting(self, counts: bool) -> None:
+    def record_counting(self, counts: bool) -> None:
         """Write down whether this member grants its part of the limits."""
         self.counts = counts
         self._write(CountingRecord(counts))
@@ -384,7 +384,7 @@
 
     async def list_held(self, message: ListHeld) -> Any:
         """Return what is held here, and from now on refuse older sets of members."""
-        await self.learn_members(message.replicas)
+        await self.adopt_members(message.replicas)
         if message.replicas.epoch < self.replicas.epoch:
             return OtherEpoch(self.replicas)
         accounts = {
--- a/waxwingglade/ledger/rounds.py
+++ b/waxwingglade/ledger/rounds.py
@@ -42,13 +42,13 @@
     ----------
     message : str
         What happened.
-    silent : iterable of Member
+    unresponsive : iterable of Member
         Members that were asked and gave no answer.
     """
 
-    def __init__(self, message: str, silent: Iterable[Member] = ()) -> None:
+    def __init__(self, message: str, unresponsive: Iterable[Member] = ()) -> None:
         super().__init__(message)
-        self.silent = tuple(silent)
+        self.unresponsive = tuple(unresponsive)
 
 
 class Rounds:
@@ -62,7 +62,7 @@
         The present set of members.
     ask : callable
         Sends a request to a member and returns the answer; raises `WaxwinggladeError` if none.
-    heard_of : callable
+    observe_replicas : callable
         Called with a set of members that some replica knows.
     rejected : callable
         Called with a program and the ballot that stood in the way of its proposal.
@@ -73,13 +73,13 @@
         own: Member,
         members: Callable[[], ReplicaSet],
         ask: Ask,
-        heard_of: Callable[[ReplicaSet], None],
+        observe_replicas: Callable[[ReplicaSet], None],
         rejected: Callable[[ProgramId, Ballot], None] = lambda *_: None,
     ) -> None:
         self.own = own
         self.members = members
         self.ask = ask
-        self.heard_of = heard_of
+        self.observe_replicas = observe_replicas
         self.rejected = rejected
         self.avoided: dict[str, float] = {}
 
@@ -143,7 +143,7 @@
             refused += self._is_refusal(member, message, answer)
             asking.add(order)
         if not refused:
-            raise NoMajority(f"{len(good)} of {len(order)} members answered", asking.silent)
+            raise NoMajority(f"{len(good)} of {len(order)} members answered", asking.unresponsive)
         return good
 
     def _is_refusal(self, member: Member, message: Any, answer: Any) -> bool:
@@ -152,7 +152,7 @@
             self.rejected(message.program, answer.promised)
             return True
         if isinstance(answer, OtherEpoch):
-            self.heard_of(answer.replicas)
+            self.observe_replicas(answer.replicas)
             return True
         self._avoid([member])
         return False
@@ -232,7 +232,7 @@
         return member, answer
 
     @property
-    def silent(self) -> list[Member]:
+    def unresponsive(self) -> list[Member]:
         """Members that were asked and have given no answer."""
         return [*self.failed, *self.open]
 
--- a/waxwingglade/ledger/tests/builders.py
+++ b/waxwingglade/ledger/tests/builders.py
@@ -84,7 +84,7 @@
         """Make a set of members known to every replica."""
         self.set = replicas
         for replica in self.replicas.values():
-            await replica.learn_members(replicas)
+            await replica.adopt_members(replicas)
 
     async def close(self) -> None:
         """Close all disks."""
--- a/waxwingglade/ledger/tests/machines.py
+++ b/waxwingglade/ledger/tests/machines.py
@@ -83,7 +83,7 @@
             status_prefix="status/",
             candidacy=Candidacy(self.member, self.watcher, cluster.store, KEYS.candidates),
         )
-        self.membership.heard_of = lambda _: None
+        self.membership.observe_replicas = lambda _: None
         self.tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
@@ -104,7 +104,7 @@
         await self.replica.stop()
 
     def _changed(self) -> None:
-        task = asyncio.ensure_future(self.replica.learn_members(self.watcher.view.replicas))
+        task = asyncio.ensure_future(self.replica.adopt_members(self.watcher.view.replicas))
         self.tasks.append(task)
 
     async def _ask(self, member: Member, message: Any, timeout_s: float) -> Any:
--- a/waxwingglade/ledger/tests/random_sets.py
+++ b/waxwingglade/ledger/tests/random_sets.py
@@ -57,7 +57,7 @@
 
         async def learn() -> None:
             await asyncio.sleep(delay_s)
-            await self.replica.learn_members(replicas)
+            await self.replica.adopt_members(replicas)
 
         self.tasks.append(asyncio.ensure_future(learn()))
 
@@ -291,12 +291,12 @@
             except TimeoutError as error:
                 raise Silence("late") from error
 
-        def heard_of(replicas: Any) -> None:
-            machine.tasks.append(asyncio.ensure_future(machine.replica.learn_members(replicas)))
+        def observe_replicas(replicas: Any) -> None:
+            machine.tasks.append(asyncio.ensure_future(machine.replica.adopt_members(replicas)))
 
         replica = machine.replica
         return Coordinator(
-            machine.member, lambda: replica.replicas, ask, heard_of, replica.confirmations
+            machine.member, lambda: replica.replicas, ask, observe_replicas, replica.confirmations
         )
 
     def _end_work(self, vm: str) -> None:
--- a/waxwingglade/ledger/tests/test_accounts.py
+++ b/waxwingglade/ledger/tests/test_accounts.py
@@ -124,8 +124,8 @@
 
     async def test_no_account_is_read_under_an_older_set_of_members(self) -> None:
         newer = msgspec.structs.replace(self.cluster.set, epoch=self.cluster.set.epoch + 1)
-        await self.cluster.replicas["vm-1"].learn_members(newer)
-        await self.cluster.replicas["vm-2"].learn_members(newer)
+        await self.cluster.replicas["vm-1"].adopt_members(newer)
+        await self.cluster.replicas["vm-2"].adopt_members(newer)
         self.assertIsNone(await self.one.accounts.read(PROGRAM))
 
 
--- a/waxwingglade/ledger/tests/test_changing_sets.py
+++ b/waxwingglade/ledger/tests/test_changing_sets.py
@@ -48,7 +48,7 @@
         """Keep a turn under the present set at some members; others know the next already."""
         for vm, replica in self.cluster.replicas.items():
             if vm not in vms:
-                await replica.learn_members(following)
+                await replica.adopt_members(following)
         ended = await self.cluster.coordinator(vms[0]).end(end(1))
         self.assertTrue(ended.kept)
         holders = {vm for vm, replica in self.cluster.replicas.items() if "turn-1" in replica.turns}
@@ -134,7 +134,7 @@
         replica = self.cluster.replicas["vm-0"]
         keeping = asyncio.create_task(replica.keep(Keep(self.cluster.set.epoch, turn(1))))
         await asyncio.sleep(0)
-        await replica.learn_members(self.cluster.without("vm-2"))
+        await replica.adopt_members(self.cluster.without("vm-2"))
         self.assertIsInstance(await keeping, OtherEpoch)
 
     async def test_a_replica_that_counts_itself_as_read_refuses_older_sets_durably(self) -> None:
@@ -144,7 +144,7 @@
         following = self.cluster.joined("vm-3")
         unwritten: asyncio.Future[Place] = asyncio.get_running_loop().create_future()
         with mock.patch.object(replica.journal, "append", return_value=unwritten):
-            learning = asyncio.create_task(replica.learn_members(following))
+            learning = asyncio.create_task(replica.adopt_members(following))
             await asyncio.sleep(0)
 
         async def answer(member: Member, message: Any, timeout_s: float) -> Held:
@@ -181,7 +181,7 @@
     ) -> None:
         """Keep a turn under the next set, continue it by the set before; it is not denied."""
         for vm in knowing:
-            await cluster.replicas[vm].learn_members(following)
+            await cluster.replicas[vm].adopt_members(following)
         ended = await cluster.coordinator(knowing[0]).end(end(1))
         self.assertTrue(ended.kept)
         answer = await cluster.coordinator(asker).begin(begin(2, previous="turn-1"))
--- a/waxwingglade/ledger/tests/test_client_accounts.py
+++ b/waxwingglade/ledger/tests/test_client_accounts.py
@@ -37,7 +37,7 @@
         await self.keep(1, "shop")
         for vm in list(self.cluster.replicas):
             await self.cluster.restart(vm)
-            await self.cluster.replicas[vm].learn_members(self.cluster.set)
+            await self.cluster.replicas[vm].adopt_members(self.cluster.set)
         self.assertEqual(NoSuchTurn(), await self.continued(1, "garage"))
         self.assertIsInstance(await self.continued(1, "shop"), TurnBegun)
 
--- a/waxwingglade/ledger/tests/test_confirmation.py
+++ b/waxwingglade/ledger/tests/test_confirmation.py
@@ -52,7 +52,7 @@
         """Restart all replicas, with coordinators that know nothing."""
         for vm in list(self.cluster.replicas):
             await self.cluster.restart(vm)
-            await self.cluster.replicas[vm].learn_members(self.cluster.set)
+            await self.cluster.replicas[vm].adopt_members(self.cluster.set)
         self.one, self.two = (self.cluster.coordinator(vm) for vm in ("vm-0", "vm-1"))
 
     async def test_a_reservation_whose_entry_is_gone_gives_way(self) -> None:
--- a/waxwingglade/ledger/tests/test_coordinator.py
+++ b/waxwingglade/ledger/tests/test_coordinator.py
@@ -141,15 +141,15 @@
 
     async def test_a_replica_refuses_an_older_set_of_members(self) -> None:
         newer = self.cluster.set.__class__(2, self.cluster.set.members, True)
-        await self.cluster.replicas["vm-1"].learn_members(newer)
-        await self.cluster.replicas["vm-2"].learn_members(newer)
+        await self.cluster.replicas["vm-1"].adopt_members(newer)
+        await self.cluster.replicas["vm-2"].adopt_members(newer)
         self.assertIsInstance(await self.one.begin(begin(1)), Unavailable)
 
     async def test_a_set_of_members_is_durable_before_it_is_vouched_for(self) -> None:
         """A second request under a new set waits for the first one's write."""
         replica = self.cluster.replicas["vm-0"]
         newer = self.cluster.set.__class__(2, self.cluster.set.members, True)
-        first = asyncio.create_task(replica.learn_members(newer))
+        first = asyncio.create_task(replica.adopt_members(newer))
         await asyncio.sleep(0)
         await replica.list_held(ListHeld(newer))
         self.assertTrue(replica.members_written.done())
--- a/waxwingglade/ledger/tests/test_membership.py
+++ b/waxwingglade/ledger/tests/test_membership.py
@@ -197,7 +197,7 @@
             each[PROGRAM] = held
         joiner = cluster.add("vm-3")
         joiner.open()
-        await joiner.learn_members(cluster.set)
+        await joiner.adopt_members(cluster.set)
         never = asyncio.get_running_loop().create_future
         append = mock.patch.object(joiner.journal, "append", lambda content: never())
         with append, self.assertRaises(TimeoutError):
--- a/waxwingglade/ledger/tests/test_one_set.py
+++ b/waxwingglade/ledger/tests/test_one_set.py
@@ -49,7 +49,7 @@
             machine = self.machines.machines[vm]
             machine.watcher.take_replicas(self.machines.store.items[KEYS.replicas])
             machine.watcher.replicas_known.set()
-            await machine.replica.learn_members(machine.watcher.view.replicas)
+            await machine.replica.adopt_members(machine.watcher.view.replicas)
 
     def stall_fetches(self, vm: str) -> tuple[asyncio.Event, asyncio.Event]:
         """Let what a machine reads from others come late."""
--- a/waxwingglade/ledger/turns.py
+++ b/waxwingglade/ledger/turns.py
@@ -56,7 +56,7 @@
             refused = False
             async for member, answer in self.rounds.answers(replicas, message):
                 if isinstance(answer, OtherEpoch):
-                    self.rounds.heard_of(answer.replicas)
+                    self.rounds.observe_replicas(answer.replicas)
                     refused = True
                 if not isinstance(answer, Found):
                     continue
