--- a/waxwingglade/follow/feed.py
+++ b/waxwingglade/follow/feed.py
@@ -32,7 +32,7 @@
 Ask = Callable[[str, Follow, float], Awaitable[Followed]]
 
 
-class Beliefs:
+class CachedView:
     """The view of a process, and how old it is.
 
     Parameters
@@ -84,11 +84,11 @@
             logger.bind(
                 version=merged.version, before=before.version, age_s=round(self.age_s, 2)
             ).info("configuration in force")
-        self.tell()
+        self.notify()
         for listener in self.listeners:
             listener(merged)
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Answer everybody who waits for news."""
         self.news.set()
         self.news = asyncio.Event()
@@ -121,7 +121,7 @@
 
     Parameters
     ----------
-    beliefs : Beliefs
+    beliefs : CachedView
         Where what is learnt goes.
     sources : callable
         The processes to follow, the nearest first.
@@ -133,7 +133,7 @@
 
     def __init__(
         self,
-        beliefs: Beliefs,
+        beliefs: CachedView,
         sources: Callable[[], list[Replica]],
         ask: Ask,
         needed: Callable[[], bool] = lambda: True,
@@ -236,4 +236,4 @@
     return sorted(replicas, key=lambda replica: (replica.zone != zone, hash((key, replica.disk))))
 
 
-__all__ = ["FRESH_S", "LONGEST_AGE_S", "Beliefs", "FeedFollower", "ask_over", "nearest_first"]
+__all__ = ["FRESH_S", "LONGEST_AGE_S", "CachedView", "FeedFollower", "ask_over", "nearest_first"]
--- a/waxwingglade/follow/tests/test_completeness.py
+++ b/waxwingglade/follow/tests/test_completeness.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from waxwingglade.base import ConfigVersion, ZoneId
-from waxwingglade.follow.feed import Beliefs, FeedFollower
+from waxwingglade.follow.feed import CachedView, FeedFollower
 from waxwingglade.follow.messages import Follow, Followed
 from waxwingglade.follow.model import Configuration, Replica, Revision, View
 from waxwingglade.follow.tests.builders import KEYS, MemoryStore, quick_pauses
@@ -28,8 +28,8 @@
 
     def setUp(self) -> None:
         self.now = 100.0
-        self.source = Beliefs(lambda: self.now)
-        self.beliefs = Beliefs(lambda: self.now)
+        self.source = CachedView(lambda: self.now)
+        self.beliefs = CachedView(lambda: self.now)
         self.follower = FeedFollower(self.beliefs, lambda: [SOURCE], self.ask)
         self.way_s = (0.0, 0.0)
 
--- a/waxwingglade/follow/tests/test_following.py
+++ b/waxwingglade/follow/tests/test_following.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from waxwingglade.base import ConfigVersion, ZoneId
-from waxwingglade.follow.feed import Beliefs, FeedFollower
+from waxwingglade.follow.feed import CachedView, FeedFollower
 from waxwingglade.follow.messages import Follow, Followed
 from waxwingglade.follow.model import Configuration, Replica, Revision, Target, TargetList, View
 from waxwingglade.follow.store import Listing, StoreUnavailable
@@ -235,10 +235,10 @@
 class FeedTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.now = 1000.0
-        self.sources = {name: Beliefs(lambda: self.now) for name in ("near", "far")}
+        self.sources = {name: CachedView(lambda: self.now) for name in ("near", "far")}
         self.gone: set[str] = set()
         self.alone: set[str] = set()
-        self.own = Beliefs(lambda: self.now)
+        self.own = CachedView(lambda: self.now)
         replicas = [Replica(name, name, name, ZoneId(name)) for name in self.sources]
         self.follower = FeedFollower(self.own, lambda: replicas, self._ask)
 
--- a/waxwingglade/ingress/accounts.py
+++ b/waxwingglade/ingress/accounts.py
@@ -13,8 +13,8 @@
 class KeyRules(msgspec.Struct, frozen=True):
     """How old a view may be under which a key is judged; ages in seconds.
 
-    The age is that of `Beliefs.incomplete_s`: changes that the store acknowledged longer ago are in
-    the view.
+    The age is that of `CachedView.incomplete_s`: changes that the store acknowledged longer ago
+    are in the view.
 
     Parameters
     ----------
--- a/waxwingglade/ingress/entry.py
+++ b/waxwingglade/ingress/entry.py
@@ -14,7 +14,13 @@
 
 from waxwingglade.base.loop_delay import LoopDelay
 from waxwingglade.base.tasks import start_task
-from waxwingglade.follow.feed import LONGEST_AGE_S, Beliefs, FeedFollower, ask_over, nearest_first
+from waxwingglade.follow.feed import (
+    LONGEST_AGE_S,
+    CachedView,
+    FeedFollower,
+    ask_over,
+    nearest_first,
+)
 from waxwingglade.follow.model import ClientAccount, ClientLimits, Replica, View
 from waxwingglade.follow.store import Store, StoreUnavailable
 from waxwingglade.follow.watcher import Keys, Watcher
@@ -98,7 +104,7 @@
         self.codec = Codec(LedgerMessage)
         self.context = zmq.Context()
         self.links = Links(self.context, self.codec)
-        self.beliefs = Beliefs()
+        self.beliefs = CachedView()
         self.beliefs.listeners.append(self._view_changed)
         self.balancer = Balancer(settings.zone)
         self.pool = ConnectionPool(settings.connect_timeout_s)
--- a/waxwingglade/ingress/request_log.py
+++ b/waxwingglade/ingress/request_log.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from waxwingglade.base.logs import Sampler
-from waxwingglade.follow.feed import LONGEST_AGE_S, Beliefs
+from waxwingglade.follow.feed import LONGEST_AGE_S, CachedView
 from waxwingglade.ingress.attempt import AttemptRecord
 from waxwingglade.ingress.exchange import Exchange
 from waxwingglade.ingress.serving import Trace
@@ -21,11 +21,11 @@
 
     Parameters
     ----------
-    beliefs : Beliefs
+    beliefs : CachedView
         What the entry knows of its surroundings.
     """
 
-    def __init__(self, beliefs: Beliefs) -> None:
+    def __init__(self, beliefs: CachedView) -> None:
         self.beliefs = beliefs
         self.successes = Sampler(SUCCESSES_LOGGED_PER_S)
         self.failures = Sampler(FAILURES_LOGGED_PER_S)
--- a/waxwingglade/ingress/tests/test_request_log.py
+++ b/waxwingglade/ingress/tests/test_request_log.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from waxwingglade.follow.feed import Beliefs
+from waxwingglade.follow.feed import CachedView
 from waxwingglade.ingress.request_log import RequestLog
 from waxwingglade.ingress.serving import Trace
 from waxwingglade.ingress.tests.builders import call
@@ -18,7 +18,7 @@
         self.lines: list[dict[str, Any]] = []
         sink = logger.add(lambda message: self.lines.append(message.record["extra"]))
         self.addCleanup(logger.remove, sink)
-        self.log = RequestLog(Beliefs(lambda: 0.0))
+        self.log = RequestLog(CachedView(lambda: 0.0))
 
     def note(self, status: int, reason: str = "") -> dict[str, Any]:
         """Log a request that continues a turn, and return the fields of its line."""
--- a/waxwingglade/ledger/node.py
+++ b/waxwingglade/ledger/node.py
@@ -17,7 +17,7 @@
 from waxwingglade.base.loop_delay import LoopDelay
 from waxwingglade.base.tasks import start_task
 from waxwingglade.decisions.quota import QuotaRules
-from waxwingglade.follow.feed import FRESH_S, Beliefs, FeedFollower, ask_over, nearest_first
+from waxwingglade.follow.feed import FRESH_S, CachedView, FeedFollower, ask_over, nearest_first
 from waxwingglade.follow.messages import Follow, Followed
 from waxwingglade.follow.model import Replica as Member
 from waxwingglade.follow.model import ReplicaSet, View
@@ -137,7 +137,7 @@
         self.context = zmq.Context()
         self.server = LinkServer(self.context, self.codec, self.answer)
         self.links = Links(self.context, self.codec)
-        self.beliefs = Beliefs()
+        self.beliefs = CachedView()
         self.watcher = Watcher(store, keys, self._store_changed, wait_s=self._watch_s)
         self.replica = Replica(settings.folder)
         self.own = Member(self.replica.disk, settings.vm, settings.endpoint, settings.zone)
@@ -217,7 +217,7 @@
         """
         self.stopping = True
         # Followers wait for news for longer than a stop takes.
-        self.beliefs.tell()
+        self.beliefs.notify()
         await self.server.finish(FINISH_S)
         for task in self.tasks:
             task.cancel()
@@ -262,7 +262,7 @@
             self.quotas.learn()
             if self.membership.quorum != told:
                 told = self.membership.quorum
-                self.beliefs.tell()
+                self.beliefs.notify()
 
     def _watch_s(self) -> float:
         """Return how long the store may leave this process without news."""
--- a/waxwingglade/ledger/quotas.py
+++ b/waxwingglade/ledger/quotas.py
@@ -11,7 +11,7 @@
 from waxwingglade.decisions.parts import PartRules, Parts
 from waxwingglade.decisions.program_starts import ProgramSize, Starts, may_begin
 from waxwingglade.decisions.quota import Grants, QuotaRules, judge
-from waxwingglade.follow.feed import Beliefs
+from waxwingglade.follow.feed import CachedView
 from waxwingglade.follow.model import ClientAccount, ClientAccountId, View
 from waxwingglade.ledger.messages import (
     BeginProgram,
@@ -53,7 +53,7 @@
         How limits are counted.
     usual_members : int
         Members among which limits are divided, unless there are more.
-    beliefs : Beliefs
+    beliefs : CachedView
         The configuration and the members, and up to when they are known to be complete.
     replica : Replica
         Where grants are kept.
@@ -67,7 +67,7 @@
         self,
         rules: QuotaRules,
         usual_members: int,
-        beliefs: Beliefs,
+        beliefs: CachedView,
         replica: Replica,
         bootstrap: bool = False,
         clock: Clock = monotonic,
--- a/waxwingglade/ledger/tests/test_quotas.py
+++ b/waxwingglade/ledger/tests/test_quotas.py
@@ -9,7 +9,7 @@
 
 from waxwingglade.base import ConfigVersion, ZoneId
 from waxwingglade.decisions.quota import QuotaRules
-from waxwingglade.follow.feed import Beliefs
+from waxwingglade.follow.feed import CachedView
 from waxwingglade.follow.model import (
     ClientAccount,
     ClientAccountId,
@@ -54,7 +54,7 @@
         self.vm = vm
         self.folder = Path(test.folder.name) / vm
         self.folder.mkdir()
-        self.beliefs = Beliefs(lambda: test.now)
+        self.beliefs = CachedView(lambda: test.now)
         self.start(bootstrap)
 
     def start(self, bootstrap: bool = False) -> None:
