--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -50,7 +50,7 @@
     calls = [turn(n) for n in range(TURNS)]
     began_at = time.process_time()
     for call in calls:
-        pace = balancer.pace_of(ENGINES.name)
+        pace = balancer.speed_of(ENGINES.name)
         retry_after_s(pace, balancer.engines(ENGINES.name), Waiting(patience_s=2.0))
         choice = balancer.choose(ENGINES, call, (), history)
         assert choice is not None
--- a/bench/turns/policies.py
+++ b/bench/turns/policies.py
@@ -83,7 +83,7 @@
 
     def choose(self, asked: Asked) -> Sent | Refused:
         """Return where a turn goes, and count it as sent; or refuse it."""
-        pace = self.balancer.pace_of(ENGINES)
+        pace = self.balancer.speed_of(ENGINES)
         ranks = self.balancer.ranks_of(ENGINES)
         waiting = Waiting(self.give_up_s, asked.is_first, ranks.up_to(asked.rank))
         retry_s = retry_after_s(pace, self.balancer.engines(ENGINES), waiting)
@@ -105,7 +105,7 @@
         if took is None:
             self.balancer.failed(target, is_error)
         else:
-            self.balancer.heard(target, LoadStamp(*load, self.slots))
+            self.balancer.record_load(target, LoadStamp(*load, self.slots))
             self.balancer.turn_ended(sent.choice, took.first_event_s, took.seconds, took.events)
         self.balancer.ended(target)
 
@@ -142,7 +142,7 @@
 
     def __init__(self, sheet: Sheet, zone: ZoneId, targets: TargetList, timeline: Timeline) -> None:
         super().__init__(sheet, zone, targets, timeline)
-        self.balancer.paces[ENGINES] = TruePace(sheet.engine, sheet.program.output)
+        self.balancer.speeds[ENGINES] = TruePace(sheet.engine, sheet.program.output)
 
 
 class Simple:
--- a/bench/turns/previous.py
+++ b/bench/turns/previous.py
@@ -54,10 +54,10 @@
             if load >= state.slots:
                 seconds += TURN_S * (load - state.slots + 1) / state.slots
             tokens = 0.0
-            if shared.part not in state.held and state.target.target not in at_home:
+            if shared.part not in state.cached_parts and state.target.target not in at_home:
                 tokens += SHARED_WEIGHT * shared.tokens
             own = call.prompt_parts[-1]
-            if own.part not in state.held and state.target.target != preferred:
+            if own.part not in state.cached_parts and state.target.target != preferred:
                 tokens += own.tokens
             seconds += tokens / READ_PER_S * (1 + load / state.slots)
             if state.target.zone != self.zone:
--- a/waxwingglade/ingress/accounts.py
+++ b/waxwingglade/ingress/accounts.py
@@ -10,7 +10,7 @@
 from waxwingglade.ingress.refusal import UNAUTHORIZED, UNAVAILABLE, Refusal
 
 
-class KeyRules(msgspec.Struct, frozen=True):
+class KeyAgeLimits(msgspec.Struct, frozen=True):
     """How old a view may be under which a key is judged; ages in seconds.
 
     The age is that of `CachedView.incomplete_s`: changes that the store acknowledged longer ago
@@ -26,9 +26,9 @@
         From which on callers should go to another entry.
     """
 
-    honour_s: float = float("inf")
-    deny_s: float = 2.0
-    away_s: float = float("inf")
+    max_accept_age_s: float = float("inf")
+    max_deny_age_s: float = 2.0
+    not_ready_age_s: float = float("inf")
 
 
 class AccountTable:
@@ -56,7 +56,7 @@
         return None if token is None else self.holders.get(digest_of(token))
 
 
-def identify(table: AccountTable, call: Call, age_s: float, rules: KeyRules) -> ClientAccount:
+def identify(table: AccountTable, call: Call, age_s: float, rules: KeyAgeLimits) -> ClientAccount:
     """Return the account that sends a call.
 
     Parameters
@@ -70,13 +70,13 @@
         If no account holds the call's key, or that can't be known.
     """
     account = table.holder(call)
-    if account is None and age_s <= rules.deny_s:
+    if account is None and age_s <= rules.max_deny_age_s:
         raise Refusal(UNAUTHORIZED, "no key" if not call.credentials else "unknown key")
-    if account is None or age_s > rules.honour_s:
+    if account is None or age_s > rules.max_accept_age_s:
         raise Refusal(
             UNAVAILABLE, f"not run: keys were confirmed {min(age_s, LONGEST_AGE_S):.1f} s ago"
         )
     return account
 
 
-__all__ = ["AccountTable", "KeyRules", "identify"]
+__all__ = ["AccountTable", "KeyAgeLimits", "identify"]
--- a/waxwingglade/ingress/attempt.py
+++ b/waxwingglade/ingress/attempt.py
@@ -26,15 +26,15 @@
 MAX_CONNECT_FAILURES = 3
 """Targets that could not be reached before a call is given up; nothing was sent to them."""
 
-SHORTEST_SILENCE_S = 0.05
+MIN_RESPONSE_TIMEOUT_S = 0.05
 """Seconds without an answer that are no sign of a silent connection: many times a round trip of 3
 ms, and as long as a process may stand still."""
 
-USUAL_TIMES = 4.0
+USUAL_TIME_FACTOR = 4.0
 """How many times its usual time a call may take before its connection is suspected; of work spread
 log-normally around its mean with a spread of 1, 3 in 100 take longer."""
 
-LAST_SILENCE_S = 1.0
+LAST_RESPONSE_TIMEOUT_S = 1.0
 """Seconds after which a silent sending that is the last one ends: half of the two seconds after
 which callers give up a stream without events, so that they come back on a new connection in
 time."""
@@ -52,7 +52,7 @@
     target: TargetId
     load: float
     load_age_s: float
-    read_tokens: int = 0
+    prefill_tokens: int = 0
     verdict: Verdict | None = None
     status: int = 0
     reason: str = ""
@@ -71,7 +71,7 @@
     first_event_s: float | None = None
 
 
-class NotTaken(Exception):
+class NotRun(Exception):
     """A target did not run the call; another may be asked."""
 
 
@@ -103,7 +103,7 @@
         Where what the call continues was read last, if that is known.
     asked : Target or None
         Target that was chosen last.
-    met_silence : bool
+    saw_unresponsive : bool
         Whether a sending was ended because its connection was silent.
     """
 
@@ -130,7 +130,7 @@
         self.tried: list[TargetId] = []
         self.sent = 0
         self.unreachable = 0
-        self.met_silence = False
+        self.saw_unresponsive = False
 
     @property
     def may_have_run(self) -> bool:
@@ -171,7 +171,7 @@
         self.asked = target = choice.target
         self.tried.append(target.target)
         load, age_s = round(choice.load, 1), round(choice.load_age_s, 2)
-        record = AttemptRecord(target.target, load, age_s, choice.read_tokens)
+        record = AttemptRecord(target.target, load, age_s, choice.prefill_tokens)
         self.records.append(record)
         connection = await self._connect(choice, record)
         send = Send(target.target, self.time_left(), priority, last_event)
@@ -183,8 +183,8 @@
         try:
             self.sent += 1
             connection.send(request)
-            self.pool.watch(connection, self._patience(choice))
-            response = await connection.read_head(self._is_ours)
+            self.pool.watch(connection, self._wait_limits(choice))
+            response = await connection.read_head(self._answers_this_call)
         except Broken as error:
             self.close(choice, connection)
             self._broken(choice, record, error)
@@ -194,20 +194,20 @@
             if self.time_left() <= 0:
                 record.reason = "no answer in time"
                 self.balancer.failed(target)
-            if self.balancer.clock() - sent_at > LAST_SILENCE_S:
+            if self.balancer.clock() - sent_at > LAST_RESPONSE_TIMEOUT_S:
                 # Its caller has left without an event, and should not come back to the same target.
                 record.verdict = Verdict.MAY_HAVE_RUN
             raise
         self.pool.note_timeout(target.address, response)
         facts = self.dialect.read_answer(response)
         record.status = response.status
-        self.balancer.heard(target, facts.load)
+        self.balancer.record_load(target, facts.load)
         head = Head(choice, connection, response, facts, record, sent_at)
         if facts.not_run:
             await self._refused(head)
         return head
 
-    def _patience(self, choice: Choice) -> Patience:
+    def _wait_limits(self, choice: Choice) -> Patience:
         """Return how long the connection of a sending may be silent.
 
         A call that may be sent again is, early enough to be answered within its objective.  One
@@ -217,13 +217,15 @@
         """
         route = self.route
         again = route.idempotent and self.may_try
-        suspect_s = route.target_latency_s or LAST_SILENCE_S
+        suspect_s = route.target_latency_s or LAST_RESPONSE_TIMEOUT_S
         if route.kind is not CallKind.STREAM:
-            suspect_s = max(suspect_s / 2 if again else suspect_s, USUAL_TIMES * choice.usual_s)
-        suspect_s = max(suspect_s, SHORTEST_SILENCE_S)
-        if not route.idempotent or (self.met_silence and not again):
+            suspect_s = max(
+                suspect_s / 2 if again else suspect_s, USUAL_TIME_FACTOR * choice.usual_s
+            )
+        suspect_s = max(suspect_s, MIN_RESPONSE_TIMEOUT_S)
+        if not route.idempotent or (self.saw_unresponsive and not again):
             return Patience(suspect_s, None)
-        return Patience(suspect_s, suspect_s if again else max(suspect_s, LAST_SILENCE_S))
+        return Patience(suspect_s, suspect_s if again else max(suspect_s, LAST_RESPONSE_TIMEOUT_S))
 
     async def _connect(self, choice: Choice, record: AttemptRecord) -> Http1Connection:
         try:
@@ -233,9 +235,9 @@
             record.verdict = Verdict.NOT_RUN
             record.reason = str(error)
             self.balancer.failed(choice.target)
-            raise NotTaken(str(error)) from error
+            raise NotRun(str(error)) from error
 
-    def _is_ours(self, response: HttpResponse) -> bool:
+    def _answers_this_call(self, response: HttpResponse) -> bool:
         echoed = self.dialect.read_answer(response).request
         return echoed is None or echoed == self.call.request
 
@@ -249,26 +251,26 @@
             head.record.reason = "refused, then broken off"
         finally:
             self.close(head.choice, head.connection)
-        raise NotTaken(f"status {head.response.status}")
+        raise NotRun(f"status {head.response.status}")
 
     def _broken(self, choice: Choice, record: AttemptRecord, error: Broken) -> None:
         record.verdict = Verdict.MAY_HAVE_RUN
         record.reason = str(error)
-        self._note_failed(choice, error)
+        self._record_failure(choice, error)
 
-    def _note_failed(self, choice: Choice, error: Exception) -> None:
+    def _record_failure(self, choice: Choice, error: Exception) -> None:
         """Note that a target failed a call, unless it may be the connection alone."""
         if isinstance(error, Silent):
-            self.met_silence = True
+            self.saw_unresponsive = True
         else:
             self.balancer.failed(choice.target)
 
-    def answered(self, head: Head) -> None:
+    def record_answer(self, head: Head) -> None:
         """Note that an answer was read to its end."""
         head.record.verdict = Verdict.RAN
         head.record.seconds = round(self.balancer.clock() - head.sent_at, 4)
 
-    def note_error(self, head: Head) -> None:
+    def record_error(self, head: Head) -> None:
         """Note an error that a target answered itself.
 
         An engine generates or is broken; a plain service may have good reasons for a single one.
@@ -277,11 +279,11 @@
             is_engine = self.service.engine is not None
             self.balancer.failed(head.choice.target, is_error=is_engine)
 
-    def broke_off(self, head: Head, error: Exception) -> None:
+    def record_break(self, head: Head, error: Exception) -> None:
         """Note that an answer ended before it was whole."""
         head.record.verdict = Verdict.MAY_HAVE_RUN
         head.record.reason = str(error)
-        self._note_failed(head.choice, error)
+        self._record_failure(head.choice, error)
 
     def close(self, choice: Choice, connection: Http1Connection) -> None:
         """Give a connection back, and count the call as ended there."""
@@ -300,6 +302,6 @@
     "Head",
     "MayHaveRun",
     "NoTarget",
-    "NotTaken",
+    "NotRun",
     "promises_not_run",
 ]
--- a/waxwingglade/ingress/balance.py
+++ b/waxwingglade/ingress/balance.py
@@ -22,16 +22,16 @@
     TargetList,
 )
 from waxwingglade.ingress.dialect import Call, LoadStamp
-from waxwingglade.ingress.target_state import TargetState, usual_unit_s
+from waxwingglade.ingress.target_state import TargetState, median_unit_s
 
-FOREIGN_SMOOTHING = 0.05
+EXTERNAL_LOAD_SMOOTHING = 0.05
 """Weight of a report in the usual load by other entries: the last twenty are two thirds of it."""
 
-OTHER_ZONE_S = 0.03
+OTHER_ZONE_PENALTY_S = 0.03
 """Seconds that a target in another zone counts as slower.  The round trip takes only 3 ms more; the
 rest keeps answers from hanging on a cut between zones, and bytes within the zone."""
 
-OTHER_ZONE_LOAD = 1.0
+OTHER_ZONE_LOAD_PENALTY = 1.0
 """The same for plain services, as a share of a target's slots."""
 
 
@@ -43,7 +43,7 @@
     load: float
     load_age_s: float
     usual_s: float = 0.0
-    read_tokens: int = 0
+    prefill_tokens: int = 0
 
 
 class History(msgspec.Struct, frozen=True):
@@ -77,8 +77,8 @@
         self.clock = clock
         self.states: dict[TargetId, TargetState] = {}
         self.by_service: dict[ServiceName, list[TargetState]] = {}
-        self.paces: dict[ServiceName, EnginePace] = {}
-        self.usual_foreign: dict[ServiceName, float] = {}
+        self.speeds: dict[ServiceName, EnginePace] = {}
+        self.usual_external_load: dict[ServiceName, float] = {}
         self.ranks: dict[ServiceName, RankShares] = {}
         self.revision = -1
 
@@ -92,12 +92,12 @@
             return []
         self.revision = targets.revision
         present = {target.target: target for target in targets.targets}
-        gone = [
+        removed = [
             state.target
             for name, state in self.states.items()
             if name not in present or present[name].started_ms != state.target.started_ms
         ]
-        for target in gone:
+        for target in removed:
             del self.states[target.target]
         self.by_service = {}
         for target in targets.targets:
@@ -106,11 +106,11 @@
                 state = self.states[target.target] = TargetState(target, self.clock)
             state.target = target
             self.by_service.setdefault(target.service, []).append(state)
-        return gone
+        return removed
 
-    def pace_of(self, service: ServiceName) -> EnginePace:
+    def speed_of(self, service: ServiceName) -> EnginePace:
         """Return what was observed of a service's engines."""
-        return self.paces.setdefault(service, EnginePace())
+        return self.speeds.setdefault(service, EnginePace())
 
     def ranks_of(self, service: ServiceName) -> RankShares:
         """Return how urgent the turns are that this entry sends to a service."""
@@ -143,14 +143,14 @@
             usable = others or usable
         if not usable:
             return None
-        usual_s = usual_unit_s(self.by_service.get(service.name, ()))
+        usual_s = median_unit_s(self.by_service.get(service.name, ()))
         if service.engine is not None:
             choices = self._engine_choices(service, call, usable, usual_s, history)
         else:
             choices = self._plain_choices(service.name, call, usable, usual_s)
         cost, _, state, tokens = min(choices, key=lambda entry: entry[:2])
-        age_s = min(now - state.stamped_at, 1e6)
-        load = state.load(now, self.usual_foreign.get(service.name, 0.0))
+        age_s = min(now - state.load_reported_at, 1e6)
+        load = state.load(now, self.usual_external_load.get(service.name, 0.0))
         return Choice(state.target, cost, load, age_s, usual_s, tokens)
 
     def _usable(self, service: ServiceName, tried: set[TargetId]) -> list[TargetState]:
@@ -165,10 +165,10 @@
     def engines(self, service: ServiceName) -> list[Engine]:
         """Return the engines of a service that may be sent a call."""
         now = self.clock()
-        foreign = self.usual_foreign.get(service, 0.0)
-        usual_s = usual_unit_s(self.by_service.get(service, ()))
+        external_load = self.usual_external_load.get(service, 0.0)
+        usual_s = median_unit_s(self.by_service.get(service, ()))
         usable = self._usable(service, set())
-        return [state.as_engine(now, foreign, usual_s) for state in usable]
+        return [state.as_engine(now, external_load, usual_s) for state in usable]
 
     def _engine_choices(
         self,
@@ -179,18 +179,20 @@
         history: History | None,
     ) -> list[tuple[float, int, TargetState, int]]:
         now = self.clock()
-        pace = self.pace_of(service.name)
-        foreign = self.usual_foreign.get(service.name, 0.0)
-        reading = self._reading(call, states, history)
+        speed = self.speed_of(service.name)
+        external_load = self.usual_external_load.get(service.name, 0.0)
+        reading = self._prefill_tokens(call, states, history)
         choices = []
         for state, tokens in zip(states, reading, strict=True):
-            seconds = turn_cost_s(pace, state.as_engine(now, foreign, usual_s), tokens)
+            seconds = turn_cost_s(speed, state.as_engine(now, external_load, usual_s), tokens)
             if state.target.zone != self.zone:
-                seconds += OTHER_ZONE_S
+                seconds += OTHER_ZONE_PENALTY_S
             choices.append((seconds, weight(call.request, state.target.target), state, tokens))
         return choices
 
-    def _reading(self, call: Call, states: list[TargetState], history: History | None) -> list[int]:
+    def _prefill_tokens(
+        self, call: Call, states: list[TargetState], history: History | None
+    ) -> list[int]:
         """Return for each target the tokens that it would have to read."""
         if not call.prompt_parts:
             return [0] * len(states)
@@ -205,7 +207,7 @@
                 reading.append(0)
                 continue
             assumed = shared.part if shared and state.target.target in at_home else None
-            reading.append(tokens_to_read(parts, state.held, assumed))
+            reading.append(tokens_to_read(parts, state.cached_parts, assumed))
         return reading
 
     def _preferred(
@@ -217,7 +219,7 @@
         one.
         """
         last_part = call.prompt_parts[-1].part
-        if call.program is None or any(last_part in state.held for state in states):
+        if call.program is None or any(last_part in state.cached_parts for state in states):
             return None
         near = [
             state.target
@@ -234,13 +236,13 @@
         now = self.clock()
         choices = []
         key = call.affinity or call.request
-        foreign = self.usual_foreign.get(service, 0.0)
+        external_load = self.usual_external_load.get(service, 0.0)
         for state in states:
-            load = state.load(now, foreign)
+            load = state.load(now, external_load)
             cost = 1 + max(0.0, load - state.slots + 1) + load / state.slots
             cost *= state.slowness(usual_s)
             if state.target.zone != self.zone:
-                cost += OTHER_ZONE_LOAD
+                cost += OTHER_ZONE_LOAD_PENALTY
             choices.append((round(cost, 1), weight(key, state.target.target), state, 0))
         return choices
 
@@ -260,31 +262,35 @@
             return
         state.in_flight += 1
         for part in call.prompt_parts:
-            state.remember(part.part, part.tokens)
+            state.record_prompt_part(part.part, part.tokens)
 
     def ended(self, target: Target) -> None:
         """Note the end of a request."""
         if state := self._state(target):
             state.in_flight -= 1
 
-    def heard(self, target: Target, load: LoadStamp | None) -> None:
+    def record_load(self, target: Target, load: LoadStamp | None) -> None:
         """Take in an answer of a target, with its load."""
         if load is None:
             return
         state = self._state(target)
         if state is None:
             return
-        state.report(self.clock(), load)
-        before = self.usual_foreign.get(target.service, 0.0)
-        self.usual_foreign[target.service] = before + FOREIGN_SMOOTHING * (state.foreign - before)
+        state.record_load(self.clock(), load)
+        before = self.usual_external_load.get(target.service, 0.0)
+        self.usual_external_load[target.service] = before + EXTERNAL_LOAD_SMOOTHING * (
+            state.external_load - before
+        )
 
     def turn_ended(self, choice: Choice, first_event_s: float, seconds: float, events: int) -> None:
         """Note a whole stream, with the seconds to its first event and to its end."""
         state = self._state(choice.target)
         if state is None:
             return
-        turn = Turn(choice.load / state.slots, choice.read_tokens, first_event_s, seconds, events)
-        ratio = self.pace_of(choice.target.service).learn(turn)
+        turn = Turn(
+            choice.load / state.slots, choice.prefill_tokens, first_event_s, seconds, events
+        )
+        ratio = self.speed_of(choice.target.service).learn(turn)
         self.succeeded(choice.target, ratio)
 
     def succeeded(self, target: Target, unit_s: float) -> None:
@@ -299,7 +305,7 @@
         """
         if state := self._state(target):
             state.ejection.succeeded()
-            state.learn(unit_s)
+            state.observe(unit_s)
 
     def failed(self, target: Target, is_error: bool = False) -> None:
         """Note that a target broke off, could not be reached, or answered an error."""
--- a/waxwingglade/ingress/entry.py
+++ b/waxwingglade/ingress/entry.py
@@ -28,10 +28,10 @@
 from waxwingglade.ingress.attempt import Attempts
 from waxwingglade.ingress.balance import Balancer
 from waxwingglade.ingress.dialect import Call, Dialect
-from waxwingglade.ingress.exchange import CallerGone, Exchange
+from waxwingglade.ingress.exchange import CallerDisconnected, Exchange
 from waxwingglade.ingress.metrics import IngressMetrics
+from waxwingglade.ingress.quorum_monitor import QuorumMonitor, RotationEstimate
 from waxwingglade.ingress.quota import take_quota
-from waxwingglade.ingress.reach import Reach, Rotation
 from waxwingglade.ingress.refusal import Refusal, own_answer
 from waxwingglade.ingress.request_log import RequestLog
 from waxwingglade.ingress.routes import RouteTable
@@ -39,34 +39,34 @@
     Serving,
     Trace,
     is_stream,
-    out_of_time,
     read_call,
     serve_plain,
+    timeout_refusal,
 )
 from waxwingglade.ingress.settings import IngressSettings
-from waxwingglade.ingress.streaming import LedgerWay, serve_stream
+from waxwingglade.ingress.streaming import LedgerAccess, serve_stream
 from waxwingglade.ledger.client import LedgerClient
 from waxwingglade.ledger.messages import LedgerMessage
 from waxwingglade.transport import ConnectionPool
 from waxwingglade.transport.links import Codec, Links
 from waxwingglade.transport.page import serve_metrics, serve_page
 
-LOOK_S = 0.2
+CHECK_INTERVAL_S = 0.2
 """Seconds between looks at connections, the view's age and the sources of it."""
 
-LOST_AFTER_S = 0.5
+STORE_FALLBACK_DELAY_S = 0.5
 """Seconds for which no replica knows enough before the entry follows the store itself."""
 
-FIND_PAUSE_S = 0.3
+MEMBERS_RETRY_S = 0.3
 """Seconds between reads of the store while no replica is known."""
 
 LINK_IDLE_S = 30.0
-QUORUM_S = 0.8
+QUORUM_TIMEOUT_S = 0.8
 """Seconds without word of a majority of the ledger after which callers should go elsewhere.  Word
 comes twice a second; the balancer takes two seconds more to act on it."""
 
 PRIORITY_STEP = 2
-LAST_PRIORITY = 9
+MAX_PRIORITY = 9
 """Ranks of routes map to the engines' priorities 2, 4 and so on, up to the last."""
 
 
@@ -104,20 +104,20 @@
         self.codec = Codec(LedgerMessage)
         self.context = zmq.Context()
         self.links = Links(self.context, self.codec)
-        self.beliefs = CachedView()
-        self.beliefs.listeners.append(self._view_changed)
+        self.cached_view = CachedView()
+        self.cached_view.listeners.append(self._view_changed)
         self.balancer = Balancer(settings.zone)
         self.pool = ConnectionPool(settings.connect_timeout_s)
         self.ledger = LedgerClient(
-            self.links, lambda: self.beliefs.view.replicas.members, settings.zone
+            self.links, lambda: self.cached_view.view.replicas.members, settings.zone
         )
-        self.follower = FeedFollower(self.beliefs, self.replicas, ask_over(self.links))
+        self.follower = FeedFollower(self.cached_view, self.replicas, ask_over(self.links))
         self.watcher: Watcher | None = None
         self.table: RouteTable | None = None
         self.draining = False
-        self.taking = True
-        self.reach = Reach(lambda: self.reaches_ledger)
-        self.rotation = Rotation()
+        self.accepts_requests = True
+        self.quorum_monitor = QuorumMonitor(lambda: self.reaches_ledger)
+        self.rotation = RotationEstimate()
         self.open_exchanges: dict[object, Exchange] = {}
         self.running: set[asyncio.Task] = set()
         self.callers: HTTPServer | None = None
@@ -125,7 +125,7 @@
         self.metrics = IngressMetrics()
         self.loop_delay = LoopDelay()
         self.tasks: list[asyncio.Task] = []
-        self.request_log = RequestLog(self.beliefs)
+        self.request_log = RequestLog(self.cached_view)
 
     # Start and stop
 
@@ -135,7 +135,7 @@
         self.pages = [serve_page(self.settings.ready, ".*", lambda: (self.ready_status, ""))]
         self.pages += serve_metrics(self.settings.metrics, lambda: self.metrics.text(self))
         self.follower.start()
-        self.tasks = [start_task(self._find_replicas()), start_task(self._look_forever())]
+        self.tasks = [start_task(self._find_replicas()), start_task(self._check_forever())]
         logger.bind(vm=self.settings.vm, callers=self.settings.callers).info("started")
 
     def _listen(self, delegate: HTTPServerConnectionDelegate, address: str) -> HTTPServer:
@@ -161,11 +161,11 @@
         await asyncio.sleep(self.settings.drain_wait_s)
         assert self.callers is not None
         self.callers.stop()
-        self.taking = False
+        self.accepts_requests = False
         for exchange in list(self.open_exchanges.values()):
             exchange.close_when_idle()
         while self.running and time.monotonic() - began_at < self.settings.drain_timeout_s:
-            await asyncio.sleep(LOOK_S / 4)
+            await asyncio.sleep(CHECK_INTERVAL_S / 4)
         await self.ledger.finish(began_at + self.settings.drain_timeout_s - time.monotonic())
         logger.bind(running=len(self.running)).info("drained")
 
@@ -196,23 +196,26 @@
         """
         if self.table is None or self.draining or not self.reaches_ledger:
             return False
-        return self.table.accounts is None or self.beliefs.incomplete_s < self.settings.keys.away_s
+        return (
+            self.table.accounts is None
+            or self.cached_view.incomplete_s < self.settings.keys.not_ready_age_s
+        )
 
     @property
     def ready_status(self) -> int:
         """Answer to the balancer's question."""
         ready = self.ready
-        self.rotation.note(ready)
+        self.rotation.record(ready)
         return 200 if ready else 503
 
     @property
     def reaches_ledger(self) -> bool:
         """Whether a replica said lately that it reaches a majority."""
-        return self.follower.quorum_age_s < QUORUM_S
+        return self.follower.quorum_age_s < QUORUM_TIMEOUT_S
 
     def replicas(self) -> list[Replica]:
         """Return the ledger's members, the nearest first."""
-        members = self.beliefs.view.replicas.members
+        members = self.cached_view.view.replicas.members
         return nearest_first(members, self.settings.zone, self.settings.vm)
 
     def _view_changed(self, view: View) -> None:
@@ -237,7 +240,7 @@
     async def _find_replicas(self) -> None:
         """Read from the store who the ledger's members are, while none is known."""
         reader = Watcher(self.store, self.keys)
-        while not self.beliefs.view.replicas.members:
+        while not self.cached_view.view.replicas.members:
             try:
                 item = await self.store.read(self.keys.replicas)
             except StoreUnavailable as error:
@@ -245,26 +248,26 @@
                 item = None
             if item is not None:
                 reader.take_replicas(item)
-                self.beliefs.merge(reader.view, float("-inf"))
+                self.cached_view.merge(reader.view, float("-inf"))
                 continue
-            await asyncio.sleep(FIND_PAUSE_S * (0.5 + random.random()))
+            await asyncio.sleep(MEMBERS_RETRY_S * (0.5 + random.random()))
 
-    async def _look_forever(self) -> None:
+    async def _check_forever(self) -> None:
         lost_at: float | None = None
         while True:
-            await self.loop_delay.sleep(LOOK_S)
-            self._look_at_quorum()
+            await self.loop_delay.sleep(CHECK_INTERVAL_S)
+            self._check_quorum()
             self.pool.sweep()
             self.close_idle()
             self.links.keep_only(
-                {member.address for member in self.beliefs.view.replicas.members}, LINK_IDLE_S
+                {member.address for member in self.cached_view.view.replicas.members}, LINK_IDLE_S
             )
             if not self.follower.exhausted:
                 lost_at = None
                 await self._stop_watcher()
             elif lost_at is None:
                 lost_at = time.monotonic()
-            elif time.monotonic() - lost_at > LOST_AFTER_S:
+            elif time.monotonic() - lost_at > STORE_FALLBACK_DELAY_S:
                 self._use_watcher()
 
     def close_idle(self) -> None:
@@ -277,20 +280,20 @@
             if exchange.idle and exchange.arrived_at < idle_since:
                 exchange.close_when_idle()
 
-    def _look_at_quorum(self) -> None:
+    def _check_quorum(self) -> None:
         """Take in whether a majority of the ledger is in reach, and log when that changes."""
-        if not self.reach.look():
+        if not self.quorum_monitor.check():
             return
-        event = "ledger quorum regained" if self.reach.reached else "ledger quorum lost"
-        logger.bind(epoch=self.beliefs.view.replicas.epoch, ready=self.ready).warning(event)
+        event = "ledger quorum regained" if self.quorum_monitor.has_quorum else "ledger quorum lost"
+        logger.bind(epoch=self.cached_view.view.replicas.epoch, ready=self.ready).warning(event)
 
     def _use_watcher(self) -> None:
         """Follow the store itself: no replica knows enough."""
         if self.watcher is None:
-            logger.bind(age_s=round(min(self.beliefs.age_s, LONGEST_AGE_S), 2)).warning(
+            logger.bind(age_s=round(min(self.cached_view.age_s, LONGEST_AGE_S), 2)).warning(
                 "no source, following the store"
             )
-            known = self.beliefs.view.targets
+            known = self.cached_view.view.targets
             self.watcher = Watcher(self.store, self.keys, self._watcher_changed, known=known)
             self.watcher.start()
         self._watcher_changed()
@@ -298,7 +301,7 @@
     def _watcher_changed(self) -> None:
         if self.watcher is not None:
             watcher = self.watcher
-            self.beliefs.merge(watcher.view, watcher.confirmed_at, watcher.complete_until)
+            self.cached_view.merge(watcher.view, watcher.confirmed_at, watcher.complete_until)
 
     async def _stop_watcher(self) -> None:
         if self.watcher is not None:
@@ -313,7 +316,7 @@
         assert isinstance(request_conn, HTTP1Connection)
         exchange = Exchange(request_conn, self._serve, lambda: not self.ready, self._limits)
         self.open_exchanges[server_conn] = exchange
-        if not self.taking:
+        if not self.accepts_requests:
             exchange.close_when_idle()
         return exchange
 
@@ -330,17 +333,17 @@
     async def _serve_call(self, exchange: Exchange) -> None:
         trace = Trace()
         try:
-            if await exchange.caller_has_left():
-                raise CallerGone
+            if await exchange.caller_has_disconnected():
+                raise CallerDisconnected
             serving = read_call(exchange, self.dialect, self.table, trace, self._identify)
             await self._serve_in_time(serving)
         except Refusal as refusal:
             trace.reason = refusal.reason
             await self._refuse(exchange, trace, refusal)
-        except CallerGone:
+        except CallerDisconnected:
             trace.reason = "the caller has left"
         except asyncio.CancelledError:
-            trace.reason = "the caller has left" if exchange.gone else "stopped"
+            trace.reason = "the caller has left" if exchange.disconnected else "stopped"
             raise
         except Exception:
             trace.reason = "internal error"
@@ -364,24 +367,24 @@
         try:
             async with asyncio.timeout(left_s):
                 if is_stream(serving.route):
-                    self._look_at_quorum()
-                    way = LedgerWay(self.ledger, self.reach, self.rotation)
-                    await serve_stream(serving, attempts, way, self._priority)
+                    self._check_quorum()
+                    ledger_access = LedgerAccess(self.ledger, self.quorum_monitor, self.rotation)
+                    await serve_stream(serving, attempts, ledger_access, self._priority)
                 else:
                     await take_quota(serving, self.ledger)
                     await serve_plain(serving, attempts, self._priority)
         except TimeoutError as error:
-            raise out_of_time(attempts) from error
+            raise timeout_refusal(attempts) from error
 
     def _identify(self, accounts: AccountTable, call: Call) -> ClientAccount:
         """Return the account that sends a call; `Refusal` if none, or if that can't be known."""
-        return identify(accounts, call, self.beliefs.incomplete_s, self.settings.keys)
+        return identify(accounts, call, self.cached_view.incomplete_s, self.settings.keys)
 
     def _priority(self, serving: Serving) -> int | None:
         """Return the rank of a call in an engine's queue."""
         if serving.service.engine is None:
             return None
-        return min(LAST_PRIORITY, (serving.route.rank + 1) * PRIORITY_STEP)
+        return min(MAX_PRIORITY, (serving.route.rank + 1) * PRIORITY_STEP)
 
     async def _refuse(self, exchange: Exchange, trace: Trace, refusal: Refusal) -> None:
         if exchange.answered:
@@ -393,14 +396,14 @@
         )
         try:
             await exchange.answer(status, headers, body)
-        except CallerGone:
+        except CallerDisconnected:
             return
 
     def _log(self, exchange: Exchange, trace: Trace) -> None:
         """Count a request that has ended, and log it."""
         seconds = time.monotonic() - exchange.arrived_at
-        self.metrics.note(exchange, trace, seconds)
-        self.request_log.note(exchange, trace, seconds)
+        self.metrics.record(exchange, trace, seconds)
+        self.request_log.record(exchange, trace, seconds)
 
 
 __all__ = ["Ingress"]
--- a/waxwingglade/ingress/exchange.py
+++ b/waxwingglade/ingress/exchange.py
@@ -27,7 +27,7 @@
 }
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """The caller has closed its connection."""
 
 
@@ -76,7 +76,7 @@
         self.task: asyncio.Task | None = None
         self.answered = False
         self.done = False
-        self.gone = False
+        self.disconnected = False
         self.status = 0
         self.close_after = False
 
@@ -103,7 +103,7 @@
         One whose connection was closed while it was being read is not passed on to a target.
         """
         if self.connection.stream.closed():
-            self.gone = True
+            self.disconnected = True
             return
         # The server tells of a close by `on_connection_close` only while a request is being
         # received.
@@ -112,13 +112,13 @@
 
     def on_connection_close(self) -> None:
         """Stop everything that is done for a caller who has left."""
-        self.gone = True
+        self.disconnected = True
         if self.task is not None and not self.done:
             self.task.cancel()
 
     # For the task that serves
 
-    async def caller_has_left(self) -> bool:
+    async def caller_has_disconnected(self) -> bool:
         """Return whether the caller closed its connection before the request was read.
 
         An entry that stood still finds both at once, and must not send the request to a target.
@@ -162,7 +162,7 @@
         try:
             await self.connection.write(data)
         except StreamClosedError as error:
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
     async def end_stream(self) -> None:
         """End a stream as complete."""
@@ -209,18 +209,18 @@
     async def _finish(self) -> None:
         self.done = True
         stream = self.connection.stream
-        gone = stream.closed()
+        disconnected = stream.closed()
         try:
             self.connection.finish()
             if stream.writing():
                 # Nothing, but written behind all the rest: done once that was handed to the kernel.
                 await stream.write(b"")
         except StreamClosedError as error:
-            raise CallerGone from error
-        if gone:
-            raise CallerGone
+            raise CallerDisconnected from error
+        if disconnected:
+            raise CallerDisconnected
         if self.close_after:
             stream.close()
 
 
-__all__ = ["CallerGone", "Exchange"]
+__all__ = ["CallerDisconnected", "Exchange"]
--- a/waxwingglade/ingress/metrics.py
+++ b/waxwingglade/ingress/metrics.py
@@ -14,7 +14,7 @@
     from waxwingglade.ingress.serving import Trace
 
 PREFIX = "waxwingglade_ingress_"
-MOST_NAMES = 50
+MAX_LABEL_VALUES = 50
 """Routes, and client accounts, with series of their own; a configuration may have hundreds, and the
 rest counts as one."""
 
@@ -68,7 +68,7 @@
     def _time(self, name: str, text: str, *labels: str) -> Times:
         return Times(self.registry, PREFIX + name, text, SECONDS, labels)
 
-    def note(self, exchange: "Exchange", trace: "Trace", seconds: float) -> None:
+    def record(self, exchange: "Exchange", trace: "Trace", seconds: float) -> None:
         """Count one request."""
         route = _label(self.routes, trace.route)
         status = str(exchange.status)
@@ -90,10 +90,10 @@
     def text(self, ingress: "Ingress") -> str:
         """Return all metrics in Prometheus's text format."""
         facts = {
-            "configuration_version": float(ingress.beliefs.view.version),
-            "view_age_seconds": min(ingress.beliefs.age_s, LONGEST_AGE_S),
-            "view_incomplete_seconds": min(ingress.beliefs.incomplete_s, LONGEST_AGE_S),
-            "ledger_epoch": float(ingress.beliefs.view.replicas.epoch),
+            "configuration_version": float(ingress.cached_view.view.version),
+            "view_age_seconds": min(ingress.cached_view.age_s, LONGEST_AGE_S),
+            "view_incomplete_seconds": min(ingress.cached_view.incomplete_s, LONGEST_AGE_S),
+            "ledger_epoch": float(ingress.cached_view.view.replicas.epoch),
             "ledger_reached": float(ingress.reaches_ledger),
             "ready": float(ingress.ready),
             "running_requests": float(len(ingress.running)),
@@ -114,7 +114,7 @@
     """Return the name under which something is counted; those that came first have their own."""
     if name in known:
         return name
-    if len(known) >= MOST_NAMES:
+    if len(known) >= MAX_LABEL_VALUES:
         return OTHER
     known.add(name)
     return name
--- a/waxwingglade/ingress/reach.py
+++ b/waxwingglade/ingress/quorum_monitor.py
@@ -11,26 +11,26 @@
 
 from waxwingglade.base import Clock, monotonic
 
-ASKED_EACH_S = 1.0
+HEALTH_CHECK_INTERVAL_S = 1.0
 """Seconds between the balancer's questions whether an entry takes callers."""
 
-MISSES = 2
+UNHEALTHY_THRESHOLD = 2
 """Questions in a row without a good answer after which the balancer sends no more callers."""
 
-MOVE_S = 0.25
+REMOVAL_DELAY_S = 0.25
 """Seconds that the balancer takes to act on the last of them."""
 
-SOON_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
 """Shortest time in seconds after which a caller is told to come back."""
 
 T = TypeVar("T")
 
 
-class LedgerLost(Exception):
+class QuorumLost(Exception):
     """The ledger's majority was out of reach for as long as it was worth waiting for."""
 
 
-class Rotation:
+class RotationEstimate:
     """What the balancer was told of this entry, and when it acts on it.
 
     Parameters
@@ -41,25 +41,29 @@
 
     def __init__(self, clock: Clock = monotonic) -> None:
         self.clock = clock
-        self.asked_at = float("-inf")
-        self.misses = 0
-        self.left_at = float("inf")
+        self.checked_at = float("-inf")
+        self.failed_checks = 0
+        self.removed_at = float("inf")
 
-    def note(self, ready: bool) -> None:
+    def record(self, ready: bool) -> None:
         """Take in the answer to a question of the balancer."""
-        self.asked_at = self.clock()
-        self.misses = 0 if ready else self.misses + 1
-        if self.misses <= MISSES:
-            self.left_at = self.asked_at + (MISSES - self.misses) * ASKED_EACH_S + MOVE_S
+        self.checked_at = self.clock()
+        self.failed_checks = 0 if ready else self.failed_checks + 1
+        if self.failed_checks <= UNHEALTHY_THRESHOLD:
+            self.removed_at = (
+                self.checked_at
+                + (UNHEALTHY_THRESHOLD - self.failed_checks) * HEALTH_CHECK_INTERVAL_S
+                + REMOVAL_DELAY_S
+            )
 
     @property
-    def elsewhere_s(self) -> float:
+    def until_removed_s(self) -> float:
         """Seconds until the balancer sends callers elsewhere, if this entry stays not ready."""
-        longest_s = MISSES * ASKED_EACH_S + MOVE_S
-        return min(longest_s, max(SOON_S, self.left_at - self.clock()))
+        longest_s = UNHEALTHY_THRESHOLD * HEALTH_CHECK_INTERVAL_S + REMOVAL_DELAY_S
+        return min(longest_s, max(MIN_RETRY_AFTER_S, self.removed_at - self.clock()))
 
 
-class Reach:
+class QuorumMonitor:
     """Whether the ledger's majority is in reach, as replicas and the lack of their word tell.
 
     Parameters
@@ -75,27 +79,27 @@
         How long each caller of `wait` waits on while it is not, by what ends its waiting.
     """
 
-    def __init__(self, reaches: Callable[[], bool]) -> None:
-        self.reaches = reaches
-        self.reached = False
-        self.waiting: dict[asyncio.Timeout, float] = {}
+    def __init__(self, is_reachable: Callable[[], bool]) -> None:
+        self.is_reachable = is_reachable
+        self.has_quorum = False
+        self.wait_limits: dict[asyncio.Timeout, float] = {}
 
-    def look(self) -> bool:
+    def check(self) -> bool:
         """Take in whether the majority is in reach now; return whether that has changed."""
-        reached = self.reaches()
-        if reached == self.reached:
+        has_quorum = self.is_reachable()
+        if has_quorum == self.has_quorum:
             return False
-        self.reached = reached
-        for timeout, patience_s in self.waiting.items():
+        self.has_quorum = has_quorum
+        for timeout, wait_limit_s in self.wait_limits.items():
             # One whose time is over ends its wait in the next turns of the loop.
             if not timeout.expired():
-                timeout.reschedule(self._give_up_at(patience_s))
+                timeout.reschedule(self._deadline(wait_limit_s))
         return True
 
-    def _give_up_at(self, patience_s: float) -> float | None:
-        return None if self.reached else asyncio.get_running_loop().time() + patience_s
+    def _deadline(self, wait_limit_s: float) -> float | None:
+        return None if self.has_quorum else asyncio.get_running_loop().time() + wait_limit_s
 
-    async def wait(self, asking: Awaitable[T], patience_s: float) -> T:
+    async def wait(self, asking: Awaitable[T], wait_limit_s: float) -> T:
         """Wait for an answer of the ledger until its majority is lost for `patience_s` seconds.
 
         Raises
@@ -103,17 +107,17 @@
         LedgerLost
             If it is; what was asked is then cancelled.
         """
-        timeout = asyncio.timeout_at(self._give_up_at(patience_s))
-        self.waiting[timeout] = patience_s
+        timeout = asyncio.timeout_at(self._deadline(wait_limit_s))
+        self.wait_limits[timeout] = wait_limit_s
         try:
             async with timeout:
                 return await asking
         except TimeoutError as error:
             if not timeout.expired():
                 raise
-            raise LedgerLost from error
+            raise QuorumLost from error
         finally:
-            del self.waiting[timeout]
+            del self.wait_limits[timeout]
 
 
-__all__ = ["LedgerLost", "Reach", "Rotation"]
+__all__ = ["QuorumLost", "QuorumMonitor", "RotationEstimate"]
--- a/waxwingglade/ingress/quota.py
+++ b/waxwingglade/ingress/quota.py
@@ -10,11 +10,11 @@
 from waxwingglade.ledger.client import LedgerClient
 from waxwingglade.ledger.messages import QuotaSpent, QuotaTaken
 
-HOLD_S = 0.5
+MAX_QUOTA_WAIT_S = 0.5
 """Longest time in seconds for which a request of a program under way waits for room.  Refused, its
 caller may have no try left; programs allow for some fractions of a second."""
 
-SHORTEST_PAUSE_S = 0.02
+MIN_RETRY_INTERVAL_S = 0.02
 """Seconds before room is asked for again, at least."""
 
 T = TypeVar("T")
@@ -31,7 +31,9 @@
     account = serving.account
     if account is None or account.rate_per_s <= 0:
         return
-    answer = await hold(lambda: ledger.quotas.take(account.name, serving.time_left()))
+    answer = await retry_until_granted(
+        lambda: ledger.quotas.take(account.name, serving.time_left())
+    )
     if isinstance(answer, QuotaTaken):
         return
     if isinstance(answer, QuotaSpent):
@@ -39,7 +41,7 @@
     raise Refusal(UNAVAILABLE, f"not run: {answer.reason}")
 
 
-async def may_begin_program(serving: Serving, ledger: LedgerClient) -> None:
+async def check_may_begin_program(serving: Serving, ledger: LedgerClient) -> None:
     """Raise a `Refusal` if a call's account should begin no program now.
 
     Its limit would not carry the program to its end, and those under way would lose by it.
@@ -52,14 +54,14 @@
         raise _refusal(spent)
 
 
-async def hold(ask: Callable[[], Awaitable[T]]) -> T:
+async def retry_until_granted(ask: Callable[[], Awaitable[T]]) -> T:
     """Ask for room until there is some, for `HOLD_S` seconds at most; return the last answer."""
-    end_at = time.monotonic() + HOLD_S
+    end_at = time.monotonic() + MAX_QUOTA_WAIT_S
     while True:
         answer = await ask()
         if not isinstance(answer, QuotaSpent):
             return answer
-        pause_s = max(SHORTEST_PAUSE_S, answer.retry_s)
+        pause_s = max(MIN_RETRY_INTERVAL_S, answer.retry_s)
         if time.monotonic() + pause_s > end_at:
             return answer
         await asyncio.sleep(pause_s)
@@ -76,4 +78,4 @@
     return Refusal(TOO_MANY, "not run: the client account is over its limit", spent.retry_s)
 
 
-__all__ = ["hold", "may_begin_program", "over_limit", "take_quota"]
+__all__ = ["check_may_begin_program", "over_limit", "retry_until_granted", "take_quota"]
--- a/waxwingglade/ingress/refusal.py
+++ b/waxwingglade/ingress/refusal.py
@@ -7,7 +7,7 @@
 TOO_MANY = 429
 BAD_GATEWAY, UNAVAILABLE, TIMED_OUT = 502, 503, 504
 
-_MAY_COME_BACK = (TOO_MANY, UNAVAILABLE)
+_RETRYABLE = (TOO_MANY, UNAVAILABLE)
 
 
 class Refusal(Exception):
@@ -35,7 +35,7 @@
 ) -> tuple[int, HeaderList, bytes]:
     """Return status, headers and body of an answer that this system gives itself."""
     headers = [*dialect.own_headers(request), ("Content-Type", "text/plain")]
-    if refusal.status in _MAY_COME_BACK:
+    if refusal.status in _RETRYABLE:
         retry_s = refusal.retry_after_s or usual_retry_s
         headers.append(("Retry-After", f"{retry_s:.2f}"))
     if refusal.status == UNAUTHORIZED:
--- a/waxwingglade/ingress/request_log.py
+++ b/waxwingglade/ingress/request_log.py
@@ -25,12 +25,12 @@
         What the entry knows of its surroundings.
     """
 
-    def __init__(self, beliefs: CachedView) -> None:
-        self.beliefs = beliefs
+    def __init__(self, cached_view: CachedView) -> None:
+        self.cached_view = cached_view
         self.successes = Sampler(SUCCESSES_LOGGED_PER_S)
         self.failures = Sampler(FAILURES_LOGGED_PER_S)
 
-    def note(self, exchange: Exchange, trace: Trace, seconds: float) -> None:
+    def record(self, exchange: Exchange, trace: Trace, seconds: float) -> None:
         """Write the line of a request that has ended after some seconds.
 
         Fields that say nothing are left out: a log that is kept by its size then reaches back
@@ -49,8 +49,8 @@
             "route": trace.route,
             "account": trace.account,
             "version": trace.version,
-            "view_age_s": round(min(self.beliefs.age_s, LONGEST_AGE_S), 2),
-            "epoch": self.beliefs.view.replicas.epoch,
+            "view_age_s": round(min(self.cached_view.age_s, LONGEST_AGE_S), 2),
+            "epoch": self.cached_view.view.replicas.epoch,
             "status": exchange.status,
             "reason": trace.reason,
             "seconds": round(seconds, 4),
@@ -62,16 +62,16 @@
             "attempts": [_attempt(record) for record in records],
             "left_out": sampler.take_left_out(),
         }
-        logger.bind(**_telling(fields)).info("request")
+        logger.bind(**_without_empty(fields)).info("request")
 
 
 def _attempt(record: AttemptRecord) -> dict[str, Any]:
-    return _telling(
+    return _without_empty(
         {
             "target": record.target,
             "load": record.load,
             "load_age_s": record.load_age_s,
-            "read_tokens": record.read_tokens,
+            "read_tokens": record.prefill_tokens,
             "verdict": record.verdict.value if record.verdict else None,
             "status": record.status,
             "reason": record.reason,
@@ -80,7 +80,7 @@
     )
 
 
-def _telling(fields: dict[str, Any]) -> dict[str, Any]:
+def _without_empty(fields: dict[str, Any]) -> dict[str, Any]:
     """Return the fields that are neither empty nor zero."""
     return {name: value for name, value in fields.items() if value}
 
--- a/waxwingglade/ingress/serving.py
+++ b/waxwingglade/ingress/serving.py
@@ -15,7 +15,7 @@
     Head,
     MayHaveRun,
     NoTarget,
-    NotTaken,
+    NotRun,
     promises_not_run,
 )
 from waxwingglade.ingress.dialect import Call, Dialect
@@ -158,20 +158,20 @@
     """
     while True:
         if serving.time_left() < MIN_SEND_S:
-            raise out_of_time(attempts)
+            raise timeout_refusal(attempts)
         if not attempts.may_try:
-            raise gave_up(attempts)
+            raise exhausted_refusal(attempts)
         try:
             return await attempts.open(body, priority(serving), last_event)
         except NoTarget as error:
-            raise gave_up(attempts) from error
-        except NotTaken:
+            raise exhausted_refusal(attempts) from error
+        except NotRun:
             continue
         except MayHaveRun as error:
-            give_up_unless_repeatable(serving, attempts, error)
+            raise_unless_retryable(serving, attempts, error)
 
 
-def give_up_unless_repeatable(serving: Serving, attempts: Attempts, error: Exception) -> None:
+def raise_unless_retryable(serving: Serving, attempts: Attempts, error: Exception) -> None:
     """Raise the final answer of a call that a target broke off, unless it may be sent again."""
     if serving.route.idempotent and attempts.may_try:
         return
@@ -185,13 +185,13 @@
         try:
             body = await head.connection.read_body(MAX_ANSWER_BYTES)
         except Broken as error:
-            attempts.broke_off(head, error)
-            give_up_unless_repeatable(serving, attempts, error)
+            attempts.record_break(head, error)
+            raise_unless_retryable(serving, attempts, error)
             continue
         finally:
             attempts.close(head.choice, head.connection)
-        attempts.answered(head)
-        attempts.note_error(head)
+        attempts.record_answer(head)
+        attempts.record_error(head)
         status = head.response.status
         check_status(status, head.facts.certified)
         if status < SERVER_ERRORS:
@@ -209,7 +209,7 @@
         raise Refusal(BAD_GATEWAY, f"the target answered {status}")
 
 
-def gave_up(attempts: Attempts) -> Refusal:
+def exhausted_refusal(attempts: Attempts) -> Refusal:
     """Return the final answer of a call that no target took."""
     if attempts.may_have_run:
         return Refusal(BAD_GATEWAY, "the target broke off")
@@ -218,7 +218,7 @@
     return Refusal(UNAVAILABLE, f"not run: {attempts.records[-1].reason}")
 
 
-def out_of_time(attempts: Attempts | None) -> Refusal:
+def timeout_refusal(attempts: Attempts | None) -> Refusal:
     """Return the final answer of a call whose time is over."""
     if attempts is not None and attempts.may_have_run:
         return Refusal(TIMED_OUT, "the time of the request is over")
@@ -235,10 +235,10 @@
     "Serving",
     "Trace",
     "check_status",
-    "give_up_unless_repeatable",
     "is_stream",
     "open_answer",
-    "out_of_time",
+    "raise_unless_retryable",
     "read_call",
     "serve_plain",
+    "timeout_refusal",
 ]
--- a/waxwingglade/ingress/settings.py
+++ b/waxwingglade/ingress/settings.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from waxwingglade.base import ZoneId
-from waxwingglade.ingress.accounts import KeyRules
+from waxwingglade.ingress.accounts import KeyAgeLimits
 
 
 class IngressSettings(msgspec.Struct, frozen=True):
@@ -48,7 +48,7 @@
     drain_wait_s: float = 4.4
     drain_timeout_s: float = 7.4
     retry_after_s: float = 0.1
-    keys: KeyRules = KeyRules()
+    keys: KeyAgeLimits = KeyAgeLimits()
 
 
 __all__ = ["IngressSettings"]
--- a/waxwingglade/ingress/streaming.py
+++ b/waxwingglade/ingress/streaming.py
@@ -11,8 +11,13 @@
 from waxwingglade.ingress.attempt import MAX_ANSWER_BYTES, Attempts, Head, promises_not_run
 from waxwingglade.ingress.balance import Balancer, History
 from waxwingglade.ingress.events import Event, EventSplitter, StreamError
-from waxwingglade.ingress.quota import hold, may_begin_program, over_limit, take_quota
-from waxwingglade.ingress.reach import LedgerLost, Reach, Rotation
+from waxwingglade.ingress.quorum_monitor import QuorumLost, QuorumMonitor, RotationEstimate
+from waxwingglade.ingress.quota import (
+    check_may_begin_program,
+    over_limit,
+    retry_until_granted,
+    take_quota,
+)
 from waxwingglade.ingress.refusal import (
     BAD_GATEWAY,
     BUDGET_SPENT,
@@ -24,8 +29,8 @@
     Priority,
     Serving,
     check_status,
-    give_up_unless_repeatable,
     open_answer,
+    raise_unless_retryable,
 )
 from waxwingglade.ledger.client import LedgerClient
 from waxwingglade.ledger.messages import (
@@ -43,21 +48,21 @@
 from waxwingglade.transport import Broken
 
 OK = 200
-HOPELESS_S = 0.1
+BEGIN_WITHOUT_QUORUM_S = 0.1
 """Seconds that a turn waits to begin while no majority is in reach; a decision takes some 5 ms, and
 a caller that is refused early can go elsewhere."""
 
-BEGIN_S = 0.9
+MIN_BEGIN_TIMEOUT_S = 0.9
 """Seconds for which a turn may always wait to begin, if its caller has them."""
 
-BEGIN_SHARE = 0.5
+BEGIN_TIMEOUT_SHARE = 0.5
 """The same as a share of what the caller has left, so that the rest can do for its answer."""
 
 UNDECIDED_RETRY_S = 1.0
 """Seconds after which a caller may come back with a turn on which the ledger did not decide, though
 its majority is in reach."""
 
-KEEP_LOST_S = 1.0
+STORE_WITHOUT_QUORUM_S = 1.0
 """Seconds that a turn waits to be kept while no majority is in reach; about as long as its caller
 would be sent back to this zone."""
 
@@ -94,38 +99,40 @@
     confirming: asyncio.Task[bool] | None = None
 
 
-class LedgerWay(msgspec.Struct):
+class LedgerAccess(msgspec.Struct):
     """An entry's way to the ledger, and what is known of whether it is open."""
 
     ledger: LedgerClient
-    reach: Reach
-    rotation: Rotation
+    quorum_monitor: QuorumMonitor
+    rotation: RotationEstimate
 
 
 async def serve_stream(
-    serving: Serving, attempts: Attempts, way: LedgerWay, priority: Priority
+    serving: Serving, attempts: Attempts, ledger_access: LedgerAccess, priority: Priority
 ) -> None:
     """Serve a call whose events are passed on as they come."""
-    ledger = way.ledger
-    _admit(serving, attempts.balancer, _begins_a_chain(serving))
+    ledger = ledger_access.ledger
+    _admit(serving, attempts.balancer, _is_first_stored_turn(serving))
     relay = Relay(last_event=serving.call.last_event if serving.route.resumable else None)
-    begun = await _begin_turn(serving, attempts, way)
+    begun = await _begin_turn(serving, attempts, ledger_access)
     prompt = b"".join(turn.asked + turn.answered for turn in begun.chain) + serving.call.body
     ended = False
     try:
-        if _begins_an_account(serving, attempts):
+        if _is_first_counted_turn(serving, attempts):
             _admit(serving, attempts.balancer, is_first=True)
         if begun.granter:
-            relay.confirming = asyncio.create_task(_confirm_turn(serving, way, begun.granter))
+            relay.confirming = asyncio.create_task(
+                _confirm_turn(serving, ledger_access, begun.granter)
+            )
         await _relay_attempts(serving, attempts, relay, prompt, priority)
         if serving.exchange.done:
             return
-        await _end_turn(serving, way, relay)
+        await _end_turn(serving, ledger_access, relay)
         ended = True
     except Refusal as refusal:
         if promises_not_run(refusal.status):
             relay.failed_at = attempts.failed_at
-            await _settle_first(serving, ledger, relay)
+            await _release_before_answer(serving, ledger, relay)
             ended = True
         raise
     finally:
@@ -135,15 +142,15 @@
         # settling one that is settled changes nothing.
         if not ended:
             relay.failed_at = attempts.failed_at
-            _settle(serving, ledger, relay)
+            _release_reservation(serving, ledger, relay)
 
 
-def _begins_a_chain(serving: Serving) -> bool:
+def _is_first_stored_turn(serving: Serving) -> bool:
     """Return whether a turn says itself that its program begins with it."""
     return serving.route.keeps_turns and serving.call.previous_turn is None
 
 
-def _begins_an_account(serving: Serving, attempts: Attempts) -> bool:
+def _is_first_counted_turn(serving: Serving, attempts: Attempts) -> bool:
     """Return whether the ledger has told that no turn of a program has ended yet.
 
     Where turns are not kept, nothing else tells the turn with which a program begins, and a burst
@@ -161,21 +168,25 @@
     patience_s = min(serving.route.patience_s, serving.time_left())
     share = balancer.ranks_of(service.name).up_to(serving.route.rank)
     waiting = Waiting(patience_s, is_first, share)
-    retry_s = retry_after_s(balancer.pace_of(service.name), balancer.engines(service.name), waiting)
+    retry_s = retry_after_s(
+        balancer.speed_of(service.name), balancer.engines(service.name), waiting
+    )
     if retry_s is not None:
         raise Refusal(UNAVAILABLE, "not run: the engines have all that they can do", retry_s)
 
 
-async def _begin_turn(serving: Serving, attempts: Attempts, way: LedgerWay) -> TurnBegun:
+async def _begin_turn(
+    serving: Serving, attempts: Attempts, ledger_access: LedgerAccess
+) -> TurnBegun:
     """Reserve the turn's tokens, and return the turns before it."""
-    call, ledger = serving.call, way.ledger
+    call, ledger = serving.call, ledger_access.ledger
     previous = call.previous_turn if serving.route.keeps_turns else None
     budget = _budget(serving)
     if previous is None and budget is None:
         await take_quota(serving, ledger)
         return TurnBegun()
-    if _begins_a_chain(serving):
-        await may_begin_program(serving, ledger)
+    if _is_first_stored_turn(serving):
+        await check_may_begin_program(serving, ledger)
     message = BeginTurn(
         serving.turn,
         call.program if budget is not None else None,
@@ -183,19 +194,21 @@
         budget or 0,
         previous,
         call.account,
-        _begins_a_chain(serving),
+        _is_first_stored_turn(serving),
         confirms=True,
     )
     asked_at = time.monotonic()
     try:
-        answer = await hold(
-            lambda: way.reach.wait(ledger.begin(message, _begin_s(serving.time_left())), HOPELESS_S)
+        answer = await retry_until_granted(
+            lambda: ledger_access.quorum_monitor.wait(
+                ledger.begin(message, _begin_timeout_s(serving.time_left())), BEGIN_WITHOUT_QUORUM_S
+            )
         )
-    except LedgerLost:
+    except QuorumLost:
         answer = Unavailable("no majority is in reach")
     except asyncio.CancelledError:
         # The ledger may have reserved the tokens, and no other turn could use them any more.
-        _settle_refused(serving, ledger)
+        _release_undecided(serving, ledger)
         raise
     serving.trace.reserved_s = round(time.monotonic() - asked_at, 4)
     if isinstance(answer, TurnBegun):
@@ -211,25 +224,31 @@
     if isinstance(answer, Busy):
         raise Refusal(UNAVAILABLE, "not run: the ledger has too much to do", BUSY_RETRY_S)
     # Its caller's next turn would count this one if all who know of its end were killed.
-    await ledger.noted(_settle_refused(serving, ledger))
+    await ledger.noted(_release_undecided(serving, ledger))
     reason = f"not run: the ledger did not decide: {answer.reason}"
-    retry_s = UNDECIDED_RETRY_S if way.reach.reached else way.rotation.elsewhere_s
+    retry_s = (
+        UNDECIDED_RETRY_S
+        if ledger_access.quorum_monitor.has_quorum
+        else ledger_access.rotation.until_removed_s
+    )
     raise Refusal(UNAVAILABLE, reason, retry_s)
 
 
-def _begin_s(left_s: float) -> float:
+def _begin_timeout_s(left_s: float) -> float:
     """Return the seconds for which a turn waits to begin while a majority is in reach."""
-    return min(left_s, max(BEGIN_S, BEGIN_SHARE * left_s))
+    return min(left_s, max(MIN_BEGIN_TIMEOUT_S, BEGIN_TIMEOUT_SHARE * left_s))
 
 
-async def _confirm_turn(serving: Serving, way: LedgerWay, granter: str) -> bool:
+async def _confirm_turn(serving: Serving, ledger_access: LedgerAccess, granter: str) -> bool:
     """Make the turn's reservation count until it ends; return whether it does."""
     program = serving.call.program
     assert program is not None
     message = ConfirmTurn(serving.turn, program, granter)
     try:
-        return await way.reach.wait(way.ledger.confirm(message, serving.time_left()), KEEP_LOST_S)
-    except LedgerLost:
+        return await ledger_access.quorum_monitor.wait(
+            ledger_access.ledger.confirm(message, serving.time_left()), STORE_WITHOUT_QUORUM_S
+        )
+    except QuorumLost:
         return False
 
 
@@ -237,7 +256,7 @@
     """Return where the turns before ran; None if that is not known."""
     if begun.chain and (target := begun.chain[-1].target) is not None:
         return History(target, begun.failed_at)
-    if _begins_a_chain(serving):
+    if _is_first_stored_turn(serving):
         return History(None, begun.failed_at)
     if serving.route.keeps_turns and begun.target is None:
         return None
@@ -269,14 +288,14 @@
     return EndTurn(serving.turn, program, used, kept, relay.target, relay.failed_at)
 
 
-def _settle(serving: Serving, ledger: LedgerClient, relay: Relay) -> None:
+def _release_reservation(serving: Serving, ledger: LedgerClient, relay: Relay) -> None:
     """Replace the reservation of a turn that did not end whole."""
     message = _end_message(serving, relay, keep=False)
     if message.program is not None:
         ledger.settle_later(message)
 
 
-async def _until_confirmed(serving: Serving, confirming: asyncio.Task[bool]) -> None:
+async def _await_confirmation(serving: Serving, confirming: asyncio.Task[bool]) -> None:
     """Wait until the turn's reservation counts; `Refusal` if it does not."""
     waits_since = time.monotonic()
     confirmed = await confirming
@@ -286,14 +305,14 @@
         raise Refusal(BAD_GATEWAY, "the turn's reservation was not confirmed")
 
 
-async def _settle_first(serving: Serving, ledger: LedgerClient, relay: Relay) -> None:
+async def _release_before_answer(serving: Serving, ledger: LedgerClient, relay: Relay) -> None:
     """Give back the reservation of a turn that was not run, before its caller is told so."""
     message = _end_message(serving, relay, keep=False)
     if message.program is not None:
         await ledger.settle_first(message)
 
 
-def _settle_refused(serving: Serving, ledger: LedgerClient) -> list[asyncio.Task[bool]]:
+def _release_undecided(serving: Serving, ledger: LedgerClient) -> list[asyncio.Task[bool]]:
     """Give back what the ledger may have reserved for a turn that it did not decide on.
 
     Returns what tells the replicas, for `LedgerClient.noted`.
@@ -302,20 +321,22 @@
     return [] if message.program is None else ledger.settle_refused(message)
 
 
-async def _end_turn(serving: Serving, way: LedgerWay, relay: Relay) -> None:
+async def _end_turn(serving: Serving, ledger_access: LedgerAccess, relay: Relay) -> None:
     """End the stream as complete, once the turn is kept."""
     message = _end_message(serving, relay, keep=True)
     if message.kept is None:
         await serving.exchange.end_stream()
         if message.program is not None:
-            way.ledger.settle_later(message)
+            ledger_access.ledger.settle_later(message)
         return
     asked_at = time.monotonic()
     try:
-        kept = await way.reach.wait(way.ledger.end(message, serving.time_left()), KEEP_LOST_S)
-    except LedgerLost:
+        kept = await ledger_access.quorum_monitor.wait(
+            ledger_access.ledger.end(message, serving.time_left()), STORE_WITHOUT_QUORUM_S
+        )
+    except QuorumLost:
         kept = False
-        _settle(serving, way.ledger, relay)
+        _release_reservation(serving, ledger_access.ledger, relay)
     serving.trace.kept_s = round(time.monotonic() - asked_at, 4)
     if not kept:
         serving.trace.reason = "the turn could not be kept"
@@ -333,12 +354,12 @@
         try:
             await _relay_answer(serving, attempts, head, relay)
         except (Broken, StreamError) as error:
-            attempts.broke_off(head, error)
-            give_up_unless_repeatable(serving, attempts, error)
+            attempts.record_break(head, error)
+            raise_unless_retryable(serving, attempts, error)
             continue
         finally:
             attempts.close(head.choice, head.connection)
-        attempts.answered(head)
+        attempts.record_answer(head)
         if head.first_event_s is not None:
             attempts.balancer.turn_ended(
                 head.choice, head.first_event_s, head.record.seconds, relay.events
@@ -350,7 +371,7 @@
     response = head.response
     if response.status != OK:
         body = await head.connection.read_body(MAX_ANSWER_BYTES)
-        attempts.note_error(head)
+        attempts.record_error(head)
         check_status(response.status, head.facts.certified)
         if serving.exchange.answered:
             raise Broken(f"status {response.status} within a stream", sent=True)
@@ -375,7 +396,7 @@
     if head.first_event_s is None:
         head.first_event_s = time.monotonic() - head.sent_at
     if relay.confirming is not None and serving.trace.confirmed_s is None:
-        await _until_confirmed(serving, relay.confirming)
+        await _await_confirmation(serving, relay.confirming)
     if not serving.exchange.answered:
         serving.exchange.begin_stream(head.response.status, head.response.headers)
         serving.trace.first_event_s = round(time.monotonic() - serving.exchange.arrived_at, 4)
@@ -390,4 +411,4 @@
     await serving.exchange.write(event.raw)
 
 
-__all__ = ["LedgerWay", "serve_stream"]
+__all__ = ["LedgerAccess", "serve_stream"]
--- a/waxwingglade/ingress/target_state.py
+++ b/waxwingglade/ingress/target_state.py
@@ -9,16 +9,16 @@
 from waxwingglade.follow.model import Target
 from waxwingglade.ingress.dialect import LoadStamp
 
-LOAD_TRUST_S = 0.5
+LOAD_HALF_LIFE_S = 0.5
 """Seconds in which half of the trust in a reported load is lost; reports lag by 0.2 s."""
 
 SLOWNESS_SMOOTHING = 0.15
-SLOW_FROM = 1.6
+SLOW_RATIO = 1.6
 """How many times slower than the others a target must have been to count as slow; answers of one
 service differ by about as much by themselves."""
 
-MOST_SLOWNESS = 10.0
-REMEMBERED = 4_000
+MAX_SLOWNESS = 10.0
+MAX_CACHED_PARTS = 4_000
 """Prompt parts that are remembered of a target."""
 
 
@@ -34,18 +34,18 @@
     def __init__(self, target: Target, clock: Clock) -> None:
         self.target = target
         self.in_flight = 0
-        self.foreign = 0.0
-        self.stamped_at = float("-inf")
+        self.external_load = 0.0
+        self.load_reported_at = float("-inf")
         self.ejection = Ejection(clock)
         self.unit_s: float | None = None
-        self.held: OrderedDict[str, int] = OrderedDict()
+        self.cached_parts: OrderedDict[str, int] = OrderedDict()
 
     @property
     def slots(self) -> int:
         """Requests that the target runs at once."""
         return max(1, self.target.slots)
 
-    def load(self, now: float, usual_foreign: float = 0.0) -> float:
+    def load(self, now: float, usual_external_load: float = 0.0) -> float:
         """Return the requests believed to be at the target.
 
         Parameters
@@ -56,42 +56,42 @@
             Requests that other entries usually have at a target of its service, for all that is not
             known of this one.
         """
-        trust = 0.5 ** (max(0.0, now - self.stamped_at) / LOAD_TRUST_S)
-        return self.in_flight + trust * self.foreign + (1 - trust) * usual_foreign
+        trust = 0.5 ** (max(0.0, now - self.load_reported_at) / LOAD_HALF_LIFE_S)
+        return self.in_flight + trust * self.external_load + (1 - trust) * usual_external_load
 
-    def report(self, now: float, stamp: LoadStamp) -> None:
+    def record_load(self, now: float, stamp: LoadStamp) -> None:
         """Take in a load that the target reported with an answer."""
         own = max(1, self.in_flight)
-        self.foreign = max(0.0, stamp.running + stamp.waiting - own)
-        self.stamped_at = now
+        self.external_load = max(0.0, stamp.running + stamp.waiting - own)
+        self.load_reported_at = now
 
     def slowness(self, usual_s: float) -> float:
         """Return how many times slower than usual the target is, 1 if it is not clearly slow."""
         if self.unit_s is None or usual_s <= 0:
             return 1.0
-        return min(MOST_SLOWNESS, max(1.0, self.unit_s / usual_s / SLOW_FROM))
+        return min(MAX_SLOWNESS, max(1.0, self.unit_s / usual_s / SLOW_RATIO))
 
-    def learn(self, unit_s: float) -> None:
+    def observe(self, unit_s: float) -> None:
         """Take in how long a unit of work took."""
         before = unit_s if self.unit_s is None else self.unit_s
         self.unit_s = before + SLOWNESS_SMOOTHING * (unit_s - before)
 
-    def as_engine(self, now: float, usual_foreign: float, usual_s: float) -> Engine:
+    def as_engine(self, now: float, usual_external_load: float, usual_s: float) -> Engine:
         """Return the target as an engine at this moment; arguments as of `load` and `slowness`."""
-        return Engine(self.load(now, usual_foreign), self.slots, self.slowness(usual_s))
+        return Engine(self.load(now, usual_external_load), self.slots, self.slowness(usual_s))
 
-    def remember(self, part: str, tokens: int) -> None:
+    def record_prompt_part(self, part: str, tokens: int) -> None:
         """Note that the target has read a part of a prompt."""
-        self.held[part] = tokens
-        self.held.move_to_end(part)
-        while len(self.held) > REMEMBERED:
-            self.held.popitem(last=False)
+        self.cached_parts[part] = tokens
+        self.cached_parts.move_to_end(part)
+        while len(self.cached_parts) > MAX_CACHED_PARTS:
+            self.cached_parts.popitem(last=False)
 
 
-def usual_unit_s(states: Iterable[TargetState]) -> float:
+def median_unit_s(states: Iterable[TargetState]) -> float:
     """Return the median of the targets' seconds for a unit of work, 0 if none is known."""
     known = sorted(state.unit_s for state in states if state.unit_s is not None)
     return known[(len(known) - 1) // 2] if known else 0.0
 
 
-__all__ = ["TargetState", "usual_unit_s"]
+__all__ = ["TargetState", "median_unit_s"]
--- a/waxwingglade/ingress/tests/entry_builders.py
+++ b/waxwingglade/ingress/tests/entry_builders.py
@@ -20,7 +20,7 @@
     View,
 )
 from waxwingglade.follow.store import Store
-from waxwingglade.ingress.accounts import KeyRules
+from waxwingglade.ingress.accounts import KeyAgeLimits
 from waxwingglade.ingress.entry import Ingress
 from waxwingglade.ingress.settings import IngressSettings
 from waxwingglade.ingress.tests.builders import configuration, route, target, targets
@@ -187,7 +187,7 @@
         self.refused: list[ClientAccountId] = []
         self.undecided = False
         self.granter = ""
-        self.lapsed = False
+        self.expired = False
         self.confirmed: list[ConfirmTurn] = []
         self.may_confirm = asyncio.Event()
         self.may_confirm.set()
@@ -231,7 +231,7 @@
         """Confirm a reservation."""
         self.confirmed.append(message)
         await self.may_confirm.wait()
-        return not self.lapsed
+        return not self.expired
 
     async def end(self, message: EndTurn, timeout_s: float) -> bool:
         """Keep a turn."""
@@ -280,7 +280,7 @@
         self,
         *fakes: FakeTarget,
         accounts: tuple[ClientAccount, ...] | None = None,
-        keys: KeyRules = KeyRules(),
+        keys: KeyAgeLimits = KeyAgeLimits(),
         **fields: Any,
     ) -> None:
         self.fakes = fakes
@@ -293,7 +293,7 @@
             self.ingress = Ingress(settings, cast(Store, mock.Mock()), KEYS, DIALECT)
         self.ingress.ledger = cast(LedgerClient, self.ledger)
         self.ingress.follower.quorum_at = float("inf")
-        self.ingress.reach.look()
+        self.ingress.quorum_monitor.check()
         self.address = ""
 
     async def start(self) -> None:
@@ -304,7 +304,7 @@
         self.ingress.callers = self.ingress._listen(self.ingress, "127.0.0.1:0")
         (listening,) = self.ingress.callers._sockets.values()
         self.address = f"127.0.0.1:{listening.getsockname()[1]}"
-        self.ingress.beliefs.merge(
+        self.ingress.cached_view.merge(
             View(
                 configuration=configuration(*self._routes(), accounts=self.accounts),
                 targets=targets(*self._targets()),
--- a/waxwingglade/ingress/tests/test_accounts.py
+++ b/waxwingglade/ingress/tests/test_accounts.py
@@ -10,7 +10,7 @@
 
 from waxwingglade.base.credentials import bearer_token, digest_of
 from waxwingglade.follow.model import ClientAccount, ClientAccountId
-from waxwingglade.ingress.accounts import AccountTable, KeyRules, identify
+from waxwingglade.ingress.accounts import AccountTable, KeyAgeLimits, identify
 from waxwingglade.ingress.refusal import TOO_MANY, UNAUTHORIZED, UNAVAILABLE, Refusal
 from waxwingglade.ingress.tests.builders import NOTES, account, call
 from waxwingglade.ingress.tests.entry_builders import (
@@ -26,7 +26,7 @@
 
 KEY, OTHER_KEY = "k" * 20, "o" * 20
 ACCOUNTS = (account("shop", KEY, rank=3), account("garage", OTHER_KEY))
-RULES = KeyRules(honour_s=5.0, deny_s=2.0, away_s=3.0)
+RULES = KeyAgeLimits(max_accept_age_s=5.0, max_deny_age_s=2.0, not_ready_age_s=3.0)
 BEARER = f"Bearer {KEY}"
 
 
@@ -61,17 +61,17 @@
         return refused.exception.status
 
     def test_a_key_is_honoured_while_the_view_is_new_enough(self) -> None:
-        for age_s in (0.0, RULES.deny_s + 1, RULES.honour_s):
+        for age_s in (0.0, RULES.max_deny_age_s + 1, RULES.max_accept_age_s):
             self.assertEqual("shop", self.identify([BEARER], age_s).name)
 
     def test_a_key_that_may_have_been_taken_away_is_refused_and_not_denied(self) -> None:
-        self.assertEqual(UNAVAILABLE, self.refused([BEARER], RULES.honour_s + 0.01))
+        self.assertEqual(UNAVAILABLE, self.refused([BEARER], RULES.max_accept_age_s + 0.01))
         self.assertEqual(UNAVAILABLE, self.refused([BEARER], float("inf")))
 
     def test_an_unknown_key_is_denied_only_where_it_can_not_have_been_added(self) -> None:
         for credentials in ([], ["Bearer x"], [BEARER, BEARER]):
-            self.assertEqual(UNAUTHORIZED, self.refused(credentials, RULES.deny_s))
-            self.assertEqual(UNAVAILABLE, self.refused(credentials, RULES.deny_s + 0.01))
+            self.assertEqual(UNAUTHORIZED, self.refused(credentials, RULES.max_deny_age_s))
+            self.assertEqual(UNAVAILABLE, self.refused(credentials, RULES.max_deny_age_s + 0.01))
 
     def test_a_key_of_two_accounts_goes_by_the_first(self) -> None:
         request = call()
@@ -144,12 +144,12 @@
         self,
     ) -> None:
         await self.serve(keys=RULES)
-        beliefs = self.entry.ingress.beliefs
+        cached_view = self.entry.ingress.cached_view
         self.assertTrue(self.entry.ingress.ready)
-        beliefs.complete_until = time.monotonic() - RULES.away_s
+        cached_view.complete_until = time.monotonic() - RULES.not_ready_age_s
         self.assertFalse(self.entry.ingress.ready)
         self.assertEqual(200, await self.status((AUTHORIZATION, BEARER)))
-        beliefs.complete_until = time.monotonic() - RULES.honour_s
+        cached_view.complete_until = time.monotonic() - RULES.max_accept_age_s
         self.assertEqual(UNAVAILABLE, await self.status((AUTHORIZATION, BEARER)))
         self.assertEqual(1, len(self.target.heads))
 
--- a/waxwingglade/ingress/tests/test_admission.py
+++ b/waxwingglade/ingress/tests/test_admission.py
@@ -8,10 +8,10 @@
 from waxwingglade.follow.model import CallKind, IncarnationName
 from waxwingglade.ingress.balance import Balancer
 from waxwingglade.ingress.dialect import LoadStamp
-from waxwingglade.ingress.reach import Reach, Rotation
+from waxwingglade.ingress.quorum_monitor import QuorumMonitor, RotationEstimate
 from waxwingglade.ingress.refusal import UNAVAILABLE, Refusal
 from waxwingglade.ingress.serving import Serving, Trace
-from waxwingglade.ingress.streaming import LedgerWay, serve_stream
+from waxwingglade.ingress.streaming import LedgerAccess, serve_stream
 from waxwingglade.ingress.tests.builders import ENGINES, NOTES, call, route, target, targets
 from waxwingglade.ledger.messages import EndTurn, TurnBegun
 
@@ -46,16 +46,16 @@
         serving = Serving(mock.Mock(), made, turns, service, Trace(), end_at)
         attempts = mock.Mock(balancer=self.balancer, history=None, failed_at=None)
         with self.assertRaises(Refusal) as caught:
-            reach = Reach(lambda: True)
-            reach.look()
-            way = LedgerWay(ledger, reach, Rotation())
-            await serve_stream(serving, attempts, way, mock.Mock())
+            quorum_monitor = QuorumMonitor(lambda: True)
+            quorum_monitor.check()
+            ledger_access = LedgerAccess(ledger, quorum_monitor, RotationEstimate())
+            await serve_stream(serving, attempts, ledger_access, mock.Mock())
         return caught.exception
 
     def crowd(self, *waiting: int) -> None:
         """Let the engines report as many waiting requests, beside a full batch."""
         for engine, number in zip(self.engines, waiting, strict=True):
-            self.balancer.heard(engine, LoadStamp(8, number, 8))
+            self.balancer.record_load(engine, LoadStamp(8, number, 8))
 
 
 class Admission(AdmissionCase):
@@ -82,7 +82,7 @@
 
     async def test_one_engine_with_room_is_enough(self) -> None:
         self.crowd(9, 0, 9)
-        self.balancer.heard(self.engines[1], LoadStamp(5, 0, 8))
+        self.balancer.record_load(self.engines[1], LoadStamp(5, 0, 8))
         self.assertTrue((await self.serve())[1])
 
     async def test_calls_of_other_services_are_not_refused(self) -> None:
--- a/waxwingglade/ingress/tests/test_caller_gone.py
+++ b/waxwingglade/ingress/tests/test_caller_gone.py
@@ -29,10 +29,10 @@
 )
 from waxwingglade.transport import pool
 
-GONE_S = 0.5
+DISCONNECT_TIMEOUT_S = 0.5
 """Seconds after which no work may be left for a caller that has closed its connection."""
 
-PATIENCE_S = 5.0
+WAIT_LIMIT_S = 5.0
 
 
 class CallerGoneTest(unittest.IsolatedAsyncioTestCase):
@@ -46,14 +46,14 @@
     async def leave_when(self, entry: EntryUnderTest, path: str, condition: Any) -> None:
         """Send a request, and close the connection once a condition holds."""
         connection = await entry.send(path)
-        self.assertTrue(await until(condition, PATIENCE_S), "the state was not reached")
+        self.assertTrue(await until(condition, WAIT_LIMIT_S), "the state was not reached")
         connection.close()
 
     async def expect_end(self, entry: EntryUnderTest, *fakes: FakeTarget) -> None:
         """Check that within half a second nothing is left of the request."""
-        ended = await until(lambda: not entry.ingress.running, GONE_S)
+        ended = await until(lambda: not entry.ingress.running, DISCONNECT_TIMEOUT_S)
         self.assertTrue(ended, "the entry still serves the request")
-        closed = await until(lambda: not any(fake.open for fake in fakes), GONE_S)
+        closed = await until(lambda: not any(fake.open for fake in fakes), DISCONNECT_TIMEOUT_S)
         self.assertTrue(closed, "a target still works on it")
 
     async def test_while_a_target_has_not_answered(self) -> None:
@@ -147,7 +147,7 @@
     async def test_nothing_is_kept_of_a_connection_that_was_closed(self) -> None:
         entry = await self.begin(FakeTarget())
         await entry.call(PLAIN, "r1")
-        forgotten = await until(lambda: not entry.ingress.open_exchanges, GONE_S)
+        forgotten = await until(lambda: not entry.ingress.open_exchanges, DISCONNECT_TIMEOUT_S)
         self.assertTrue(forgotten, "the entry still holds the connection")
 
     async def test_the_next_request_of_a_connection_is_served(self) -> None:
--- a/waxwingglade/ingress/tests/test_choices.py
+++ b/waxwingglade/ingress/tests/test_choices.py
@@ -71,8 +71,8 @@
     def test_leaving_tried_and_gone_targets_are_left_out(self) -> None:
         self.balancer.update(targets(target("a"), target("b", leaving=True), target("c")))
         self.assertEqual(self.balancer.choose(NOTES, call(), ["a"]).target.target, "c")
-        gone = self.balancer.update(targets(target("a"), revision=2))
-        self.assertEqual({one.target for one in gone}, {"b", "c"})
+        removed = self.balancer.update(targets(target("a"), revision=2))
+        self.assertEqual({one.target for one in removed}, {"b", "c"})
         self.assertIsNone(self.balancer.choose(NOTES, call(), ["a"]))
 
     def test_own_sends_count_at_once_and_reports_fade(self) -> None:
@@ -82,7 +82,7 @@
             self.balancer.sent(choice.target, call())
         loads = [state.in_flight for state in self.balancer.states.values()]
         self.assertEqual(loads, [5, 5])
-        self.balancer.heard(target("a"), LoadStamp(8, 10, 8))
+        self.balancer.record_load(target("a"), LoadStamp(8, 10, 8))
         self.assertEqual(self.balancer.choose(NOTES, call(), []).target.target, "b")
         state = self.balancer.states[TargetId("a")]
         busy = state.load(self.now)
@@ -94,11 +94,11 @@
         self.balancer.update(targets(target("a"), target("b"), target("c")))
         for _ in range(60):
             for name in ("a", "b"):
-                self.balancer.heard(target(name), LoadStamp(7, 0, 8))
-        unheard = self.balancer.states[TargetId("c")]
-        usual = self.balancer.usual_foreign[ServiceName("notes")]
-        self.assertAlmostEqual(unheard.load(self.now, usual), 6.0, delta=0.5)
-        self.balancer.heard(target("b"), LoadStamp(1, 0, 8))
+                self.balancer.record_load(target(name), LoadStamp(7, 0, 8))
+        unreported = self.balancer.states[TargetId("c")]
+        usual = self.balancer.usual_external_load[ServiceName("notes")]
+        self.assertAlmostEqual(unreported.load(self.now, usual), 6.0, delta=0.5)
+        self.balancer.record_load(target("b"), LoadStamp(1, 0, 8))
         self.assertEqual(self.balancer.choose(NOTES, call(), []).target.target, "b")
 
     def test_a_target_that_fails_again_is_spared_for_a_while(self) -> None:
@@ -129,7 +129,7 @@
         self.balancer.update(targets(target("a"), target("b", zone="zone-b")))
         chosen = {self.balancer.choose(NOTES, call(str(n)), []).target.target for n in range(20)}
         self.assertEqual(chosen, {"a"})
-        self.balancer.heard(target("a"), LoadStamp(8, 6, 8))
+        self.balancer.record_load(target("a"), LoadStamp(8, 6, 8))
         self.assertEqual(self.balancer.choose(NOTES, call(), []).target.target, "b")
 
     def test_a_slow_target_gets_less(self) -> None:
@@ -147,7 +147,7 @@
         first = self.balancer.choose(ENGINES, turn, []).target
         self.balancer.sent(first, turn)
         self.assertEqual(self.balancer.choose(ENGINES, turn, []).target, first)
-        self.balancer.heard(first, LoadStamp(4, 20, 4))
+        self.balancer.record_load(first, LoadStamp(4, 20, 4))
         self.assertNotEqual(self.balancer.choose(ENGINES, turn, []).target, first)
 
     def test_a_turn_goes_where_the_one_before_ran_whoever_sent_that(self) -> None:
@@ -197,26 +197,28 @@
     def start_again(self) -> list[str]:
         """Register the first target anew; return the names of those that are gone."""
         again = target("e0", "engines", started_ms=2)
-        gone = self.balancer.update(targets(again, self.other, revision=2))
-        return [one.target for one in gone]
+        removed = self.balancer.update(targets(again, self.other, revision=2))
+        return [one.target for one in removed]
 
     def test_what_it_held_and_its_load_are_forgotten(self) -> None:
         self.balancer.sent(self.before, self.turn)
-        self.balancer.heard(self.before, LoadStamp(8, 30, 8))
+        self.balancer.record_load(self.before, LoadStamp(8, 30, 8))
         self.balancer.succeeded(self.before, 9.0)
         self.assertEqual(self.start_again(), ["e0"], "its connections are to be forgotten too")
         state = self.balancer.states[TargetId("e0")]
-        self.assertEqual((state.load(self.now), state.unit_s, dict(state.held)), (0, None, {}))
+        self.assertEqual(
+            (state.load(self.now), state.unit_s, dict(state.cached_parts)), (0, None, {})
+        )
 
     def test_what_the_ledger_says_of_its_earlier_start_is_not_believed_of_it(self) -> None:
         """It has to read a history that it held, and is asked again though it failed a turn."""
         name = self.before.incarnation
         self.balancer.sent(self.other, self.turn)
         held = self.balancer.choose(ENGINES, self.turn, [], History(name))
-        self.assertEqual((held.target.target, held.read_tokens), ("e0", 0))
+        self.assertEqual((held.target.target, held.prefill_tokens), ("e0", 0))
         self.start_again()
         again = self.balancer.choose(ENGINES, self.turn, ["e1"], History(name))
-        self.assertEqual((again.target.target, again.read_tokens), ("e0", 10_000))
+        self.assertEqual((again.target.target, again.prefill_tokens), ("e0", 10_000))
         for _ in range(3):
             self.balancer.sent(self.other, self.turn)
         chosen = self.balancer.choose(ENGINES, call("r2", "q", ("s", "o")), [], History(None, name))
@@ -234,9 +236,11 @@
         self.start_again()
         self.balancer.ended(self.before)
         self.balancer.failed(self.before)
-        self.balancer.heard(self.before, LoadStamp(8, 30, 8))
+        self.balancer.record_load(self.before, LoadStamp(8, 30, 8))
         state = self.balancer.states[TargetId("e0")]
-        self.assertEqual((state.in_flight, state.ejection.failures, state.foreign), (0, 0, 0.0))
+        self.assertEqual(
+            (state.in_flight, state.ejection.failures, state.external_load), (0, 0, 0.0)
+        )
 
     def test_one_that_only_gives_signs_of_life_is_the_same(self) -> None:
         self.balancer.sent(self.before, self.turn)
--- a/waxwingglade/ingress/tests/test_confirmation.py
+++ b/waxwingglade/ingress/tests/test_confirmation.py
@@ -39,7 +39,7 @@
         self.assertEqual("disk-1", confirmed.granter)
 
     async def test_a_turn_whose_reservation_has_lapsed_is_not_answered_with_tokens(self) -> None:
-        self.ledger.lapsed = True
+        self.ledger.expired = True
         status, _ = await self.entry.call(TURNS, "r1")
         self.assertEqual(BAD_GATEWAY, status, "the target may have run it")
         (settled,) = self.ledger.settled
--- a/waxwingglade/ingress/tests/test_drain.py
+++ b/waxwingglade/ingress/tests/test_drain.py
@@ -24,13 +24,13 @@
 TIMEOUT_S = 1.5
 """Seconds after which it ends."""
 
-PATIENCE_S = 5.0
+WAIT_LIMIT_S = 5.0
 
 
 class DrainTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.target = FakeTarget(Behaviour.EVENT_AND_END)
-        self.entry = EntryUnderTest(self.target, timeout_s=PATIENCE_S)
+        self.entry = EntryUnderTest(self.target, timeout_s=WAIT_LIMIT_S)
         self.addAsyncCleanup(self.entry.stop)
         self.entry.ingress.settings = msgspec.structs.replace(
             self.entry.ingress.settings, drain_wait_s=WAIT_S, drain_timeout_s=TIMEOUT_S
@@ -55,7 +55,7 @@
         headers = [("Host", HOST), ("X-Waxwingglade-Request-Id", "r2")]
         with self.assertRaises((Broken, OSError)):
             connection.send(HttpRequest("POST", PLAIN, headers, b"body"))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 await connection.read_head(lambda _: True)
 
     async def test_a_stream_from_before_the_stop_ends_whole_and_is_the_last(self) -> None:
@@ -71,8 +71,8 @@
 
     async def test_a_connection_that_is_accepted_last_takes_no_request(self) -> None:
         self.target.behaviour = Behaviour.ANSWER
-        self.entry.ingress.taking = False
-        connection = await open_connection(self.entry.address, PATIENCE_S)
+        self.entry.ingress.accepts_requests = False
+        connection = await open_connection(self.entry.address, WAIT_LIMIT_S)
         self.addCleanup(connection.close)
         await self.ask_again(connection)
         self.assertEqual(self.target.arrived, [])
@@ -89,11 +89,11 @@
         await draining
 
     async def test_all_connections_are_closed_when_nothing_is_under_way(self) -> None:
-        idle = await open_connection(self.entry.address, PATIENCE_S)
+        idle = await open_connection(self.entry.address, WAIT_LIMIT_S)
         self.addCleanup(idle.close)
-        self.assertTrue(await until(lambda: self.entry.ingress.open_exchanges, PATIENCE_S))
+        self.assertTrue(await until(lambda: self.entry.ingress.open_exchanges, WAIT_LIMIT_S))
         await self.drain()
-        self.assertTrue(await until(lambda: not self.entry.ingress.open_exchanges, PATIENCE_S))
+        self.assertTrue(await until(lambda: not self.entry.ingress.open_exchanges, WAIT_LIMIT_S))
 
 
 class DrainOnDaemonLoopTest(OnDaemonLoop, DrainTest):
--- a/waxwingglade/ingress/tests/test_exchange.py
+++ b/waxwingglade/ingress/tests/test_exchange.py
@@ -40,4 +40,4 @@
         self.connection.stream.closed.return_value = True
         self._read()
         self.assertEqual(self.served, [])
-        self.assertTrue(self.exchange.gone)
+        self.assertTrue(self.exchange.disconnected)
--- a/waxwingglade/ingress/tests/test_limits.py
+++ b/waxwingglade/ingress/tests/test_limits.py
@@ -24,33 +24,33 @@
 SHORT_S, LONG_S = 0.4, 10.0
 """Seconds for which a connection may be idle."""
 
-PATIENCE_S = 5.0
+WAIT_LIMIT_S = 5.0
 
 
 class LimitsTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.fake = FakeTarget()
-        self.entry = EntryUnderTest(self.fake, timeout_s=PATIENCE_S)
+        self.entry = EntryUnderTest(self.fake, timeout_s=WAIT_LIMIT_S)
         self.addAsyncCleanup(self.entry.stop)
         await self.entry.start()
         # With a source to follow it does not turn to the store.
         self.entry.ingress.follower.good = True
-        looking = asyncio.create_task(self.entry.ingress._look_forever())
-        self.addCleanup(looking.cancel)
+        checking = asyncio.create_task(self.entry.ingress._check_forever())
+        self.addCleanup(checking.cancel)
 
     def put(self, **limits: float) -> None:
         """Let a new version of the configuration come into force, with other limits."""
-        beliefs = self.entry.ingress.beliefs
-        before = beliefs.view.configuration
+        cached_view = self.entry.ingress.cached_view
+        before = cached_view.view.configuration
         assert before is not None
         configuration = msgspec.structs.replace(
             before, version=ConfigVersion(before.version + 1), limits=ClientLimits(**limits)
         )
-        beliefs.merge(View(configuration=configuration), time.monotonic())
+        cached_view.merge(View(configuration=configuration), time.monotonic())
 
     async def connect(self) -> Http1Connection:
         """Open a connection."""
-        connection = await open_connection(self.entry.address, PATIENCE_S)
+        connection = await open_connection(self.entry.address, WAIT_LIMIT_S)
         self.addCleanup(connection.close)
         return connection
 
@@ -78,20 +78,20 @@
 
     async def test_a_kept_connection_may_be_idle_for_as_long_as_is_allowed_now(self) -> None:
         self.put(idle_timeout_s=SHORT_S)
-        kept, idle = await self.connect(), await self.connect()
-        self.assertEqual(await self.ask(kept, 10), 200)
+        reused, idle = await self.connect(), await self.connect()
+        self.assertEqual(await self.ask(reused, 10), 200)
         self.put(idle_timeout_s=LONG_S)
         await asyncio.sleep(2 * SHORT_S)
-        for connection in (kept, idle):
+        for connection in (reused, idle):
             self.assertEqual(await self.ask(connection, 10), 200)
 
     async def test_a_connection_that_is_idle_for_longer_than_is_allowed_now_is_closed(self) -> None:
         self.put(idle_timeout_s=LONG_S)
-        kept, idle = await self.connect(), await self.connect()
-        self.assertEqual(await self.ask(kept, 10), 200)
+        reused, idle = await self.connect(), await self.connect()
+        self.assertEqual(await self.ask(reused, 10), 200)
         self.put(idle_timeout_s=SHORT_S)
-        self.assertTrue(await until(lambda: not self.entry.ingress.open_exchanges, PATIENCE_S))
-        self.assertFalse(kept.usable)
+        self.assertTrue(await until(lambda: not self.entry.ingress.open_exchanges, WAIT_LIMIT_S))
+        self.assertFalse(reused.usable)
         self.assertFalse(idle.usable)
 
     async def test_a_request_that_takes_longer_than_a_connection_may_be_idle_is_served(
--- a/waxwingglade/ingress/tests/test_patience.py
+++ b/waxwingglade/ingress/tests/test_patience.py
@@ -21,7 +21,7 @@
 
     def __init__(self, errors: list[Broken]) -> None:
         self.errors = errors
-        self.patiences: list[Patience] = []
+        self.wait_limits: list[Patience] = []
 
     async def take(self, _address: str) -> Any:
         """Return a connection whose request fails with the next error."""
@@ -29,7 +29,7 @@
 
     def watch(self, _connection: Any, patience: Patience) -> None:
         """Note how long a connection may be silent."""
-        self.patiences.append(patience)
+        self.wait_limits.append(patience)
 
     def give_back(self, *_: Any) -> None:
         """Take a connection back."""
@@ -46,7 +46,7 @@
             rank=0,
         )
         balancer = mock.Mock(clock=lambda: 0.0)
-        balancer.choose.return_value = mock.Mock(load=0.0, load_age_s=0.0, read_tokens=0)
+        balancer.choose.return_value = mock.Mock(load=0.0, load_age_s=0.0, prefill_tokens=0)
         pool: Any = Answers(errors)
         attempts = Attempts(
             mock.Mock(), pool, balancer, mock.Mock(), mock.Mock(), route, lambda: 4.0
@@ -54,7 +54,7 @@
         while errors:
             with self.assertRaises(MayHaveRun):
                 await attempts.open(b"", None, None)
-        return [patience.end_s is not None for patience in pool.patiences]
+        return [patience.end_s is not None for patience in pool.wait_limits]
 
     async def test_the_last_sending_after_a_silence_is_waited_for(self) -> None:
         """Guards against a 502 from a slow target while its caller has time left."""
--- a/waxwingglade/ingress/tests/test_reach.py
+++ b/waxwingglade/ingress/tests/test_reach.py
@@ -9,8 +9,19 @@
 import time
 import unittest
 
-from waxwingglade.ingress.reach import MISSES, MOVE_S, SOON_S, LedgerLost, Reach, Rotation
-from waxwingglade.ingress.streaming import HOPELESS_S, KEEP_LOST_S, UNDECIDED_RETRY_S
+from waxwingglade.ingress.quorum_monitor import (
+    MIN_RETRY_AFTER_S,
+    REMOVAL_DELAY_S,
+    UNHEALTHY_THRESHOLD,
+    QuorumLost,
+    QuorumMonitor,
+    RotationEstimate,
+)
+from waxwingglade.ingress.streaming import (
+    BEGIN_WITHOUT_QUORUM_S,
+    STORE_WITHOUT_QUORUM_S,
+    UNDECIDED_RETRY_S,
+)
 from waxwingglade.ingress.tests.entry_builders import (
     TURNS,
     Behaviour,
@@ -27,83 +38,83 @@
 class RotationTest(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 100.0
-        self.rotation = Rotation(lambda: self.now)
+        self.rotation = RotationEstimate(lambda: self.now)
 
     def test_callers_go_elsewhere_after_two_bad_answers_a_second_apart(self) -> None:
-        self.rotation.note(True)
+        self.rotation.record(True)
         self.now += 0.4
-        self.assertAlmostEqual(1.6 + MOVE_S, self.rotation.elsewhere_s)
+        self.assertAlmostEqual(1.6 + REMOVAL_DELAY_S, self.rotation.until_removed_s)
         self.now += 0.6
-        self.rotation.note(False)
-        self.assertAlmostEqual(1.0 + MOVE_S, self.rotation.elsewhere_s)
+        self.rotation.record(False)
+        self.assertAlmostEqual(1.0 + REMOVAL_DELAY_S, self.rotation.until_removed_s)
         self.now += 1.0
-        self.rotation.note(False)
-        self.assertAlmostEqual(MOVE_S, self.rotation.elsewhere_s)
+        self.rotation.record(False)
+        self.assertAlmostEqual(REMOVAL_DELAY_S, self.rotation.until_removed_s)
         self.now += 1.0
-        self.rotation.note(False)
-        self.assertAlmostEqual(SOON_S, self.rotation.elsewhere_s)
+        self.rotation.record(False)
+        self.assertAlmostEqual(MIN_RETRY_AFTER_S, self.rotation.until_removed_s)
 
     def test_a_good_answer_in_between_begins_anew(self) -> None:
         for ready in (False, True):
-            self.rotation.note(ready)
-        self.assertAlmostEqual(MISSES + MOVE_S, self.rotation.elsewhere_s)
+            self.rotation.record(ready)
+        self.assertAlmostEqual(UNHEALTHY_THRESHOLD + REMOVAL_DELAY_S, self.rotation.until_removed_s)
 
     def test_before_it_was_asked_it_is_taken_to_be_asked_soon(self) -> None:
-        self.assertLessEqual(self.rotation.elsewhere_s, MISSES + MOVE_S)
+        self.assertLessEqual(self.rotation.until_removed_s, UNHEALTHY_THRESHOLD + REMOVAL_DELAY_S)
 
 
 class ReachTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.reaches = True
-        self.reach = Reach(lambda: self.reaches)
-        self.reach.look()
+        self.is_reachable = True
+        self.quorum_monitor = QuorumMonitor(lambda: self.is_reachable)
+        self.quorum_monitor.check()
 
     def lose(self, lost: bool = True) -> None:
-        self.reaches = not lost
-        self.reach.look()
+        self.is_reachable = not lost
+        self.quorum_monitor.check()
 
     async def test_while_the_majority_is_in_reach_it_waits(self) -> None:
-        self.assertEqual("kept", await self.reach.wait(asyncio.sleep(0.2, "kept"), 0.01))
+        self.assertEqual("kept", await self.quorum_monitor.wait(asyncio.sleep(0.2, "kept"), 0.01))
 
     async def test_a_majority_that_is_lost_while_it_waits_ends_it(self) -> None:
         asyncio.get_running_loop().call_later(0.1, self.lose)
         began_at = time.monotonic()
-        with self.assertRaises(LedgerLost):
-            await self.reach.wait(asyncio.sleep(5.0), 0.1)
+        with self.assertRaises(QuorumLost):
+            await self.quorum_monitor.wait(asyncio.sleep(5.0), 0.1)
         self.assertLess(time.monotonic() - began_at, 0.2 + SLACK_S)
-        self.assertEqual({}, self.reach.waiting)
+        self.assertEqual({}, self.quorum_monitor.wait_limits)
 
     async def test_a_majority_that_comes_back_is_waited_for(self) -> None:
         self.lose()
         asyncio.get_running_loop().call_later(0.05, self.lose, False)
-        self.assertEqual("kept", await self.reach.wait(asyncio.sleep(0.4, "kept"), 0.2))
+        self.assertEqual("kept", await self.quorum_monitor.wait(asyncio.sleep(0.4, "kept"), 0.2))
 
     async def test_a_wait_that_is_ending_does_not_end_the_looks(self) -> None:
         """Guards against an entry that looks at its quorum no more, for good."""
-        looks: list[bool] = []
+        checks: list[bool] = []
 
         async def asking() -> None:
             try:
                 await asyncio.sleep(20.0)
             finally:
-                self.reaches = True
-                looks.append(self.reach.look())
+                self.is_reachable = True
+                checks.append(self.quorum_monitor.check())
 
-        self.reaches = False
-        self.reach.look()
-        with self.assertRaises(LedgerLost):
-            await self.reach.wait(asking(), 0.01)
-        self.assertEqual([True], looks)
+        self.is_reachable = False
+        self.quorum_monitor.check()
+        with self.assertRaises(QuorumLost):
+            await self.quorum_monitor.wait(asking(), 0.01)
+        self.assertEqual([True], checks)
 
     async def test_an_error_of_what_was_asked_is_its_own(self) -> None:
         async def fails() -> None:
             raise TimeoutError("its own")
 
         with self.assertRaisesRegex(TimeoutError, "its own"):
-            await self.reach.wait(fails(), 1.0)
+            await self.quorum_monitor.wait(fails(), 1.0)
 
 
-class CutTest(unittest.IsolatedAsyncioTestCase):
+class PartitionTest(unittest.IsolatedAsyncioTestCase):
     """An entry whose turn an engine has run whole when its zone is cut off."""
 
     async def asyncSetUp(self) -> None:
@@ -111,33 +122,33 @@
         self.addAsyncCleanup(self.entry.stop)
         await self.entry.start()
 
-    def cut_off(self) -> None:
+    def partition(self) -> None:
         self.entry.ingress.follower.quorum_at = float("-inf")
-        self.entry.ingress.reach.look()
+        self.entry.ingress.quorum_monitor.check()
 
     async def test_a_turn_that_can_not_be_kept_is_broken_off_while_there_is_time(self) -> None:
         self.entry.ledger.may_end.clear()
         began_at = time.monotonic()
         call = asyncio.create_task(self.entry.call(TURNS, "r1"))
         self.assertTrue(await until(lambda: self.entry.ledger.ended, 1.0))
-        self.cut_off()
+        self.partition()
         with self.assertRaises(Broken):
             await call
-        self.assertLess(time.monotonic() - began_at, KEEP_LOST_S + SLACK_S)
+        self.assertLess(time.monotonic() - began_at, STORE_WITHOUT_QUORUM_S + SLACK_S)
         self.assertTrue(self.entry.ledger.settled)
 
     async def test_a_turn_that_waits_to_begin_is_refused_with_when_to_come_back(self) -> None:
         self.entry.ledger.may_begin.clear()
-        self.entry.ingress.rotation.note(False)
+        self.entry.ingress.rotation.record(False)
         began_at = time.monotonic()
         connection = await self.entry.send(TURNS)
         self.addCleanup(connection.close)
         self.assertTrue(await until(lambda: self.entry.ledger.begun, 1.0))
-        self.cut_off()
+        self.partition()
         head = await connection.read_head(lambda _: True)
-        self.assertLess(time.monotonic() - began_at, HOPELESS_S + SLACK_S)
+        self.assertLess(time.monotonic() - began_at, BEGIN_WITHOUT_QUORUM_S + SLACK_S)
         self.assertEqual(503, head.status)
-        self.assertLessEqual(float(head.header("Retry-After") or 0.0), 1.0 + MOVE_S)
+        self.assertLessEqual(float(head.header("Retry-After") or 0.0), 1.0 + REMOVAL_DELAY_S)
 
     async def test_a_ledger_that_does_not_decide_in_reach_is_asked_again_after_a_while(
         self,
@@ -146,14 +157,14 @@
         connection = await self.entry.send(TURNS)
         self.addCleanup(connection.close)
         head = await connection.read_head(lambda _: True)
-        told = float(head.header("Retry-After") or 0.0)
-        self.assertEqual((503, UNDECIDED_RETRY_S), (head.status, told))
+        retry_after_s = float(head.header("Retry-After") or 0.0)
+        self.assertEqual((503, UNDECIDED_RETRY_S), (head.status, retry_after_s))
 
     async def test_a_ledger_that_is_slow_and_in_reach_is_waited_for(self) -> None:
         self.entry.ledger.may_end.clear()
         call = asyncio.create_task(self.entry.call(TURNS, "r1"))
         self.assertTrue(await until(lambda: self.entry.ledger.ended, 1.0))
-        await asyncio.sleep(2 * KEEP_LOST_S)
+        await asyncio.sleep(2 * STORE_WITHOUT_QUORUM_S)
         self.entry.ledger.may_end.set()
         status, _ = await call
         self.assertEqual(200, status)
--- a/waxwingglade/ingress/tests/test_request_log.py
+++ b/waxwingglade/ingress/tests/test_request_log.py
@@ -25,7 +25,7 @@
         exchange = mock.Mock(status=status)
         made = call("request-2", program="program-1")
         made.previous_turn = TurnId("request-1")
-        self.log.note(exchange, Trace(made, version=7, route="turns", reason=reason), 0.25)
+        self.log.record(exchange, Trace(made, version=7, route="turns", reason=reason), 0.25)
         return self.lines[-1]
 
     def test_a_line_tells_what_decided_and_what_was_continued(self) -> None:
--- a/waxwingglade/ingress/tests/test_slow_reader.py
+++ b/waxwingglade/ingress/tests/test_slow_reader.py
@@ -16,10 +16,10 @@
 )
 
 LAST_CHUNK = b"0\r\n\r\n"
-FULL_S = 0.1
+BLOCKED_S = 0.1
 """Seconds for which the kernel takes nothing more."""
 
-PATIENCE_S = 5.0
+WAIT_LIMIT_S = 5.0
 
 
 class FullBuffer:
@@ -35,28 +35,28 @@
         self.before = before
         self.write = IOStream.write_to_fd
         self.waited = False
-        self.room = asyncio.Event()
+        self.free = asyncio.Event()
 
     def __call__(self, stream: IOStream, data: memoryview) -> int:
         """Write what there is room for."""
         if not self.waited and bytes(data).endswith(self.before):
             self.waited = True
-            asyncio.get_running_loop().call_later(FULL_S, self.room.set)
-        if self.waited and not self.room.is_set():
+            asyncio.get_running_loop().call_later(BLOCKED_S, self.free.set)
+        if self.waited and not self.free.is_set():
             raise BlockingIOError
         return self.write(stream, data)
 
 
 class SlowReaderTest(unittest.IsolatedAsyncioTestCase):
-    async def expect_whole(self, behaviour: Behaviour, path: str, before: bytes) -> None:
+    async def expect_complete(self, behaviour: Behaviour, path: str, before: bytes) -> None:
         """Let the buffer be full before some bytes, and check that a whole answer comes."""
         full = FullBuffer(before)
-        entry = EntryUnderTest(FakeTarget(behaviour), timeout_s=PATIENCE_S)
+        entry = EntryUnderTest(FakeTarget(behaviour), timeout_s=WAIT_LIMIT_S)
         self.addAsyncCleanup(entry.stop)
         await entry.start()
         entry.ingress.draining = True
         with mock.patch.object(IOStream, "write_to_fd", autospec=True, side_effect=full):
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 connection = await entry.send(path)
                 self.addCleanup(connection.close)
                 head = await connection.read_head(lambda _: True)
@@ -65,13 +65,13 @@
         self.assertTrue(full.waited)
 
     async def test_the_end_of_a_stream(self) -> None:
-        await self.expect_whole(Behaviour.EVENTS, TURNS, LAST_CHUNK)
+        await self.expect_complete(Behaviour.EVENTS, TURNS, LAST_CHUNK)
 
     async def test_a_stream_from_its_head_on(self) -> None:
-        await self.expect_whole(Behaviour.EVENTS, TURNS, b"\r\n\r\n")
+        await self.expect_complete(Behaviour.EVENTS, TURNS, b"\r\n\r\n")
 
     async def test_a_plain_answer(self) -> None:
-        await self.expect_whole(Behaviour.ANSWER, PLAIN, b"ok")
+        await self.expect_complete(Behaviour.ANSWER, PLAIN, b"ok")
 
 
 class SlowReaderOnDaemonLoopTest(OnDaemonLoop, SlowReaderTest):
--- a/waxwingglade/platform/process.py
+++ b/waxwingglade/platform/process.py
@@ -13,7 +13,7 @@
 from waxwingglade.base.logs import start_logs
 from waxwingglade.base.tasks import run_detached
 from waxwingglade.follow.watcher import Keys
-from waxwingglade.ingress.accounts import KeyRules
+from waxwingglade.ingress.accounts import KeyAgeLimits
 from waxwingglade.platform import registry
 from waxwingglade.platform.headers import DIALECT
 from waxwingglade.platform.settings import (
@@ -68,13 +68,13 @@
     gc.enable()
 
 
-def key_rules(bounds: Bounds) -> KeyRules:
+def key_rules(bounds: Bounds) -> KeyAgeLimits:
     """Return how old the view may be under which callers' keys are judged."""
     deny_s = bounds.config_apply_ms / 1000
     if not bounds.strict_revoke:
-        return KeyRules(deny_s=deny_s)
+        return KeyAgeLimits(max_deny_age_s=deny_s)
     revoke_s = bounds.revoke_ms / 1000
-    return KeyRules(revoke_s, min(deny_s, revoke_s), AWAY_SHARE * revoke_s)
+    return KeyAgeLimits(revoke_s, min(deny_s, revoke_s), AWAY_SHARE * revoke_s)
 
 
 async def run_entry(settings: NodeSettings, stop: asyncio.Event) -> None:
--- a/waxwingglade/platform/tests/test_wire.py
+++ b/waxwingglade/platform/tests/test_wire.py
@@ -12,7 +12,7 @@
 from waxwingglade.base import FormatError, SettingsError
 from waxwingglade.base.credentials import digest_of
 from waxwingglade.follow.model import CallKind, ClientAccount, ClientAccountId, Share
-from waxwingglade.ingress.accounts import KeyRules
+from waxwingglade.ingress.accounts import KeyAgeLimits
 from waxwingglade.ingress.dialect import PromptPart, Send
 from waxwingglade.platform.headers import read_answer, read_call, target_headers
 from waxwingglade.platform.process import key_rules
@@ -224,8 +224,8 @@
 class KeyRulesTest(unittest.TestCase):
     def test_ages_follow_from_the_settings(self) -> None:
         strict = key_rules(Bounds(config_apply_ms=3000, strict_revoke=True, revoke_ms=5000))
-        self.assertEqual(KeyRules(5.0, 3.0, 3.0), strict)
-        self.assertEqual(KeyRules(deny_s=3.0), key_rules(Bounds(config_apply_ms=3000)))
+        self.assertEqual(KeyAgeLimits(5.0, 3.0, 3.0), strict)
+        self.assertEqual(KeyAgeLimits(max_deny_age_s=3.0), key_rules(Bounds(config_apply_ms=3000)))
 
 
 class SettingsTest(unittest.TestCase):
