--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -3,7 +3,7 @@
 import time
 
 from waxwingglade.base import ProgramId, TargetId, ZoneId
-from waxwingglade.decisions.admission import Waiting, retry_after_s
+from waxwingglade.decisions.admission import AdmissionRequest, retry_after_s
 from waxwingglade.follow.model import (
     EngineTraits,
     IncarnationName,
@@ -51,7 +51,7 @@
     began_at = time.process_time()
     for call in calls:
         pace = balancer.speed_of(ENGINES.name)
-        retry_after_s(pace, balancer.engines(ENGINES.name), Waiting(patience_s=2.0))
+        retry_after_s(pace, balancer.engines(ENGINES.name), AdmissionRequest(wait_limit_s=2.0))
         choice = balancer.choose(ENGINES, call, (), history)
         assert choice is not None
         balancer.sent(choice.target, call)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -137,7 +137,7 @@
 
     def leave(self, view: TargetView) -> None:
         """Free a place and use it."""
-        view.note_in_flight(self.table.clock(), -1)
+        view.record_in_flight(self.table.clock(), -1)
         self.pump()
 
     def report_load(self, target: TargetId, report: LoadReport) -> None:
@@ -161,7 +161,7 @@
                 full.add(key)
                 kept.append((work, picked, future))
                 continue
-            view.note_in_flight(self.table.clock(), 1)
+            view.record_in_flight(self.table.clock(), 1)
             future.set_result(BaselineGrant(self, view))
         self.queue = kept
 
--- a/bench/turns/play.py
+++ b/bench/turns/play.py
@@ -9,7 +9,7 @@
 from bench.turns.policies import Asked, Maker, Policy, Sent, targets_of
 from bench.turns.sheet import Sheet
 from waxwingglade.base import TargetId, ZoneId
-from waxwingglade.decisions.pace import Turn
+from waxwingglade.decisions.engine_speed import CompletedTurn
 from waxwingglade.follow.model import IncarnationName
 from waxwingglade.ingress.balance import History
 
@@ -180,7 +180,7 @@
         seconds = self.timeline.now - self.sent_at
         if whole and self.first_s is not None:
             events = -(-self.job.output // self.program.play.sheet.engine.stride)
-            took = Turn(0.0, 0, self.first_s, seconds, events)
+            took = CompletedTurn(0.0, 0, self.first_s, seconds, events)
         self.policy.ended(self.sent, self.engine.reported(), took, self.engine.failing)
         self.program.turn_ended(self.sent.target, whole)
 
--- a/bench/turns/policies.py
+++ b/bench/turns/policies.py
@@ -11,8 +11,8 @@
 from bench.turns.sheet import EngineFigures, Sheet
 from waxwingglade.base import ProgramId, TargetId, ZoneId
 from waxwingglade.base.rendezvous import weight
-from waxwingglade.decisions.admission import Waiting, retry_after_s
-from waxwingglade.decisions.pace import EnginePace, Turn
+from waxwingglade.decisions.admission import AdmissionRequest, retry_after_s
+from waxwingglade.decisions.engine_speed import CompletedTurn, EngineSpeed
 from waxwingglade.follow.model import (
     EngineTraits,
     Revision,
@@ -65,7 +65,9 @@
     def choose(self, asked: Asked) -> Sent | Refused:
         """Return where a turn goes, and count it as sent; or refuse it."""
 
-    def ended(self, sent: Sent, load: tuple[int, int], took: Turn | None, is_error: bool) -> None:
+    def ended(
+        self, sent: Sent, load: tuple[int, int], took: CompletedTurn | None, is_error: bool
+    ) -> None:
         """Note that a turn has ended, with the engine's report; `took` is None if it failed."""
 
 
@@ -85,7 +87,7 @@
         """Return where a turn goes, and count it as sent; or refuse it."""
         pace = self.balancer.speed_of(ENGINES)
         ranks = self.balancer.ranks_of(ENGINES)
-        waiting = Waiting(self.give_up_s, asked.is_first, ranks.up_to(asked.rank))
+        waiting = AdmissionRequest(self.give_up_s, asked.is_first, ranks.share_up_to(asked.rank))
         retry_s = retry_after_s(pace, self.balancer.engines(ENGINES), waiting)
         if retry_s is not None:
             return Refused(retry_s)
@@ -95,10 +97,12 @@
         choice = self.balancer.choose(self.service, call, (), asked.history)
         assert choice is not None
         self.balancer.sent(choice.target, call)
-        ranks.note(asked.rank)
+        ranks.record(asked.rank)
         return Sent(choice.target.target, choice)
 
-    def ended(self, sent: Sent, load: tuple[int, int], took: Turn | None, is_error: bool) -> None:
+    def ended(
+        self, sent: Sent, load: tuple[int, int], took: CompletedTurn | None, is_error: bool
+    ) -> None:
         """Note that a turn has ended."""
         assert sent.choice is not None
         target = sent.choice.target
@@ -119,22 +123,22 @@
         self.balancer.update(targets)
 
 
-class TruePace(EnginePace):
+class TruePace(EngineSpeed):
     """The pace that the sheet states, in place of what was observed."""
 
     def __init__(self, figures: EngineFigures, output: float) -> None:
         super().__init__()
-        self.events = output / figures.stride
+        self.usual_events = output / figures.stride
         event_s = figures.stride * figures.step_s
-        self.event.start, self.event.rise = event_s, event_s * figures.crowding
-        self.read.start, self.read.rise = event_s, 1000 / figures.read_per_s
+        self.event_gap.intercept, self.event_gap.slope = event_s, event_s * figures.crowding
+        self.prefill.intercept, self.prefill.slope = event_s, 1000 / figures.read_per_s
 
-    def learn(self, turn: Turn) -> float:
+    def observe(self, turn: CompletedTurn) -> float:
         """Learn nothing; return how many times slower than usual the engine was."""
         if turn.events < 2:
             return 1.0
         gap_s = (turn.seconds - turn.first_event_s) / (turn.events - 1)
-        return gap_s / self.event.at(min(1.0, turn.load))
+        return gap_s / self.event_gap.predict(min(1.0, turn.load))
 
 
 class Oracle(Waxwingglade):
@@ -164,7 +168,9 @@
         self.in_flight[target] += 1
         return Sent(target)
 
-    def ended(self, sent: Sent, load: tuple[int, int], took: Turn | None, is_error: bool) -> None:
+    def ended(
+        self, sent: Sent, load: tuple[int, int], took: CompletedTurn | None, is_error: bool
+    ) -> None:
         """Note that a turn has ended; an engine that broke it off is left out."""
         self.in_flight[sent.target] -= 1
         if took is None and sent.target in self.targets and len(self.targets) > 1:
--- a/bench/turns/previous.py
+++ b/bench/turns/previous.py
@@ -4,7 +4,7 @@
 
 from waxwingglade.base import Clock, ProgramId, TargetId, ZoneId
 from waxwingglade.base.rendezvous import weight
-from waxwingglade.decisions.placement import homes
+from waxwingglade.decisions.placement import home_targets
 from waxwingglade.follow.model import Service, Target
 from waxwingglade.ingress.balance import Balancer, History
 from waxwingglade.ingress.dialect import Call
@@ -39,7 +39,7 @@
     ) -> list[tuple[float, int, TargetState, int]]:
         now = self.clock()
         shared = call.prompt_parts[0]
-        at_home = homes(shared.part, [(s.target.target, s.target.zone) for s in states])
+        at_home = home_targets(shared.part, [(s.target.target, s.target.zone) for s in states])
         near = [
             state.target.target
             for state in states
--- a/waxwingglade/decisions/admission.py
+++ b/waxwingglade/decisions/admission.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from waxwingglade.decisions.pace import EnginePace
-from waxwingglade.decisions.placement import Engine, queue_s
+from waxwingglade.decisions.engine_speed import EngineSpeed
+from waxwingglade.decisions.placement import Engine, queue_wait_s
 
 FIRST_TURN_WAIT = 0.25
 """Usual turns' times that a program's first turn may have to wait: the load of an engine is known
@@ -25,42 +25,44 @@
 as the first, and a load is not known for longer ahead than the second."""
 
 
-class Waiting(msgspec.Struct, frozen=True):
+class AdmissionRequest(msgspec.Struct, frozen=True):
     """How long a turn may wait for an engine to begin it.
 
     Parameters
     ----------
-    patience_s : float
+    wait_limit_s : float
         Seconds without a first event after which its caller gives it up, or its time is over; what
         would begin later is run for nobody, and holds up the others.
     is_first : bool
         Whether its program begins with it.
-    share : float
+    rank_share : float
         Share of the turns at engines that are at least as urgent; the others it overtakes.
     """
 
-    patience_s: float
+    wait_limit_s: float
     is_first: bool = False
-    share: float = 1.0
+    rank_share: float = 1.0
 
 
-def retry_after_s(pace: EnginePace, engines: Iterable[Engine], waiting: Waiting) -> float | None:
+def retry_after_s(
+    pace: EngineSpeed, engines: Iterable[Engine], waiting: AdmissionRequest
+) -> float | None:
     """Return after how many seconds a turn should come back, or None if it is to be sent.
 
     Parameters
     ----------
-    pace : EnginePace
+    pace : EngineSpeed
         Pace of the service's engines.
     engines : iterable of Engine
         Those that could take the turn.
-    waiting : Waiting
+    waiting : AdmissionRequest
         How long the turn may wait.
     """
-    ahead = (_ahead(engine, waiting.share) for engine in engines)
-    wait_s = min((queue_s(pace, engine) for engine in ahead), default=0.0)
-    longest_s = waiting.patience_s
+    ahead = (_ahead(engine, waiting.rank_share) for engine in engines)
+    wait_s = min((queue_wait_s(pace, engine) for engine in ahead), default=0.0)
+    longest_s = waiting.wait_limit_s
     if waiting.is_first:
-        longest_s = min(longest_s, FIRST_TURN_WAIT * pace.generate_s(1.0))
+        longest_s = min(longest_s, FIRST_TURN_WAIT * pace.generation_s(1.0))
     if wait_s <= longest_s:
         return None
     return min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, wait_s))
@@ -71,4 +73,4 @@
     return Engine(share * engine.load, engine.slots, engine.slowness)
 
 
-__all__ = ["Waiting", "retry_after_s"]
+__all__ = ["AdmissionRequest", "retry_after_s"]
--- a/waxwingglade/decisions/dispatch.py
+++ b/waxwingglade/decisions/dispatch.py
@@ -17,8 +17,8 @@
     not_run,
 )
 from waxwingglade.decisions import health
-from waxwingglade.decisions.learn import OutputBook
-from waxwingglade.decisions.pause import PauseBook, PauseDecision
+from waxwingglade.decisions.output_length import OutputLengthTracker
+from waxwingglade.decisions.pause import PauseDecision, PauseTracker
 from waxwingglade.decisions.queue import (
     ProgramQueue,
     Rank,
@@ -26,14 +26,14 @@
     due_first,
     too_late,
 )
-from waxwingglade.decisions.release import ReleaseBook
+from waxwingglade.decisions.release import ReleaseTracker
 from waxwingglade.decisions.route import (
     Choice,
     assess,
     choose,
     expected_service_s,
-    fits,
-    read_prompt,
+    find_cached_prefix,
+    is_eligible,
 )
 from waxwingglade.decisions.targets import TargetTable, TargetView
 from waxwingglade.decisions.work import BlockHash, CacheEvents, Holding, LoadReport, Pool, Work
@@ -78,21 +78,21 @@
         """Report that the answer has begun."""
         if self.first_token_at is None:
             self.first_token_at = self.dispatcher.clock()
-            self.dispatcher.note_held(self)
+            self.dispatcher.record_cached(self)
 
     def finished(self, usage: Usage) -> None:
         """Report that the call ran to its end."""
         if self.ended:
             return
         self.ended = True
-        self.dispatcher.note_finished(self, usage)
+        self.dispatcher.record_finished(self, usage)
 
     def failed(self, failure: Failure) -> None:
         """Report that the call failed, or was cancelled."""
         if self.ended:
             return
         self.ended = True
-        self.dispatcher.note_failed(self, failure)
+        self.dispatcher.record_failed(self, failure)
 
 
 class Dispatcher:
@@ -123,9 +123,9 @@
         self.chooser = chooser
         self.rank = rank
         self.queues: dict[Pool, ProgramQueue] = {}
-        self.outputs = OutputBook()
-        self.releases = ReleaseBook(self.settings, clock)
-        self.pauses = PauseBook(self.settings, clock)
+        self.outputs = OutputLengthTracker()
+        self.releases = ReleaseTracker(self.settings, clock)
+        self.pauses = PauseTracker(self.settings, clock)
         self.watcher: asyncio.Task[None] | None = None
 
     async def acquire(self, work: Work) -> Outcome[Grant]:
@@ -137,7 +137,7 @@
             The grant, or a `NOT_RUN` failure with a time to come back.
         """
         self._readmit()
-        self.outputs.fill_in(work)
+        self.outputs.fill_in_expected_output(work)
         if not self.table.any_usable(work.pool):
             return not_run(ErrorCode.UNAVAILABLE, f"no target serves {work.pool}", RECHECK_S)
         if self.clock() >= work.deadline_at:
@@ -152,7 +152,7 @@
         self._readmit()
         view = self.table.report_load(target, report)
         if view is not None:
-            self.pump(view)
+            self.grant_waiting(view)
 
     def apply_cache_events(self, target: TargetId, events: CacheEvents) -> bool:
         """Take in cache events; return whether the target should be asked for its whole state."""
@@ -167,13 +167,13 @@
         self.table.set_leaving(target, leaving)
         view = self.table.targets.get(target)
         if view is not None and not leaving:
-            self.pump(view)
+            self.grant_waiting(view)
 
     def set_models(self, target: TargetId, models: Iterable[str]) -> None:
         """Give a target only calls of the models named, and of its tools."""
         view = self.table.set_models(target, models)
         if view is not None:
-            self.pump(view)
+            self.grant_waiting(view)
 
     def program_ended(self, program: ProgramId) -> list[Holding]:
         """Return the releases to send; call `releases.acknowledge` as targets answer."""
@@ -190,33 +190,33 @@
         """Note that the tool has answered."""
         self.pauses.end(program)
 
-    def note_held(self, grant: Grant) -> None:
+    def record_cached(self, grant: Grant) -> None:
         """Take in that the target has read the whole prompt."""
         if self.table.targets.get(grant.target) is grant.view:
             self.table.cache.add(grant.view.number, grant.work.blocks)
 
-    def note_finished(self, grant: Grant, usage: Usage) -> None:
+    def record_finished(self, grant: Grant, usage: Usage) -> None:
         """Take in the end of a call: its speed, and the place it leaves."""
         view, work, now = grant.view, grant.work, self.clock()
-        view.learn_service(now - grant.granted_at)
+        view.observe_service(now - grant.granted_at)
         if grant.first_token_at is not None and work.prompt_tokens:
             if grant.source is None:
                 read = usage.prompt_tokens - usage.cached_tokens
-                view.learn_prefill(read, grant.first_token_at - grant.granted_at)
-            view.learn_decode(usage.output_tokens, now - grant.first_token_at)
-            self.outputs.learn(work, usage.output_tokens)
-        health.note_success(view)
+                view.observe_prefill(read, grant.first_token_at - grant.granted_at)
+            view.observe_decode(usage.output_tokens, now - grant.first_token_at)
+            self.outputs.observe(work, usage.output_tokens)
+        health.record_success(view)
         health.check_speed(self.table, view)
-        self._leave_place(view)
+        self._release_slot(view)
 
-    def note_failed(self, grant: Grant, failure: Failure) -> None:
+    def record_failed(self, grant: Grant, failure: Failure) -> None:
         """Take in a failed call, and the place it leaves."""
-        health.note_failure(self.table, grant.view, failure)
-        self._leave_place(grant.view)
+        health.record_failure(self.table, grant.view, failure)
+        self._release_slot(grant.view)
 
-    def pump(self, view: TargetView) -> None:
+    def grant_waiting(self, view: TargetView) -> None:
         """Grant waiting calls while `view` has room that they accept."""
-        while self.table.has_room(view, Urgency.URGENT):
+        while self.table.has_capacity(view, Urgency.URGENT):
             if not self._grant_next(view):
                 return
 
@@ -227,7 +227,9 @@
             if ticket.queue.is_claimant(ticket):
                 # Lasting urgent load keeps targets beyond what lower urgencies may fill.
                 urgency = Urgency.URGENT
-            if not self.table.has_room(view, urgency) or not fits(self.table, view, ticket.work):
+            if not self.table.has_capacity(view, urgency) or not is_eligible(
+                self.table, view, ticket.work
+            ):
                 continue
             choice = self._accepted(ticket, view)
             if choice is not None:
@@ -249,11 +251,11 @@
 
     def _accepted(self, ticket: Ticket, view: TargetView) -> Choice | None:
         """Return the choice of `view` unless the call does better to wait for its preferred one."""
-        choice = assess(self.table, view, ticket.work, read_prompt(self.table, ticket.work))
+        choice = assess(self.table, view, ticket.work, find_cached_prefix(self.table, ticket.work))
         preferred = ticket.preferred
         if preferred is None or preferred is view or not self.table.usable(preferred):
             return choice
-        if self.clock() >= ticket.patience_until or choice.cost_s <= ticket.preferred_cost_s:
+        if self.clock() >= ticket.prefer_until or choice.cost_s <= ticket.preferred_cost_s:
             return choice
         return None
 
@@ -273,7 +275,7 @@
             raise
         finally:
             if ticket.preferred is not None:
-                ticket.preferred.awaited -= 1
+                ticket.preferred.waiting_preferred -= 1
 
     async def _await_answer(
         self, ticket: Ticket, answer: "asyncio.Future[Outcome[Grant]]"
@@ -281,9 +283,9 @@
         """Wait for the grant or refusal; lose patience once, and refuse at the deadline."""
         work = ticket.work
         if ticket.preferred is not None:
-            await self._wait_until(answer, ticket.patience_until)
+            await self._wait_until(answer, ticket.prefer_until)
             if not answer.done():
-                self._look_again(ticket)
+                self._choose_again(ticket)
         await self._wait_until(answer, work.deadline_at - expected_service_s(self.table, work))
         if not answer.done():
             ticket.queue.refuse(ticket, too_late(ticket.queue.expected_wait_s(work)))
@@ -293,7 +295,7 @@
         if not answer.done():
             await asyncio.wait([answer], timeout=max(0.0, time - self.clock()))
 
-    def _look_again(self, ticket: Ticket) -> None:
+    def _choose_again(self, ticket: Ticket) -> None:
         """Send a call that has lost patience with its preferred target to another with room."""
         choice = self.chooser(self.table, ticket.work)
         if choice is not None and choice.is_open:
@@ -317,16 +319,16 @@
         if choice is None or not choice.cached_tokens:
             return
         ticket.preferred = choice.view
-        ticket.preferred.awaited += 1
+        ticket.preferred.waiting_preferred += 1
         ticket.preferred_cost_s = choice.cost_s
-        ticket.patience_until = self.clock() + self.settings.patience_s
+        ticket.prefer_until = self.clock() + self.settings.patience_s
 
     def _grant(self, work: Work, choice: Choice) -> Grant:
         view, now = choice.view, self.clock()
-        view.note_in_flight(now, 1)
+        view.record_in_flight(now, 1)
         self.table.refresh(view)
         if work.blocks:
-            self.releases.note_sent(work.program, view.target)
+            self.releases.record_sent(work.program, view.target)
         return Grant(self, work, choice, now)
 
     def _grant_ticket(self, ticket: Ticket, choice: Choice) -> None:
@@ -343,13 +345,13 @@
         if isinstance(outcome, Ok):
             outcome.ok_value.failed(CANCELLED)
 
-    def _leave_place(self, view: TargetView) -> None:
-        view.note_in_flight(self.clock(), -1)
+    def _release_slot(self, view: TargetView) -> None:
+        view.record_in_flight(self.clock(), -1)
         self.table.refresh(view)
         self._readmit()
-        self.pump(view)
+        self.grant_waiting(view)
 
     def _readmit(self) -> None:
         """Use the room of targets that have come back or whose reports are too old."""
         for view in (*health.readmit(self.table), *self.table.expire_reports()):
-            self.pump(view)
+            self.grant_waiting(view)
--- a/waxwingglade/decisions/ejection.py
+++ b/waxwingglade/decisions/ejection.py
@@ -23,12 +23,12 @@
         """Whether the target gets no work now."""
         return self.until > self.clock()
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Note a whole answer."""
         self.failures = 0
         self.until = float("-inf")
 
-    def failed(self, is_error: bool = False) -> None:
+    def record_failure(self, is_error: bool = False) -> None:
         """Note that the target broke off, could not be reached, or answered an error itself.
 
         A single error is enough: what fails at once has no load, and draws everybody's calls.
--- a/waxwingglade/decisions/pace.py
+++ b/waxwingglade/decisions/engine_speed.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from waxwingglade.decisions.line import Prior, RecentLine
+from waxwingglade.decisions.linear_fit import FadingLinearFit, Prior
 
 THOUSAND = 1000.0
 
@@ -23,14 +23,14 @@
 EVENTS_SMOOTHING = 0.05
 
 
-class Turn(msgspec.Struct, frozen=True):
+class CompletedTurn(msgspec.Struct, frozen=True):
     """A turn that an engine has ended whole, as its entry saw it.
 
     Parameters
     ----------
     load : float
         Requests believed to be at the engine when the turn was sent, as a share of its slots.
-    read_tokens : int
+    prefill_tokens : int
         Prompt tokens that it was believed to have to read.
     first_event_s, seconds : float
         Seconds from sending to the first event, and to the end.
@@ -39,45 +39,45 @@
     """
 
     load: float
-    read_tokens: int
+    prefill_tokens: int
     first_event_s: float
     seconds: float
     events: int
 
 
-class EnginePace:
+class EngineSpeed:
     """The pace of a service's engines."""
 
     def __init__(self) -> None:
-        self.event = RecentLine(EVENT_PRIOR)
-        self.read = RecentLine(READ_PRIOR)
-        self.events = EVENTS_PRIOR
+        self.event_gap = FadingLinearFit(EVENT_PRIOR)
+        self.prefill = FadingLinearFit(READ_PRIOR)
+        self.usual_events = EVENTS_PRIOR
 
-    def learn(self, turn: Turn) -> float:
+    def observe(self, turn: CompletedTurn) -> float:
         """Take in a turn; return how many times slower than usual the engine was."""
         load = min(1.0, turn.load)
-        self.events += EVENTS_SMOOTHING * (turn.events - self.events)
+        self.usual_events += EVENTS_SMOOTHING * (turn.events - self.usual_events)
         if turn.load < 1.0:
             # At a full engine the time to the first event is the queue's.
-            self.read.learn(turn.read_tokens / THOUSAND, turn.first_event_s)
+            self.prefill.observe(turn.prefill_tokens / THOUSAND, turn.first_event_s)
         if turn.events < 2:
             return 1.0
         gap_s = (turn.seconds - turn.first_event_s) / (turn.events - 1)
-        usual_s = self.event.at(load)
-        self.event.learn(load, gap_s)
+        usual_s = self.event_gap.predict(load)
+        self.event_gap.observe(load, gap_s)
         return gap_s / usual_s if usual_s > 0 else 1.0
 
-    def read_s(self, tokens: float) -> float:
+    def prefill_s(self, tokens: float) -> float:
         """Return the seconds that an engine takes to read some tokens of a prompt."""
-        return self.read.rise * tokens / THOUSAND
+        return self.prefill.slope * tokens / THOUSAND
 
-    def generate_s(self, load: float) -> float:
+    def generation_s(self, load: float) -> float:
         """Return the seconds of a usual turn's events at a load, as a share of the slots."""
-        return self.events * self.event.at(min(1.0, load))
+        return self.usual_events * self.event_gap.predict(min(1.0, load))
 
     def disturbance_s(self, slots: int) -> float:
         """Return the seconds by which one more turn at an engine delays each other one there."""
-        return self.events * self.event.rise / slots
+        return self.usual_events * self.event_gap.slope / slots
 
 
-__all__ = ["EnginePace", "Turn"]
+__all__ = ["CompletedTurn", "EngineSpeed"]
--- a/waxwingglade/decisions/health.py
+++ b/waxwingglade/decisions/health.py
@@ -13,14 +13,14 @@
 MIN_COMPARED = 3
 
 
-def note_success(view: TargetView) -> None:
+def record_success(view: TargetView) -> None:
     """Take in a call that ran to its end."""
     view.failures = 0
     if view.started_at is None:
         view.ejections = 0
 
 
-def note_failure(table: TargetTable, view: TargetView, failure: Failure) -> None:
+def record_failure(table: TargetTable, view: TargetView, failure: Failure) -> None:
     """Take in a failed call; eject the target after several in a row.
 
     A target that says that it is draining is leaving.  Failures that are not the target's fault,
--- a/waxwingglade/decisions/line.py
+++ b/waxwingglade/decisions/linear_fit.py
@@ -22,17 +22,17 @@
     ----------
     at_0, at_1 : float
         Values of the line at 0 and 1, in the unit of what is observed.
-    least_rise, most_rise : float
+    min_slope, max_slope : float
         Bounds of the line's rise from 0 to 1.
     """
 
     at_0: float
     at_1: float
-    least_rise: float
-    most_rise: float
+    min_slope: float
+    max_slope: float
 
 
-class RecentLine:
+class FadingLinearFit:
     """A line fitted by least squares, in which observations fade with each later one.
 
     Parameters
@@ -45,15 +45,15 @@
         self.prior = prior
         self.weight = 0.0
         self.x = self.y = self.xx = self.xy = 0.0
-        self.start, self.rise = prior.at_0, prior.at_1 - prior.at_0
+        self.intercept, self.slope = prior.at_0, prior.at_1 - prior.at_0
 
-    def at(self, x: float) -> float:
+    def predict(self, x: float) -> float:
         """Return the line's value at a place."""
-        return self.start + self.rise * x
+        return self.intercept + self.slope * x
 
-    def learn(self, x: float, y: float) -> None:
+    def observe(self, x: float, y: float) -> None:
         """Take in an observation."""
-        y = min(y, OUTLIER * self.at(x))
+        y = min(y, OUTLIER * self.predict(x))
         self.weight = FORGETTING * self.weight + 1
         self.x = FORGETTING * self.x + x
         self.y = FORGETTING * self.y + y
@@ -68,9 +68,9 @@
         y = self.y + PRIOR_WEIGHT * (prior.at_0 + prior.at_1)
         xx = self.xx + PRIOR_WEIGHT
         xy = self.xy + PRIOR_WEIGHT * prior.at_1
-        rise = (weight * xy - x * y) / (weight * xx - x * x)
-        self.rise = min(prior.most_rise, max(prior.least_rise, rise))
-        self.start = max(0.0, (y - self.rise * x) / weight)
+        slope = (weight * xy - x * y) / (weight * xx - x * x)
+        self.slope = min(prior.max_slope, max(prior.min_slope, slope))
+        self.intercept = max(0.0, (y - self.slope * x) / weight)
 
 
-__all__ = ["Prior", "RecentLine"]
+__all__ = ["FadingLinearFit", "Prior"]
--- a/waxwingglade/decisions/learn.py
+++ b/waxwingglade/decisions/output_length.py
@@ -7,19 +7,19 @@
 DEFAULT_OUTPUT_TOKENS = 128
 
 
-class OutputBook:
+class OutputLengthTracker:
     """Mean output tokens by program class and model."""
 
     def __init__(self) -> None:
         self.means: dict[tuple[ClassName, Pool], float] = {}
 
-    def learn(self, work: Work, output_tokens: int) -> None:
+    def observe(self, work: Work, output_tokens: int) -> None:
         """Take in the length of an answer."""
         key = (work.program_class, work.pool)
         mean = self.means.get(key, float(output_tokens))
         self.means[key] = mean + SMOOTHING * (output_tokens - mean)
 
-    def fill_in(self, work: Work) -> None:
+    def fill_in_expected_output(self, work: Work) -> None:
         """Set the expected output of a model call that names none."""
         if work.expected_output_tokens or not work.prompt_tokens:
             return
--- a/waxwingglade/decisions/pause.py
+++ b/waxwingglade/decisions/pause.py
@@ -15,7 +15,7 @@
 from waxwingglade.base import Clock, ProgramId, ToolName
 from waxwingglade.settings.decisions import DecisionSettings
 
-KEPT_PAUSES = 64
+MAX_SAMPLES = 64
 MIN_PAUSES = 4
 
 
@@ -26,7 +26,7 @@
     """
 
     KEEP = "keep"
-    LET_GO = "let_go"
+    RELEASE = "let_go"
 
 
 class Pause(msgspec.Struct):
@@ -36,7 +36,7 @@
     began_at: float
 
 
-class PauseBook:
+class PauseTracker:
     """Lengths of pauses by tool, in bounded memory, and the pauses under way."""
 
     def __init__(self, settings: DecisionSettings, clock: Clock) -> None:
@@ -51,14 +51,14 @@
         expected_s = self.expected_s(tool)
         if expected_s is None or expected_s <= self.settings.hold_max_s:
             return PauseDecision.KEEP
-        return PauseDecision.LET_GO
+        return PauseDecision.RELEASE
 
     def end(self, program: ProgramId) -> None:
         """Note that the program goes on, and learn the length of its pause."""
         pause = self.under_way.pop(program, None)
         if pause is None:
             return
-        lengths = self.lengths.setdefault(pause.tool, deque(maxlen=KEPT_PAUSES))
+        lengths = self.lengths.setdefault(pause.tool, deque(maxlen=MAX_SAMPLES))
         lengths.append(self.clock() - pause.began_at)
 
     def forget(self, program: ProgramId) -> None:
--- a/waxwingglade/decisions/placement.py
+++ b/waxwingglade/decisions/placement.py
@@ -13,7 +13,7 @@
 
 from waxwingglade.base import TargetId, ZoneId
 from waxwingglade.base.rendezvous import weight
-from waxwingglade.decisions.pace import EnginePace
+from waxwingglade.decisions.engine_speed import EngineSpeed
 
 
 class Engine(msgspec.Struct, frozen=True):
@@ -34,12 +34,12 @@
     slowness: float = 1.0
 
 
-def turn_cost_s(pace: EnginePace, engine: Engine, read_tokens: float) -> float:
+def turn_cost_s(pace: EngineSpeed, engine: Engine, read_tokens: float) -> float:
     """Return the seconds that a turn takes at an engine, and takes from the others there.
 
     Parameters
     ----------
-    pace : EnginePace
+    pace : EngineSpeed
         Pace of the service's engines.
     engine : Engine
         The engine.
@@ -53,20 +53,20 @@
     """
     running = min(engine.load, engine.slots)
     share = min(1.0, (engine.load + 1) / engine.slots)
-    read_s = pace.read_s(read_tokens)
-    own_s = queue_s(pace, engine) + read_s + pace.generate_s(share)
+    read_s = pace.prefill_s(read_tokens)
+    own_s = queue_wait_s(pace, engine) + read_s + pace.generation_s(share)
     others_s = running * (read_s + pace.disturbance_s(engine.slots))
     return (own_s + others_s) * engine.slowness
 
 
-def queue_s(pace: EnginePace, engine: Engine) -> float:
+def queue_wait_s(pace: EngineSpeed, engine: Engine) -> float:
     """Return the seconds that a turn waits at an engine before it is run."""
     if engine.load < engine.slots:
         return 0.0
-    return pace.generate_s(1.0) * (engine.load - engine.slots + 1) / engine.slots
+    return pace.generation_s(1.0) * (engine.load - engine.slots + 1) / engine.slots
 
 
-def tokens_to_read(
+def uncached_tokens(
     parts: Sequence[tuple[str, int]], held: Mapping[str, int], assumed: str | None = None
 ) -> int:
     """Return the tokens of a prompt that are not held.
@@ -91,7 +91,7 @@
     return 0
 
 
-def homes(part: str, targets: Iterable[tuple[TargetId, ZoneId]]) -> set[TargetId]:
+def home_targets(part: str, targets: Iterable[tuple[TargetId, ZoneId]]) -> set[TargetId]:
     """Return the targets where a shared part is read: half of those of each zone.
 
     Entries agree on them without talking, so that a part is not read at every target.
@@ -106,4 +106,4 @@
     return chosen
 
 
-__all__ = ["Engine", "homes", "queue_s", "tokens_to_read", "turn_cost_s"]
+__all__ = ["Engine", "home_targets", "queue_wait_s", "turn_cost_s", "uncached_tokens"]
--- a/waxwingglade/decisions/program_starts.py
+++ b/waxwingglade/decisions/program_starts.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from waxwingglade.decisions.quota import GRANTED, RECENT_S, Judgement, QuotaRules, forget
+from waxwingglade.decisions.quota import GRANTED, RECENT_S, QuotaDecision, QuotaRules, discard_until
 
 USUAL_REQUESTS = 16.0
 """Requests of a program, before any was counted."""
@@ -23,7 +23,7 @@
 """Most by which it is."""
 
 
-class ProgramSize:
+class ProgramLength:
     """How many requests a program makes, over all accounts that are refused nothing.
 
     Attributes
@@ -36,7 +36,7 @@
         self.requests = USUAL_REQUESTS
         self.programs = 1.0
 
-    def note(self, is_first: bool) -> None:
+    def record(self, is_first: bool) -> None:
         """Count a request, with which a program may begin."""
         if is_first:
             self.requests *= FORGETTING
@@ -44,45 +44,45 @@
         self.requests += 1
 
     @property
-    def usual(self) -> float:
+    def mean_requests(self) -> float:
         """Requests of a usual program."""
         return self.requests / self.programs
 
 
-class Starts:
+class ProgramStarts:
     """Programs that an account has begun lately, and what it was refused; monotonic seconds."""
 
     def __init__(self) -> None:
-        self.begun: deque[float] = deque()
-        self.refused: deque[float] = deque()
+        self.started_at: deque[float] = deque()
+        self.refused_at: deque[float] = deque()
 
-    def note_refused(self, requests: int, now: float) -> None:
+    def record_refused(self, requests: int, now: float) -> None:
         """Take in that requests of programs under way were refused."""
-        self.refused.extend([now] * requests)
+        self.refused_at.extend([now] * requests)
 
 
 def may_begin(
-    starts: Starts, most: int, rules: QuotaRules, now: float, program_size: float
-) -> Judgement:
+    starts: ProgramStarts, most: int, rules: QuotaRules, now: float, program_size: float
+) -> QuotaDecision:
     """Judge whether an account may begin one more program, and count it if so.
 
     Parameters
     ----------
-    starts : Starts
+    starts : ProgramStarts
         What the account has begun and was refused.
     most : int
         Requests that it may send in a window, over all counters.
     program_size : float
         Requests of a usual program.
     """
-    forget(starts.begun, now - rules.window_s)
-    forget(starts.refused, now - RECENT_S)
-    refused = len(starts.refused) / most if most > 0 else 1.0
+    discard_until(starts.started_at, now - rules.window_s)
+    discard_until(starts.refused_at, now - RECENT_S)
+    refused = len(starts.refused_at) / most if most > 0 else 1.0
     needed = program_size * (1 + min(MOST_MARGIN, MARGIN_PER_REFUSED * refused))
-    if not starts.begun or len(starts.begun) * needed < most:
-        starts.begun.append(now)
+    if not starts.started_at or len(starts.started_at) * needed < most:
+        starts.started_at.append(now)
         return GRANTED
-    return Judgement(False, starts.begun[0] + rules.window_s - now)
+    return QuotaDecision(False, starts.started_at[0] + rules.window_s - now)
 
 
-__all__ = ["ProgramSize", "Starts", "may_begin"]
+__all__ = ["ProgramLength", "ProgramStarts", "may_begin"]
--- a/waxwingglade/decisions/queue.py
+++ b/waxwingglade/decisions/queue.py
@@ -55,7 +55,7 @@
         self.answer: asyncio.Future[Outcome[Any]] | None = None
         self.preferred: TargetView | None = None
         self.preferred_cost_s = 0.0
-        self.patience_until = 0.0
+        self.prefer_until = 0.0
 
 
 class TenantLane:
@@ -117,7 +117,7 @@
         if lane.tickets:
             self.turns.add((lane.virtual_s, tenant))
 
-    def learn_grant(self, now: float) -> None:
+    def observe_grant(self, now: float) -> None:
         """Take in the time since the last grant, or since calls began to wait."""
         sample = max(0.0, now - self.busy_since)
         self.busy_since = now
@@ -237,7 +237,7 @@
             self.lower_credit = min(1.0, self.lower_credit + self.settings.lower_share)
         self._leave(ticket, TicketState.GRANTED)
         lane.charge(ticket.work.tenant, service_s / ticket.work.policy.weight)
-        lane.learn_grant(self.clock())
+        lane.observe_grant(self.clock())
 
     def refuse(self, ticket: Ticket, failure: Failure) -> None:
         """Take a call out and give its waiter the final answer."""
--- a/waxwingglade/decisions/quota.py
+++ b/waxwingglade/decisions/quota.py
@@ -35,7 +35,7 @@
         return int(limit * (1 + self.excess) + self.slack)
 
 
-class Judgement(msgspec.Struct, frozen=True):
+class QuotaDecision(msgspec.Struct, frozen=True):
     """What is said of one request.
 
     Parameters
@@ -50,10 +50,10 @@
     retry_s: float = 0.0
 
 
-GRANTED = Judgement(True)
+GRANTED = QuotaDecision(True)
 
 
-def forget(times: deque[float], until: float) -> None:
+def discard_until(times: deque[float], until: float) -> None:
     """Remove the moments up to one from a sequence of them in order."""
     while times and times[0] <= until:
         times.popleft()
@@ -74,7 +74,7 @@
         self.times: deque[float] = deque()
         self.refused_at = float("-inf")
 
-    def note(self, at: float) -> None:
+    def record(self, at: float) -> None:
         """Count a request that was granted."""
         self.times.append(at)
 
@@ -83,12 +83,12 @@
         if at in self.times:
             self.times.remove(at)
 
-    def refused_lately(self, now: float) -> bool:
+    def recently_refused(self, now: float) -> bool:
         """Return whether a request was refused lately."""
         return now - self.refused_at < RECENT_S
 
 
-def restored(times: Sequence[float], now: float) -> list[float]:
+def restore_times(times: Sequence[float], now: float) -> list[float]:
     """Return the latest moments, by the present clock, at which requests can have been granted.
 
     The clock begins anew when the machine does, so a time may lie ahead of a later one, or of now.
@@ -111,7 +111,7 @@
     return moments[::-1]
 
 
-def judge(grants: Grants, most: int, rules: QuotaRules, now: float) -> Judgement:
+def decide(grants: Grants, most: int, rules: QuotaRules, now: float) -> QuotaDecision:
     """Judge one request by what was granted in the window that ends with it.
 
     Parameters
@@ -122,13 +122,21 @@
         What it may grant in a window.
     """
     times = grants.times
-    forget(times, now - rules.window_s)
+    discard_until(times, now - rules.window_s)
     if len(times) < most:
         return GRANTED
     grants.refused_at = now
     if most <= 0:
-        return Judgement(False, rules.window_s)
-    return Judgement(False, times[-most] + rules.window_s - now)
-
-
-__all__ = ["GRANTED", "Grants", "Judgement", "QuotaRules", "forget", "judge", "restored"]
+        return QuotaDecision(False, rules.window_s)
+    return QuotaDecision(False, times[-most] + rules.window_s - now)
+
+
+__all__ = [
+    "GRANTED",
+    "Grants",
+    "QuotaDecision",
+    "QuotaRules",
+    "decide",
+    "discard_until",
+    "restore_times",
+]
--- a/waxwingglade/decisions/parts.py
+++ b/waxwingglade/decisions/quota_share.py
@@ -14,35 +14,35 @@
 from waxwingglade.base.rendezvous import weight
 
 
-class PartRules(msgspec.Struct, frozen=True):
+class QuotaShareRules(msgspec.Struct, frozen=True):
     """Times in seconds.
 
     Parameters
     ----------
-    believed_s : float
+    max_view_age_s : float
         Age of the set up to which a counter grants anything.
     window_s : float
         Length of the spans in which requests are counted.
-    usual : int
+    usual_members : int
         Counters among which limits are divided, unless there are more.
     """
 
-    believed_s: float
+    max_view_age_s: float
     window_s: float
-    usual: int
+    usual_members: int
 
     @property
     def settle_s(self) -> float:
         """Seconds after which nothing that was granted by an older set counts any more."""
-        return self.believed_s + self.window_s
+        return self.max_view_age_s + self.window_s
 
 
-class Parts:
+class QuotaShare:
     """The part that one counter may grant.
 
     Parameters
     ----------
-    rules : PartRules
+    rules : QuotaShareRules
         Times, and the usual number of counters.
     own : str
         Name of this counter.
@@ -59,7 +59,7 @@
     """
 
     def __init__(
-        self, rules: PartRules, own: str, joined_before: bool = False, largest: int = 0
+        self, rules: QuotaShareRules, own: str, joined_before: bool = False, largest: int = 0
     ) -> None:
         self.rules = rules
         self.own = own
@@ -71,7 +71,7 @@
         self.largest_before = largest
         self.began_at: float | None = None
 
-    def learn(self, epoch: int, members: Collection[str], now: float) -> None:
+    def update_members(self, epoch: int, members: Collection[str], now: float) -> None:
         """Take in the present set of counters."""
         if self.began_at is None:
             self.began_at = now
@@ -94,7 +94,7 @@
             return False
         return self.joined_before or now - self.member_since >= self.rules.settle_s
 
-    def of(self, most: int, account: str, now: float) -> int:
+    def share_of(self, most: int, account: str, now: float) -> int:
         """Return what this counter may grant of what all may grant in a window."""
         if not self.settled(now):
             return 0
@@ -113,7 +113,7 @@
         changing = bool(sizes)
         if self.began_at is not None and self.began_at > since:
             sizes.append(self.largest_before)
-        return max(self.rules.usual, len(self.members), *sizes), changing
+        return max(self.rules.usual_members, len(self.members), *sizes), changing
 
     def _place(self, account: str) -> int:
         """Return this counter's place in the order in which an account's remainder is dealt out."""
@@ -121,4 +121,4 @@
         return order.index(self.own)
 
 
-__all__ = ["PartRules", "Parts"]
+__all__ = ["QuotaShare", "QuotaShareRules"]
--- a/waxwingglade/decisions/ranks.py
+++ b/waxwingglade/decisions/ranks.py
@@ -15,13 +15,13 @@
     def __init__(self) -> None:
         self.weights: dict[int, float] = {}
 
-    def note(self, rank: int) -> None:
+    def record(self, rank: int) -> None:
         """Take in a turn that was sent; 0 is the highest rank."""
         for known in self.weights:
             self.weights[known] *= FORGETTING
         self.weights[rank] = self.weights.get(rank, 0.0) + 1
 
-    def up_to(self, rank: int) -> float:
+    def share_up_to(self, rank: int) -> float:
         """Return the share of turns of a rank and of higher ones, 1 if none was sent yet."""
         total = sum(self.weights.values())
         if total <= 0:
--- a/waxwingglade/decisions/release.py
+++ b/waxwingglade/decisions/release.py
@@ -11,7 +11,7 @@
 from waxwingglade.settings.decisions import DecisionSettings
 
 
-class ReleaseBook:
+class ReleaseTracker:
     """Which targets may hold cache of which programs, and which releases are unacknowledged."""
 
     def __init__(self, settings: DecisionSettings, clock: Clock) -> None:
@@ -21,7 +21,7 @@
         self.used_at: dict[ProgramId, float] = {}
         self.pending: dict[Holding, float] = {}
 
-    def note_sent(self, program: ProgramId, target: TargetId) -> None:
+    def record_sent(self, program: ProgramId, target: TargetId) -> None:
         """Remember that `target` may hold cache of `program` from now on."""
         self.targets_of.setdefault(program, set()).add(target)
         self.used_at[program] = self.clock()
--- a/waxwingglade/decisions/retry.py
+++ b/waxwingglade/decisions/retry.py
@@ -4,7 +4,7 @@
 from waxwingglade.decisions.work import Work
 from waxwingglade.settings.decisions import DecisionSettings
 
-WORTH_REPEATING = frozenset(
+RETRYABLE_CODES = frozenset(
     {
         ErrorCode.UNAVAILABLE,
         ErrorCode.TIMEOUT,
@@ -29,7 +29,7 @@
         self.settings = settings
         self.tokens = settings.retry_burst
 
-    def note_first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count a call that is sent for the first time."""
         self.tokens = min(self.settings.retry_burst, self.tokens + self.settings.retry_ratio)
 
@@ -48,7 +48,7 @@
 
 def may_retry(work: Work, failure: Failure, budget: RetryBudget) -> bool:
     """Return whether to send a failed call again now; takes from the budget if so."""
-    if not is_safe(work, failure) or failure.code not in WORTH_REPEATING:
+    if not is_safe(work, failure) or failure.code not in RETRYABLE_CODES:
         return False
     return budget.take()
 
--- a/waxwingglade/decisions/route.py
+++ b/waxwingglade/decisions/route.py
@@ -33,7 +33,7 @@
     is_open: bool = True
 
 
-class Prompt(msgspec.Struct):
+class CachedPrefix(msgspec.Struct):
     """What is known of a prompt's cache, the same for all targets of one decision."""
 
     held_tokens: int
@@ -41,21 +41,21 @@
     source: TargetView | None
 
 
-def read_prompt(table: TargetTable, work: Work) -> Prompt:
+def find_cached_prefix(table: TargetTable, work: Work) -> CachedPrefix:
     """Look up who holds most of the call's prompt."""
     if not work.blocks:
-        return Prompt(0, [], None)
+        return CachedPrefix(0, [], None)
     depth, bits = table.cache.deepest(work.blocks)
     holders = [table.numbered[number] for number in numbers(bits)] if depth else []
     holders = [view for view in holders if work.pool in view.pools and table.usable(view)]
     if not holders:
-        return Prompt(0, [], None)
+        return CachedPrefix(0, [], None)
     if len(holders) > table.settings.holder_size:
         start = int(table.rng.random() * len(holders))
         holders = [
             holders[(start + step) % len(holders)] for step in range(table.settings.holder_size)
         ]
-    return Prompt(depth * table.settings.block_tokens, holders, holders[0])
+    return CachedPrefix(depth * table.settings.block_tokens, holders, holders[0])
 
 
 def choose(table: TargetTable, work: Work) -> Choice | None:
@@ -82,14 +82,14 @@
     members = table.open.get(work.pool)
     if members is None:
         return None
-    prompt = read_prompt(table, work)
+    prompt = find_cached_prefix(table, work)
     candidates = members[work.policy.urgency].sample(table.rng, table.settings.sample_size)
     for holder in prompt.holders:
         if holder not in candidates:
             candidates.append(holder)
     best: Choice | None = None
     for view in candidates:
-        if not fits(table, view, work):
+        if not is_eligible(table, view, work):
             continue
         choice = assess(table, view, work, prompt)
         if best is None or choice.cost_s < best.cost_s:
@@ -97,7 +97,7 @@
     return best
 
 
-def fits(table: TargetTable, view: TargetView, work: Work) -> bool:
+def is_eligible(table: TargetTable, view: TargetView, work: Work) -> bool:
     """Return whether `work` may go to `view`, load and cost aside.
 
     A call that may not be repeated stays away from a target on trial, where it could be lost,
@@ -111,7 +111,7 @@
     return not any(table.usable(other) and not other.on_trial for other in others)
 
 
-def assess(table: TargetTable, view: TargetView, work: Work, prompt: Prompt) -> Choice:
+def assess(table: TargetTable, view: TargetView, work: Work, prompt: CachedPrefix) -> Choice:
     """Return what it costs to serve `work` at `view`."""
     settings = table.settings
     cached = 0
@@ -119,7 +119,7 @@
         cached = table.cache.depth(view.number, work.blocks) * settings.block_tokens
         cached = min(cached, work.prompt_tokens)
     choice = Choice(view, 0.0, cached)
-    choice.is_open = table.has_room(view, work.policy.urgency)
+    choice.is_open = table.has_capacity(view, work.policy.urgency)
     load = view.load
     held_up = 1 + settings.disturbance * min(load, view.slots)
     token_s = 1 / view.prefill_tokens_per_s
@@ -139,7 +139,7 @@
     if not work.prompt_tokens:
         seconds += view.service_s * crowding
     if load >= view.slots:
-        seconds += (load - view.slots + 1 + view.awaited) * view.service_s / view.slots
+        seconds += (load - view.slots + 1 + view.waiting_preferred) * view.service_s / view.slots
     if view.zone != table.home:
         seconds += 2 * settings.zone_delay_s
     choice.cost_s = seconds + waste_price(work) * wasted_s
@@ -161,11 +161,11 @@
 
 
 __all__ = [
+    "CachedPrefix",
     "Choice",
-    "Prompt",
     "assess",
     "choose",
     "expected_service_s",
-    "read_prompt",
+    "find_cached_prefix",
     "waste_price",
 ]
--- a/waxwingglade/decisions/targets.py
+++ b/waxwingglade/decisions/targets.py
@@ -11,8 +11,8 @@
 from waxwingglade.settings import TargetSettings, Urgency
 from waxwingglade.settings.decisions import DecisionSettings
 
-HISTORY = 64
-KEPT_BATCHES = 64
+SEND_HISTORY = 64
+MAX_BATCHES_AFTER_GAP = 64
 STALE_CHECKS = 5
 SMOOTHING = 0.2
 MIN_SAMPLE_TOKENS = 256
@@ -45,11 +45,11 @@
             Urgency.ROUTINE: max(1, int(self.slots * decisions.routine_room)),
         }
         self.in_flight = 0
-        self.foreign = 0
-        self.awaited = 0
+        self.foreign_load = 0
+        self.waiting_preferred = 0
         self.stamp = now
         self.cache_used = 0.0
-        self.sends: deque[tuple[float, int]] = deque([(now, 0)], maxlen=HISTORY)
+        self.sends: deque[tuple[float, int]] = deque([(now, 0)], maxlen=SEND_HISTORY)
         self.leaving = False
         self.ejected_until = 0.0
         self.ejections = 0
@@ -65,19 +65,19 @@
     @property
     def load(self) -> int:
         """Calls believed to be at the target now."""
-        return self.foreign + self.in_flight
+        return self.foreign_load + self.in_flight
 
     @property
     def on_trial(self) -> bool:
         """Whether the target has just started, returned or failed."""
         return self.started_at is not None or self.failures > 0
 
-    def note_in_flight(self, now: float, change: int) -> None:
+    def record_in_flight(self, now: float, change: int) -> None:
         """Count a call sent (+1) or ended (-1)."""
         self.in_flight += change
         self.sends.append((now, self.in_flight))
 
-    def own_at(self, stamp: float) -> int:
+    def own_in_flight_at(self, stamp: float) -> int:
         """Return how many of this entry's calls were under way at `stamp`."""
         for time, count in reversed(self.sends):
             if time <= stamp:
@@ -91,22 +91,22 @@
             return
         self.stamp = stamp
         self.cache_used = report.cache_used
-        self.foreign = max(0, report.running + report.waiting - self.own_at(stamp))
+        self.foreign_load = max(0, report.running + report.waiting - self.own_in_flight_at(stamp))
 
-    def learn_prefill(self, tokens: int, seconds: float) -> None:
+    def observe_prefill(self, tokens: int, seconds: float) -> None:
         """Take in the time in which `tokens` of prompt were read."""
         if tokens < MIN_SAMPLE_TOKENS or seconds <= 0:
             return
         self.prefill_tokens_per_s += SMOOTHING * (tokens / seconds - self.prefill_tokens_per_s)
 
-    def learn_decode(self, tokens: int, seconds: float) -> None:
+    def observe_decode(self, tokens: int, seconds: float) -> None:
         """Take in the time in which `tokens` were generated."""
         if tokens <= 1:
             return
         self.samples += 1
         self.decode_s_per_token += SMOOTHING * (seconds / tokens - self.decode_s_per_token)
 
-    def learn_service(self, seconds: float) -> None:
+    def observe_service(self, seconds: float) -> None:
         """Take in the length of a whole call."""
         self.service_s += SMOOTHING * (seconds - self.service_s)
 
@@ -215,7 +215,7 @@
             return view.limits[urgency]
         return max(1, int(view.limits[urgency] * share))
 
-    def has_room(self, view: TargetView, urgency: Urgency) -> bool:
+    def has_capacity(self, view: TargetView, urgency: Urgency) -> bool:
         """Return whether a call of `urgency` may be sent to `view` now."""
         return self.usable(view) and view.load < self.limit(view, urgency)
 
@@ -254,9 +254,11 @@
             return []
         self.checked_at = now
         before = now - self.settings.stale_load_s
-        stale = [view for view in self.targets.values() if view.foreign and view.stamp < before]
+        stale = [
+            view for view in self.targets.values() if view.foreign_load and view.stamp < before
+        ]
         for view in stale:
-            view.foreign = 0
+            view.foreign_load = 0
             self.refresh(view)
         return stale
 
@@ -284,7 +286,7 @@
             return False
         gap = view.sequence is None or events.sequence != view.sequence + 1
         if gap:
-            view.after_gap = [*view.after_gap, events][-KEPT_BATCHES:]
+            view.after_gap = [*view.after_gap, events][-MAX_BATCHES_AFTER_GAP:]
         else:
             view.sequence = events.sequence
         self._apply(view, events)
--- a/waxwingglade/decisions/tests/test_admission.py
+++ b/waxwingglade/decisions/tests/test_admission.py
@@ -5,20 +5,20 @@
 from waxwingglade.decisions.admission import (
     LONGEST_RETRY_S,
     SHORTEST_RETRY_S,
-    Waiting,
+    AdmissionRequest,
     retry_after_s,
 )
-from waxwingglade.decisions.pace import EnginePace
+from waxwingglade.decisions.engine_speed import EngineSpeed
 from waxwingglade.decisions.placement import Engine
 
 PATIENCE_S = 2.0
-FIRST, LATER = Waiting(PATIENCE_S, is_first=True), Waiting(PATIENCE_S)
+FIRST, LATER = AdmissionRequest(PATIENCE_S, is_first=True), AdmissionRequest(PATIENCE_S)
 FULL, CROWDED, HOPELESS = Engine(17, 16), Engine(26, 16), Engine(200, 16)
 
 
 class Admission(unittest.TestCase):
     def setUp(self) -> None:
-        self.pace = EnginePace()
+        self.pace = EngineSpeed()
 
     def test_where_one_engine_has_room_nothing_is_refused(self) -> None:
         for waiting in (FIRST, LATER):
@@ -33,26 +33,26 @@
         self.assertIsNone(retry_after_s(self.pace, [FULL], FIRST))
 
     def test_a_turn_that_would_begin_after_its_caller_has_left_is_refused(self) -> None:
-        self.assertGreater(self.pace.generate_s(1.0) * 185 / 16, PATIENCE_S)
+        self.assertGreater(self.pace.generation_s(1.0) * 185 / 16, PATIENCE_S)
         self.assertIsNotNone(retry_after_s(self.pace, [HOPELESS], LATER))
 
     def test_a_caller_who_waits_longer_is_not_refused(self) -> None:
-        wait_s = self.pace.generate_s(1.0) * 185 / 16
-        self.assertIsNone(retry_after_s(self.pace, [HOPELESS], Waiting(wait_s + 0.1)))
+        wait_s = self.pace.generation_s(1.0) * 185 / 16
+        self.assertIsNone(retry_after_s(self.pace, [HOPELESS], AdmissionRequest(wait_s + 0.1)))
 
     def test_a_turn_whose_time_is_over_before_it_could_begin_is_refused(self) -> None:
         self.assertIsNone(retry_after_s(self.pace, [CROWDED], LATER))
-        self.assertIsNotNone(retry_after_s(self.pace, [CROWDED], Waiting(0.1)))
+        self.assertIsNotNone(retry_after_s(self.pace, [CROWDED], AdmissionRequest(0.1)))
 
     def test_an_urgent_first_turn_is_sent_where_it_overtakes_what_waits(self) -> None:
-        urgent = Waiting(PATIENCE_S, is_first=True, share=0.5)
+        urgent = AdmissionRequest(PATIENCE_S, is_first=True, rank_share=0.5)
         self.assertIsNone(retry_after_s(self.pace, [CROWDED], urgent))
         self.assertIsNotNone(retry_after_s(self.pace, [HOPELESS], urgent))
 
     def test_the_time_to_come_back_is_the_wait_within_bounds(self) -> None:
         self.assertEqual(retry_after_s(self.pace, [HOPELESS], FIRST), LONGEST_RETRY_S)
         wait_s = retry_after_s(self.pace, [CROWDED], FIRST)
-        self.assertAlmostEqual(wait_s, self.pace.generate_s(1.0) * 11 / 16)
+        self.assertAlmostEqual(wait_s, self.pace.generation_s(1.0) * 11 / 16)
         self.assertGreaterEqual(wait_s, SHORTEST_RETRY_S)
 
     def test_without_an_engine_it_is_not_this_that_refuses(self) -> None:
--- a/waxwingglade/decisions/tests/test_dispatch.py
+++ b/waxwingglade/decisions/tests/test_dispatch.py
@@ -253,7 +253,7 @@
             while held:
                 held.pop().finished(Usage())
         self.assertEqual([view.in_flight for view in targets.targets.values()], [0, 0])
-        self.assertEqual([view.awaited for view in targets.targets.values()], [0, 0])
+        self.assertEqual([view.waiting_preferred for view in targets.targets.values()], [0, 0])
         self.assertFalse(any(len(queue) for queue in dispatcher.queues.values()))
 
     async def collect(self, tasks: list) -> list[Grant]:
--- a/waxwingglade/decisions/tests/test_dispatch_property.py
+++ b/waxwingglade/decisions/tests/test_dispatch_property.py
@@ -136,7 +136,7 @@
         )
         ended = Counter(number for number, _ in run.ends.elements())
         self.assertEqual({number: 1 for number in range(len(run.tasks))}, dict(ended))
-        left = [(view.in_flight, view.awaited) for view in run.views]
+        left = [(view.in_flight, view.waiting_preferred) for view in run.views]
         self.assertEqual([(0, 0)] * TARGETS, left)
         for queue in run.dispatcher.queues.values():
             self.assertEqual((0, {}), (len(queue), queue.waiting_of))
--- a/waxwingglade/decisions/tests/test_health.py
+++ b/waxwingglade/decisions/tests/test_health.py
@@ -23,7 +23,7 @@
 
     def fail(self, view: TargetView, failure: Failure = BROKEN, times: int = 3) -> None:
         for _ in range(times):
-            health.note_failure(self.table, view, failure)
+            health.record_failure(self.table, view, failure)
 
     def usable(self) -> int:
         return sum(self.table.usable(view) for view in self.views)
@@ -32,11 +32,11 @@
         self.fail(self.views[0], times=2)
         self.assertEqual(self.usable(), 6)
         self.fail(self.views[0], times=1)
-        self.assertFalse(self.table.has_room(self.views[0], Urgency.URGENT))
+        self.assertFalse(self.table.has_capacity(self.views[0], Urgency.URGENT))
 
     def test_success_between_failures_prevents_ejection(self) -> None:
         self.fail(self.views[0], times=2)
-        health.note_success(self.views[0])
+        health.record_success(self.views[0])
         self.fail(self.views[0], times=2)
         self.assertEqual(self.usable(), 6)
 
@@ -71,7 +71,7 @@
     def learn_speeds(self, *s_per_token: float) -> None:
         for view, seconds in zip(self.views, s_per_token, strict=True):
             for _ in range(30):
-                view.learn_decode(100, 100 * seconds)
+                view.observe_decode(100, 100 * seconds)
 
     def test_slow_target_is_ejected_and_returns_with_the_usual_speed(self) -> None:
         self.learn_speeds(0.4, 0.1, 0.1, 0.1, 0.1, 0.1)
@@ -87,7 +87,7 @@
     def test_targets_that_are_all_slow_stay(self) -> None:
         for view in self.views:
             for _ in range(30):
-                view.learn_decode(100, 40.0)
+                view.observe_decode(100, 40.0)
                 health.check_speed(self.table, view)
         self.assertEqual(self.usable(), 6)
 
--- a/waxwingglade/decisions/tests/test_parts.py
+++ b/waxwingglade/decisions/tests/test_parts.py
@@ -3,54 +3,54 @@
 import random
 import unittest
 
-from waxwingglade.decisions.parts import PartRules, Parts
+from waxwingglade.decisions.quota_share import QuotaShare, QuotaShareRules
 
-RULES = PartRules(believed_s=5.0, window_s=5.0, usual=5)
+RULES = QuotaShareRules(max_view_age_s=5.0, window_s=5.0, usual_members=5)
 MOST = 60
 STEP_S = 0.25
 
 
 class PartsTest(unittest.TestCase):
-    def parts(self, own: str = "a", **fields: bool | int) -> Parts:
-        return Parts(RULES, own, **fields)
+    def parts(self, own: str = "a", **fields: bool | int) -> QuotaShare:
+        return QuotaShare(RULES, own, **fields)
 
     def test_a_member_that_joined_grants_nothing_before_others_must_have_heard(self) -> None:
         parts = self.parts()
-        parts.learn(2, "abcde", 100.0)
-        self.assertEqual(0, parts.of(MOST, "shop", 100.0 + RULES.settle_s - 0.1))
-        self.assertEqual(12, parts.of(MOST, "shop", 100.0 + RULES.settle_s))
+        parts.update_members(2, "abcde", 100.0)
+        self.assertEqual(0, parts.share_of(MOST, "shop", 100.0 + RULES.settle_s - 0.1))
+        self.assertEqual(12, parts.share_of(MOST, "shop", 100.0 + RULES.settle_s))
 
     def test_a_member_that_was_one_before_its_restart_goes_on(self) -> None:
         parts = self.parts(joined_before=True)
-        parts.learn(2, "abcde", 100.0)
-        self.assertEqual(12, parts.of(MOST, "shop", 100.0))
+        parts.update_members(2, "abcde", 100.0)
+        self.assertEqual(12, parts.share_of(MOST, "shop", 100.0))
 
     def test_who_was_removed_and_joins_again_waits(self) -> None:
         parts = self.parts(joined_before=True)
         for epoch, members in ((2, "abcde"), (3, "bcde"), (4, "abcde")):
-            parts.learn(epoch, members, 100.0 + epoch)
-        self.assertEqual(0, parts.of(MOST, "shop", 105.0))
+            parts.update_members(epoch, members, 100.0 + epoch)
+        self.assertEqual(0, parts.share_of(MOST, "shop", 105.0))
 
     def test_parts_grow_only_once_nobody_goes_by_the_larger_set(self) -> None:
         parts = self.parts(joined_before=True)
-        parts.learn(2, "abcdef", 100.0)
-        parts.learn(3, "abcde", 200.0)
-        self.assertEqual(10, parts.of(MOST, "shop", 200.0 + RULES.settle_s - 0.1))
-        self.assertEqual(12, parts.of(MOST, "shop", 200.0 + RULES.settle_s))
+        parts.update_members(2, "abcdef", 100.0)
+        parts.update_members(3, "abcde", 200.0)
+        self.assertEqual(10, parts.share_of(MOST, "shop", 200.0 + RULES.settle_s - 0.1))
+        self.assertEqual(12, parts.share_of(MOST, "shop", 200.0 + RULES.settle_s))
 
     def test_sets_that_were_never_heard_of_may_have_been_larger(self) -> None:
         parts = self.parts(joined_before=True)
-        parts.learn(2, "abcde", 100.0)
-        parts.learn(4, "abcde", 200.0)
-        self.assertEqual(10, parts.of(MOST, "shop", 200.0))
+        parts.update_members(2, "abcde", 100.0)
+        parts.update_members(4, "abcde", 200.0)
+        self.assertEqual(10, parts.share_of(MOST, "shop", 200.0))
 
     def test_the_remainder_is_dealt_out_and_all_of_the_limit_is_used(self) -> None:
         for most in (1, 3, 7, 59, 61):
             total = 0
             for own in "abcde":
                 parts = self.parts(own, joined_before=True)
-                parts.learn(2, "abcde", 0.0)
-                total += parts.of(most, "shop", 100.0)
+                parts.update_members(2, "abcde", 0.0)
+                total += parts.share_of(most, "shop", 100.0)
             self.assertEqual(most, total)
 
     def test_changing_sets_and_members_that_lag_never_grant_more_than_the_limit(self) -> None:
@@ -62,7 +62,7 @@
         """Return the most that was granted in any window of one history."""
         names = [f"m{number}" for number in range(9)]
         history = [(0.0, 1, tuple(names[:5]))]
-        parts = {name: Parts(RULES, name, joined_before=name in names[:5]) for name in names}
+        parts = {name: QuotaShare(RULES, name, joined_before=name in names[:5]) for name in names}
         granted: dict[str, list[float]] = {name: [] for name in names}
         lag_s = dict.fromkeys(names, 0.0)
         most, now = 0, 0.0
@@ -72,7 +72,7 @@
                 history.append((now, history[-1][1] + 1, self.changed(chance, history, names)))
             for name in names:
                 lag_s[name] = chance.choice((lag_s[name] + STEP_S, 0.0, 1.0))
-                if lag_s[name] <= RULES.believed_s:
+                if lag_s[name] <= RULES.max_view_age_s:
                     self.grant(parts[name], granted[name], history, now, now - lag_s[name])
             since = now - RULES.window_s
             most = max(most, sum(at > since for times in granted.values() for at in times))
@@ -94,7 +94,7 @@
 
     def grant(
         self,
-        parts: Parts,
+        parts: QuotaShare,
         granted: list[float],
         history: list[tuple[float, int, tuple[str, ...]]],
         now: float,
@@ -102,8 +102,8 @@
     ) -> None:
         """Let a member that knows the sets up to a moment grant all that it may."""
         _, epoch, members = max(each for each in history if each[0] <= max(0.0, known_until))
-        parts.learn(epoch, members, now)
-        part = parts.of(MOST, "shop", now)
+        parts.update_members(epoch, members, now)
+        part = parts.share_of(MOST, "shop", now)
         recent = sum(at > now - RULES.window_s for at in granted)
         granted.extend([now] * max(0, part - recent))
 
--- a/waxwingglade/decisions/tests/test_placement.py
+++ b/waxwingglade/decisions/tests/test_placement.py
@@ -3,15 +3,15 @@
 import unittest
 
 from waxwingglade.base import TargetId, ZoneId
-from waxwingglade.decisions.pace import EnginePace
-from waxwingglade.decisions.placement import Engine, homes, tokens_to_read, turn_cost_s
+from waxwingglade.decisions.engine_speed import EngineSpeed
+from waxwingglade.decisions.placement import Engine, home_targets, turn_cost_s, uncached_tokens
 
 PARTS = [("shared", 2_000), ("own", 500), ("new", 100)]
 
 
 class Costs(unittest.TestCase):
     def setUp(self) -> None:
-        self.pace = EnginePace()
+        self.pace = EngineSpeed()
 
     def test_reading_costs_more_where_more_turns_wait_for_it(self) -> None:
         idle = turn_cost_s(self.pace, Engine(0, 16), 3_000) - turn_cost_s(
@@ -40,18 +40,18 @@
 class Reading(unittest.TestCase):
     def test_what_is_held_is_not_read(self) -> None:
         held = {"shared": 2_000, "own": 500, "new": 100}
-        self.assertEqual(tokens_to_read(PARTS, held), 0)
-        self.assertEqual(tokens_to_read(PARTS, {**held, "new": 40}), 60)
+        self.assertEqual(uncached_tokens(PARTS, held), 0)
+        self.assertEqual(uncached_tokens(PARTS, {**held, "new": 40}), 60)
 
     def test_what_follows_a_missing_part_is_read_too(self) -> None:
-        self.assertEqual(tokens_to_read(PARTS, {"own": 500, "new": 100}), 2_600)
-        self.assertEqual(tokens_to_read(PARTS, {"shared": 2_000, "own": 200}), 400)
+        self.assertEqual(uncached_tokens(PARTS, {"own": 500, "new": 100}), 2_600)
+        self.assertEqual(uncached_tokens(PARTS, {"shared": 2_000, "own": 200}), 400)
 
     def test_a_part_may_be_assumed(self) -> None:
-        self.assertEqual(tokens_to_read(PARTS, {"own": 500}, "shared"), 100)
+        self.assertEqual(uncached_tokens(PARTS, {"own": 500}, "shared"), 100)
 
     def test_a_shared_part_has_homes_in_half_of_each_zone(self) -> None:
         places = [(TargetId(f"e{n}"), ZoneId(f"z{n % 2}")) for n in range(10)]
-        chosen = homes("part", places)
+        chosen = home_targets("part", places)
         self.assertEqual(len(chosen), 6)
-        self.assertEqual(chosen, homes("part", reversed(places)))
+        self.assertEqual(chosen, home_targets("part", reversed(places)))
--- a/waxwingglade/decisions/tests/test_program_starts.py
+++ b/waxwingglade/decisions/tests/test_program_starts.py
@@ -4,8 +4,8 @@
 import random
 import unittest
 
-from waxwingglade.decisions.program_starts import ProgramSize, Starts, may_begin
-from waxwingglade.decisions.quota import Grants, QuotaRules, judge
+from waxwingglade.decisions.program_starts import ProgramLength, ProgramStarts, may_begin
+from waxwingglade.decisions.quota import Grants, QuotaRules, decide
 
 RULES = QuotaRules(window_s=5.0, excess=0.1, slack=20.0)
 
@@ -24,7 +24,7 @@
     def completed(self, gated: bool, most: int, programs_per_s: float, seed: int) -> int:
         """Return how many programs are whole at their ends: those of 40 s, after a calm time."""
         chance = random.Random(seed)
-        grants, starts, size, whole = Grants(), Starts(), ProgramSize(), 0
+        grants, starts, size, whole = Grants(), ProgramStarts(), ProgramLength(), 0
         calm_per_s = 0.5 * most / RULES.window_s / self.REQUESTS
         begins, now = [], -20.0
         while (now := now + chance.expovariate(programs_per_s if now > 0 else calm_per_s)) < 40.0:
@@ -32,18 +32,20 @@
         heapq.heapify(begins)
         while begins:
             now, name, done, failed = heapq.heappop(begins)
-            may = not gated or done or may_begin(starts, most, RULES, now, size.usual).granted
-            if may and judge(grants, most, RULES, now).granted:
-                grants.note(now)
-                if not grants.refused_lately(now):
-                    size.note(done == 0)
+            may = (
+                not gated or done or may_begin(starts, most, RULES, now, size.mean_requests).granted
+            )
+            if may and decide(grants, most, RULES, now).granted:
+                grants.record(now)
+                if not grants.recently_refused(now):
+                    size.record(done == 0)
                 done, failed = done + 1, 0
                 if done == self.REQUESTS:
                     whole += now > 0
                     continue
                 heapq.heappush(begins, (now + self.PACE_S, name, done, failed))
                 continue
-            starts.note_refused(done > 0, now)
+            starts.record_refused(done > 0, now)
             if failed + 1 < self.TRIES:
                 heapq.heappush(begins, (now + self.RETRY_S, name, done, failed + 1))
         return whole
--- a/waxwingglade/decisions/tests/test_quota.py
+++ b/waxwingglade/decisions/tests/test_quota.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from waxwingglade.decisions.quota import Grants, QuotaRules, judge, restored
+from waxwingglade.decisions.quota import Grants, QuotaRules, decide, restore_times
 
 RULES = QuotaRules(window_s=5.0, excess=0.1, slack=20.0)
 
@@ -22,14 +22,14 @@
     """Times of a clock that goes on, or began anew with the machine."""
 
     def test_by_a_clock_that_goes_on_they_are_as_they_were(self) -> None:
-        self.assertEqual([1.0, 3.0, 4.0], restored([1.0, 3.0, 4.0], 9.0))
-        self.assertEqual([], restored([], 9.0))
+        self.assertEqual([1.0, 3.0, 4.0], restore_times([1.0, 3.0, 4.0], 9.0))
+        self.assertEqual([], restore_times([], 9.0))
 
     def test_by_a_clock_that_began_anew_the_last_is_now_and_the_others_lie_before(self) -> None:
-        self.assertEqual([-1.0, 1.0, 2.0], restored([70.0, 72.0, 73.0], 2.0))
+        self.assertEqual([-1.0, 1.0, 2.0], restore_times([70.0, 72.0, 73.0], 2.0))
 
     def test_a_machine_that_began_anew_twice(self) -> None:
-        self.assertEqual([-1.0, 1.0, 1.0, 2.0], restored([70.0, 72.0, 4.0, 5.0], 2.0))
+        self.assertEqual([-1.0, 1.0, 1.0, 2.0], restore_times([70.0, 72.0, 4.0, 5.0], 2.0))
 
     @given(st.lists(st.tuples(st.floats(0.0, 9.0), st.booleans()), min_size=1, max_size=30))
     def test_none_is_taken_for_older_than_it_is(self, steps: list[tuple[float, bool]]) -> None:
@@ -39,7 +39,7 @@
             clock = 0.0 if begins_anew else clock + pause_s
             times.append(clock)
             moments.append(true)
-        for moment, read in zip(moments, restored(times, clock), strict=True):
+        for moment, read in zip(moments, restore_times(times, clock), strict=True):
             self.assertGreaterEqual(true - moment + 1e-6, clock - read)
 
 
@@ -53,32 +53,32 @@
         grants, now, passed = Grants(), 0.0, []
         for pause_s in pauses:
             now += pause_s
-            if judge(grants, most, RULES, now).granted:
-                grants.note(now)
+            if decide(grants, most, RULES, now).granted:
+                grants.record(now)
                 passed.append(now)
         self.assertLessEqual(most_in_a_span(passed, RULES.window_s), most)
 
     def test_whoever_comes_back_as_told_finds_room(self) -> None:
         grants = Grants()
         for at in (0.0, 1.0, 2.0):
-            grants.note(at)
-        refused = judge(grants, 3, RULES, 2.5)
+            grants.record(at)
+        refused = decide(grants, 3, RULES, 2.5)
         self.assertFalse(refused.granted)
         self.assertAlmostEqual(2.5, refused.retry_s)
-        self.assertTrue(judge(grants, 3, RULES, 2.5 + refused.retry_s).granted)
+        self.assertTrue(decide(grants, 3, RULES, 2.5 + refused.retry_s).granted)
 
     def test_a_limit_that_was_lowered_binds_at_once(self) -> None:
         grants = Grants()
         for at in range(4):
-            grants.note(float(at))
-        refused = judge(grants, 2, RULES, 4.0)
+            grants.record(float(at))
+        refused = decide(grants, 2, RULES, 4.0)
         self.assertAlmostEqual(3.0, refused.retry_s)
-        self.assertFalse(judge(grants, 0, RULES, 4.0).granted)
+        self.assertFalse(decide(grants, 0, RULES, 4.0).granted)
 
     def test_what_was_given_back_is_free_again(self) -> None:
         grants = Grants()
         for at in (0.0, 1.0):
-            grants.note(at)
+            grants.record(at)
         grants.give_back(0.0)
         self.assertEqual([1.0], list(grants.times), "the other one counts on")
 
--- a/waxwingglade/decisions/tests/test_release.py
+++ b/waxwingglade/decisions/tests/test_release.py
@@ -7,9 +7,9 @@
     DecisionSettings,
     Dispatcher,
     Holding,
-    PauseBook,
     PauseDecision,
-    ReleaseBook,
+    PauseTracker,
+    ReleaseTracker,
 )
 from waxwingglade.decisions.tests.builders import NOTICE, FakeClock, blocks, engine, table, work
 
@@ -21,9 +21,9 @@
     def setUp(self) -> None:
         self.clock = FakeClock()
         settings = DecisionSettings(release_retry_s=2.0, hold_max_s=60.0)
-        self.book = ReleaseBook(settings, self.clock)
-        self.book.note_sent(PROGRAM, A)
-        self.book.note_sent(PROGRAM, B)
+        self.book = ReleaseTracker(settings, self.clock)
+        self.book.record_sent(PROGRAM, A)
+        self.book.record_sent(PROGRAM, B)
 
     def test_end_releases_every_target_that_was_used(self) -> None:
         self.assertEqual(
@@ -44,17 +44,17 @@
 
     def test_late_repeat_does_not_hit_cache_that_is_used_again(self) -> None:
         self.book.release(PROGRAM)
-        self.book.note_sent(PROGRAM, A)
+        self.book.record_sent(PROGRAM, A)
         self.clock.advance(2.0)
         self.assertEqual(self.book.due(), [Holding(PROGRAM, B)])
 
     def test_sweep_finds_programs_that_ended_unseen(self) -> None:
-        self.book.note_sent(OTHER, A)
+        self.book.record_sent(OTHER, A)
         self.assertEqual(self.book.sweep({PROGRAM}), [Holding(OTHER, A)])
 
     def test_sweep_bounds_how_long_idle_cache_is_held(self) -> None:
         self.clock.advance(30.0)
-        self.book.note_sent(OTHER, A)
+        self.book.record_sent(OTHER, A)
         self.clock.advance(30.0)
         self.assertEqual(
             set(self.book.sweep({PROGRAM, OTHER})), {Holding(PROGRAM, A), Holding(PROGRAM, B)}
@@ -62,7 +62,7 @@
 
     def test_target_that_is_gone_needs_no_release(self) -> None:
         self.book.release(PROGRAM)
-        self.book.note_sent(OTHER, A)
+        self.book.record_sent(OTHER, A)
         self.book.forget_target(A)
         self.clock.advance(2.0)
         self.assertEqual(self.book.due(), [Holding(PROGRAM, B)])
@@ -72,7 +72,7 @@
 class PauseTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
-        self.book = PauseBook(DecisionSettings(hold_max_s=60.0), self.clock)
+        self.book = PauseTracker(DecisionSettings(hold_max_s=60.0), self.clock)
 
     def learn(self, *lengths_s: float) -> None:
         for length_s in lengths_s:
@@ -87,7 +87,7 @@
 
     def test_tool_that_usually_pauses_beyond_the_bound_lets_go(self) -> None:
         self.learn(100.0, 2.0, 200.0, 300.0, 90.0)
-        self.assertIs(self.book.begin(PROGRAM, NOTICE), PauseDecision.LET_GO)
+        self.assertIs(self.book.begin(PROGRAM, NOTICE), PauseDecision.RELEASE)
 
     def test_memory_is_bounded(self) -> None:
         self.learn(*[100.0] * 100)
--- a/waxwingglade/decisions/tests/test_retry.py
+++ b/waxwingglade/decisions/tests/test_retry.py
@@ -35,7 +35,7 @@
         failure = Failure(Verdict.NOT_RUN, ErrorCode.UNAVAILABLE, "")
         retried = 0
         for _ in range(200):
-            self.budget.note_first_attempt()
+            self.budget.record_first_attempt()
             retried += may_retry(work(), failure, self.budget)
         self.assertIn(retried, (20, 21, 22))
 
--- a/waxwingglade/decisions/tests/test_targets.py
+++ b/waxwingglade/decisions/tests/test_targets.py
@@ -21,7 +21,7 @@
         self.view = self.table.targets[A]
 
     def send(self, count: int = 1) -> None:
-        self.view.note_in_flight(self.clock(), count)
+        self.view.record_in_flight(self.clock(), count)
         self.table.refresh(self.view)
 
     def report(self, running: int, age_s: float = 0.0) -> None:
@@ -58,7 +58,7 @@
         self.assertEqual(self.table.expire_reports(), [])
         self.clock.advance(3.0)
         self.assertEqual(self.table.expire_reports(), [self.view])
-        self.assertTrue(self.table.has_room(self.view, Urgency.NORMAL))
+        self.assertTrue(self.table.has_capacity(self.view, Urgency.NORMAL))
 
     def test_routine_leaves_room_and_urgent_may_go_beyond_the_slots(self) -> None:
         open_at = {
@@ -73,9 +73,9 @@
         self.send(load - self.view.in_flight)
         self.assertEqual(
             self.view in self.table.open[MODEL][urgency],
-            self.table.has_room(self.view, urgency),
+            self.table.has_capacity(self.view, urgency),
         )
-        return self.table.has_room(self.view, urgency)
+        return self.table.has_capacity(self.view, urgency)
 
 
 class StateTest(unittest.TestCase):
@@ -86,10 +86,10 @@
     def test_leaving_target_has_no_room(self) -> None:
         view = self.table.targets[A]
         self.table.set_leaving(A)
-        self.assertFalse(any(self.table.has_room(view, urgency) for urgency in Urgency))
+        self.assertFalse(any(self.table.has_capacity(view, urgency) for urgency in Urgency))
         self.assertFalse(any(view in members for members in self.table.open[MODEL].values()))
         self.table.set_leaving(A, False)
-        self.assertTrue(self.table.has_room(view, Urgency.ROUTINE))
+        self.assertTrue(self.table.has_capacity(view, Urgency.ROUTINE))
 
     def test_new_target_gets_its_slots_little_by_little(self) -> None:
         view = self.table.add(engine("b", slots=8), slow_start=True)
--- a/waxwingglade/ingress/attempt.py
+++ b/waxwingglade/ingress/attempt.py
@@ -179,7 +179,7 @@
         request = HttpRequest(self.call.method, self.call.path, headers, body)
         sent_at = self.balancer.clock()
         self.balancer.sent(target, self.call)
-        self.balancer.ranks_of(self.service.name).note(self.route.rank)
+        self.balancer.ranks_of(self.service.name).record(self.route.rank)
         try:
             self.sent += 1
             connection.send(request)
--- a/waxwingglade/ingress/balance.py
+++ b/waxwingglade/ingress/balance.py
@@ -11,8 +11,8 @@
 
 from waxwingglade.base import Clock, TargetId, ZoneId, monotonic
 from waxwingglade.base.rendezvous import weight
-from waxwingglade.decisions.pace import EnginePace, Turn
-from waxwingglade.decisions.placement import Engine, homes, tokens_to_read, turn_cost_s
+from waxwingglade.decisions.engine_speed import CompletedTurn, EngineSpeed
+from waxwingglade.decisions.placement import Engine, home_targets, turn_cost_s, uncached_tokens
 from waxwingglade.decisions.ranks import RankShares
 from waxwingglade.follow.model import (
     IncarnationName,
@@ -77,7 +77,7 @@
         self.clock = clock
         self.states: dict[TargetId, TargetState] = {}
         self.by_service: dict[ServiceName, list[TargetState]] = {}
-        self.speeds: dict[ServiceName, EnginePace] = {}
+        self.speeds: dict[ServiceName, EngineSpeed] = {}
         self.usual_external_load: dict[ServiceName, float] = {}
         self.ranks: dict[ServiceName, RankShares] = {}
         self.revision = -1
@@ -108,9 +108,9 @@
             self.by_service.setdefault(target.service, []).append(state)
         return removed
 
-    def speed_of(self, service: ServiceName) -> EnginePace:
+    def speed_of(self, service: ServiceName) -> EngineSpeed:
         """Return what was observed of a service's engines."""
-        return self.speeds.setdefault(service, EnginePace())
+        return self.speeds.setdefault(service, EngineSpeed())
 
     def ranks_of(self, service: ServiceName) -> RankShares:
         """Return how urgent the turns are that this entry sends to a service."""
@@ -199,7 +199,7 @@
         parts = [(part.part, part.tokens) for part in call.prompt_parts]
         shared = call.prompt_parts[0] if len(parts) > 1 else None
         places = [(state.target.target, state.target.zone) for state in states]
-        at_home = homes(shared.part, places) if shared else set()
+        at_home = home_targets(shared.part, places) if shared else set()
         preferred = history.holder if history else self._preferred(call, states, at_home)
         reading = []
         for state in states:
@@ -207,7 +207,7 @@
                 reading.append(0)
                 continue
             assumed = shared.part if shared and state.target.target in at_home else None
-            reading.append(tokens_to_read(parts, state.cached_parts, assumed))
+            reading.append(uncached_tokens(parts, state.cached_parts, assumed))
         return reading
 
     def _preferred(
@@ -287,10 +287,10 @@
         state = self._state(choice.target)
         if state is None:
             return
-        turn = Turn(
+        turn = CompletedTurn(
             choice.load / state.slots, choice.prefill_tokens, first_event_s, seconds, events
         )
-        ratio = self.speed_of(choice.target.service).learn(turn)
+        ratio = self.speed_of(choice.target.service).observe(turn)
         self.succeeded(choice.target, ratio)
 
     def succeeded(self, target: Target, unit_s: float) -> None:
@@ -304,13 +304,13 @@
             Seconds of a plain answer; of a stream, how many times slower than usual it came.
         """
         if state := self._state(target):
-            state.ejection.succeeded()
+            state.ejection.record_success()
             state.observe(unit_s)
 
     def failed(self, target: Target, is_error: bool = False) -> None:
         """Note that a target broke off, could not be reached, or answered an error."""
         if state := self._state(target):
-            state.ejection.failed(is_error)
+            state.ejection.record_failure(is_error)
 
 
 __all__ = ["Balancer", "Choice", "History"]
--- a/waxwingglade/ingress/streaming.py
+++ b/waxwingglade/ingress/streaming.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from waxwingglade.base import wall
-from waxwingglade.decisions.admission import Waiting, retry_after_s
+from waxwingglade.decisions.admission import AdmissionRequest, retry_after_s
 from waxwingglade.follow.model import IncarnationName
 from waxwingglade.ingress.attempt import MAX_ANSWER_BYTES, Attempts, Head, promises_not_run
 from waxwingglade.ingress.balance import Balancer, History
@@ -166,8 +166,8 @@
     if service.engine is None:
         return
     patience_s = min(serving.route.patience_s, serving.time_left())
-    share = balancer.ranks_of(service.name).up_to(serving.route.rank)
-    waiting = Waiting(patience_s, is_first, share)
+    share = balancer.ranks_of(service.name).share_up_to(serving.route.rank)
+    waiting = AdmissionRequest(patience_s, is_first, share)
     retry_s = retry_after_s(
         balancer.speed_of(service.name), balancer.engines(service.name), waiting
     )
--- a/waxwingglade/ledger/quotas.py
+++ b/waxwingglade/ledger/quotas.py
@@ -8,9 +8,9 @@
 
 from waxwingglade.base import Clock, monotonic
 from waxwingglade.base.logs import Sampler
-from waxwingglade.decisions.parts import PartRules, Parts
-from waxwingglade.decisions.program_starts import ProgramSize, Starts, may_begin
-from waxwingglade.decisions.quota import Grants, QuotaRules, judge
+from waxwingglade.decisions.program_starts import ProgramLength, ProgramStarts, may_begin
+from waxwingglade.decisions.quota import Grants, QuotaRules, decide
+from waxwingglade.decisions.quota_share import QuotaShare, QuotaShareRules
 from waxwingglade.follow.feed import CachedView
 from waxwingglade.follow.model import ClientAccount, ClientAccountId, View
 from waxwingglade.ledger.messages import (
@@ -73,22 +73,22 @@
         clock: Clock = monotonic,
     ) -> None:
         self.rules = rules
-        self.part_rules = PartRules(OLDEST_VIEW_S, rules.window_s, usual_members)
+        self.part_rules = QuotaShareRules(OLDEST_VIEW_S, rules.window_s, usual_members)
         self.beliefs = beliefs
         self.replica = replica
         self.bootstrap = bootstrap
         self.clock = clock
-        self.parts = Parts(self.part_rules, replica.disk)
+        self.parts = QuotaShare(self.part_rules, replica.disk)
         self.view: View | None = None
         self.accounts: dict[ClientAccountId, ClientAccount] = {}
-        self.program_size = ProgramSize()
-        self.starts: dict[ClientAccountId, Starts] = {}
+        self.program_size = ProgramLength()
+        self.starts: dict[ClientAccountId, ProgramStarts] = {}
         self.refusals = Sampler(REFUSALS_LOGGED_PER_S)
 
     def open(self) -> None:
         """Go on from what the disk holds."""
         joined_before = self.bootstrap or self.replica.counts
-        self.parts = Parts(
+        self.parts = QuotaShare(
             self.part_rules, self.replica.disk, joined_before, self.replica.largest_set
         )
 
@@ -110,10 +110,10 @@
         if isinstance(account, Unavailable):
             return account
         now = self.clock()
-        starts = self.starts.setdefault(account.name, Starts())
-        starts.note_refused(message.refused, now)
+        starts = self.starts.setdefault(account.name, ProgramStarts())
+        starts.record_refused(message.refused, now)
         most = self.rules.most(account.rate_per_s, account.burst)
-        verdict = may_begin(starts, most, self.rules, now, self.program_size.usual)
+        verdict = may_begin(starts, most, self.rules, now, self.program_size.mean_requests)
         if account.rate_per_s <= 0 or verdict.granted:
             return QuotaTaken()
         return QuotaSpent(verdict.retry_s)
@@ -136,16 +136,16 @@
             return Granted()
         now = self.clock()
         most = self.rules.most(account.rate_per_s, account.burst)
-        part = self.parts.of(most, client, now)
+        part = self.parts.share_of(most, client, now)
         grants = self.replica.grants.setdefault(client, Grants())
-        verdict = judge(grants, part, self.rules, now)
+        verdict = decide(grants, part, self.rules, now)
         if not verdict.granted:
             self._log(account, part, grants)
             return QuotaSpent(verdict.retry_s)
-        grants.note(now)
-        if not grants.refused_lately(now):
+        grants.record(now)
+        if not grants.recently_refused(now):
             # Programs that were refused end early, and would pass for short ones.
-            self.program_size.note(is_first)
+            self.program_size.record(is_first)
         return Granted(now, self.replica.record_grant(client, now))
 
     def give_back(self, client: ClientAccountId, granted: Granted) -> None:
@@ -165,7 +165,7 @@
             return
         self.view = view
         members = [member.disk for member in view.replicas.members]
-        self.parts.learn(view.replicas.epoch, members, self.clock())
+        self.parts.update_members(view.replicas.epoch, members, self.clock())
         accounts = (view.configuration.accounts if view.configuration else None) or ()
         self.accounts = {account.name: account for account in reversed(accounts)}
 
--- a/waxwingglade/ledger/replica.py
+++ b/waxwingglade/ledger/replica.py
@@ -9,7 +9,7 @@
 from loguru import logger
 
 from waxwingglade.base import Clock, ProgramId, monotonic, wall
-from waxwingglade.decisions.quota import Grants, restored
+from waxwingglade.decisions.quota import Grants, restore_times
 from waxwingglade.follow.model import ClientAccountId, ReplicaSet
 from waxwingglade.ledger.confirmations import Confirmations
 from waxwingglade.ledger.journal import Journal, Place
@@ -199,10 +199,10 @@
         """Count what was granted before the start, as far as it may be recent."""
         now = self.clock()
         records, self.granted_before = self.granted_before, []
-        moments = restored([record.at for record in records], now)
+        moments = restore_times([record.at for record in records], now)
         for record, at in zip(records, moments, strict=True):
             if at > now - GRANTS_KEPT_S:
-                self.grants.setdefault(record.client, Grants()).note(at)
+                self.grants.setdefault(record.client, Grants()).record(at)
 
     async def stop(self) -> None:
         """Close the disk."""
