--- a/waxwingglade/ledger/client.py
+++ b/waxwingglade/ledger/client.py
@@ -1,4 +1,4 @@
-"""The ledger as an entry uses it: the nearest replica, and the next one if that gives no answer."""
+"""Client of the ledger for an entry: asks the nearest replica, and the next one if it fails."""
 
 import asyncio
 import contextlib
@@ -33,64 +33,68 @@
 from waxwingglade.ledger.quota_client import QuotaClient
 from waxwingglade.transport.links import LinkFailed, Links
 
-ASK_S = 0.4
-"""Seconds for an answer before another replica is asked; a decision usually takes some 5 ms."""
+REPLICA_TIMEOUT_S = 0.4
+"""Timeout in seconds of a request to one replica, after which another replica is asked.  A replica
+usually answers within about 5 ms."""
 
-SETTLE_S = 1.5
-"""Seconds for the first try of a settlement, over all replicas."""
+RESOLVE_TIMEOUT_S = 1.5
+"""Seconds for the first attempt to resolve a reservation, over all replicas."""
 
-SETTLE_TRIES_S = (0.3, 0.6, 1.2, 2.4, 4.8, 9.6)
-"""Pauses before a settlement is tried again after the response has ended.  Each try asks as many
-replicas as fit into `ASK_S`: a ledger that can't keep up must not be asked more for it."""
+RESOLVE_PAUSES_S = (0.3, 0.6, 1.2, 2.4, 4.8, 9.6)
+"""Pauses in seconds before the further attempts to resolve a reservation, after the response has
+ended.  Each attempt is limited to `REPLICA_TIMEOUT_S` in total, so that retries do not overload a
+ledger that is already slow."""
 
-TELL_S = 0.25
-"""Seconds that a settlement may take before all replicas are told of the turn's end.  It usually
-takes some 5 ms, and 0.24 s at a process that has as much to do as it takes on; telling all of a
-ledger that is merely busy would make it busier."""
+NOTIFY_DELAY_S = 0.25
+"""Seconds after which all replicas are notified of the end of a turn whose reservation is not
+resolved yet.  Resolving takes about 5 ms usually and 0.24 s at a process at full load; a shorter
+delay would notify all replicas of a ledger that is merely busy, and add to its load."""
 
-NOTED_S = 0.1
-"""Seconds for which a refusal waits until a majority has noted or settled that its turn has ended;
-longer than a flush of a slow disk, and short against the time in which a caller comes back."""
+RECORDED_TIMEOUT_S = 0.1
+"""Seconds for which a refusal waits until a majority has recorded the end of its turn or resolved
+its reservation: longer than a flush of a slow disk, and short compared with the time after which a
+caller retries."""
 
-HAND_OVER_S = 0.1
-"""Seconds for which a process that ends waits until replicas have noted what it has not settled; a
-flush of a disk takes some 1 ms."""
+SHUTDOWN_TIMEOUT_S = 0.1
+"""Seconds for which a process that shuts down waits until the replicas have recorded the ends whose
+reservations are not resolved.  A flush of a disk takes about 1 ms."""
 
-MOST_BUSY = 2
-"""Replicas that may answer that they have too much to do before a caller is refused."""
+MAX_BUSY_ANSWERS = 2
+"""Number of replicas that answer `Busy` after which a caller is refused."""
 
 RETRY_PAUSE_S = 0.05
-LONGEST_PAUSE_S = 1.0
-"""Seconds up to which the pause doubles with each round of replicas, as each asking sends the turn
-to all members."""
+MAX_RETRY_PAUSE_S = 1.0
+"""Upper bound in seconds of the pause, which doubles with each round of requests to the replicas,
+since each request sends the turn to all members."""
 
 BUSY_PAUSE_S = 0.25
-"""Seconds before replicas that have too much to do are asked again to keep a turn, about as long as
-they take for what they have."""
+"""Seconds before busy replicas are asked again to store a turn, about the time that they need for
+their pending work."""
 
 AVOID_S = 1.0
-"""Seconds for which a replica that gave no answer, or reached no majority, is asked last."""
+"""Seconds for which a replica that did not answer, or reached no majority, is asked last."""
 
 NOT_CONNECTED = "not connected"
-"""What is noted of a replica to which nothing was sent."""
+"""Value of `Asked.answer` for a replica to which nothing was sent."""
 
-SLOW_S = 0.2
-"""Seconds from which on a line tells whom a request was sent to, and what each answered."""
+SLOW_LOG_S = 0.2
+"""Seconds from which on a request is logged, with the replicas that it was sent to and their
+answers."""
 
 T = TypeVar("T")
 
 
 class Asked(msgspec.Struct):
-    """One asking of a replica, for the log.
+    """A request to one replica, for the log.
 
     Parameters
     ----------
     replica : str
         VM of the replica.
     began_at, ended_at : float
-        Monotonic seconds; no end while it is under way.
+        Start and end in monotonic seconds; the end is None while the request is in progress.
     answer : str
-        What was answered, in a few words.
+        Short description of the answer.
     """
 
     replica: str
@@ -100,7 +104,7 @@
 
 
 class LedgerClient:
-    """The ledger for one entry.
+    """Client of the ledger for one entry.
 
     Parameters
     ----------
@@ -135,23 +139,24 @@
     ) -> TurnBegun | BudgetSpent | NoSuchTurn | QuotaSpent | Unavailable | Busy:
         """Reserve a turn's tokens and get the chain before it, within `timeout_s` seconds.
 
-        `Busy` and `QuotaSpent` say that no replica did anything, so that nothing has to be settled.
+        `Busy` and `QuotaSpent` mean that no replica has reserved anything, so that there is no
+        reservation to resolve.
         """
         end_at = self.clock() + timeout_s
         if message.client is not None and (spent := self.quotas.known_spent(message.client)):
             return spent
         with self._log_if_slow(message) as asked:
-            answer = await self._try(message, end_at, lambda _: True, asked)
+            answer = await self._ask_in_order(message, end_at, lambda _: True, asked)
             if isinstance(answer, QuotaSpent):
-                # Its part is used up; another member may still grant the turn.
+                # This member's quota share is used up; another member may still grant the turn.
                 assert message.client is not None
                 others = [each for each in self._in_order(message) if each.vm != asked[-1].replica]
                 answer = await self.quotas.take_from(others, message.client, answer, end_at)
                 if isinstance(answer, QuotaTaken):
                     counted = msgspec.structs.replace(message, is_counted=True)
-                    answer = await self._try(counted, end_at, lambda _: True, asked)
+                    answer = await self._ask_in_order(counted, end_at, lambda _: True, asked)
             if isinstance(answer, QuotaSpent | Busy) and any(map(_may_have_acted, asked)):
-                answer = Unavailable(f"a replica gave no answer, another {_told(answer)}")
+                answer = Unavailable(f"a replica gave no answer, another {_describe(answer)}")
         if isinstance(
             answer, TurnBegun | BudgetSpent | NoSuchTurn | QuotaSpent | Unavailable | Busy
         ):
@@ -159,78 +164,83 @@
         return Unavailable("no replica answered")
 
     async def confirm(self, message: ConfirmTurn, timeout_s: float) -> bool:
-        """Make the reservation of a turn count until it ends; return whether it does.
+        """Confirm the reservation of a turn, so that it holds until the turn ends.
 
-        Until then the turn may lose it, and its caller must not get any token.
+        Until it is confirmed, the reservation may expire, and the caller must not get any token.
+        Returns whether the reservation is confirmed.
         """
         end_at = self.clock() + timeout_s
         with self._log_if_slow(message) as asked:
-            answer = await self._try(message, end_at, lambda _: True, asked, patient=True)
+            answer = await self._ask_in_order(message, end_at, lambda _: True, asked, retry=True)
         return isinstance(answer, TurnConfirmed)
 
     async def end(self, message: EndTurn, timeout_s: float) -> bool:
-        """Keep a turn and settle its reservation; return whether the turn is kept.
+        """Store a turn and resolve its reservation; return whether the turn is stored.
 
-        Its caller has nearly all of its answer, so this is tried for as long as the caller has
-        time.  A settlement that did not come about is tried again in the background.
+        The caller has received nearly all of its answer by then, so storing is retried until the
+        caller's time is over.  A reservation that could not be resolved is retried in the
+        background.
 
         Parameters
         ----------
         timeout_s : float
-            Seconds that the caller has left; one replica is asked whatever they are.
+            Seconds that the caller has left; one replica is asked even if there are none.
         """
         end_at = self.clock() + timeout_s
         with self._log_if_slow(message) as asked:
-            first_until = self.clock() + ASK_S
-            answer = await self._try(message, first_until, _is_kept, asked)
-            if _is_kept(answer):
+            first_until = self.clock() + REPLICA_TIMEOUT_S
+            answer = await self._ask_in_order(message, first_until, _is_stored, asked)
+            if _is_stored(answer):
                 if not answer.settled:
-                    # The replica has had a majority note the end, so nobody is told of it here.
-                    self._start(self._settle(message))
+                    # A majority has recorded the end already, so no replica is notified here.
+                    self._start(self._resolve(message))
                 return True
-            self._settle_apart(message)
-            # Asked with each try, the settlement would hold up the account for all of them.
+            self._resolve_in_background(message)
+            # Resolving the reservation in each attempt would delay the account for all of them.
             alone = msgspec.structs.replace(message, program=None)
-            return _is_kept(await self._try(alone, end_at, _is_kept, asked, patient=True))
+            return _is_stored(
+                await self._ask_in_order(alone, end_at, _is_stored, asked, retry=True)
+            )
 
-    def _settle_apart(self, message: EndTurn) -> None:
-        """Settle a turn in the background while its caller goes on, at once and elsewhere."""
+    def _resolve_in_background(self, message: EndTurn) -> None:
+        """Resolve a reservation in the background, as its caller may continue at another entry."""
         if message.program is None:
             return
         self.tell_all(message)
-        self._start(self._settle(message))
+        self._start(self._resolve(message))
 
     def settle_later(self, message: EndTurn) -> None:
-        """Settle a reservation without waiting for it."""
-        self._start(self._settle_now(message))
+        """Resolve a reservation without waiting for the result."""
+        self._start(self._resolve_now(message))
 
     async def settle_first(self, message: EndTurn) -> None:
-        """Settle a turn that was not run before its caller is told so, within `NOTED_S`.
+        """Resolve the reservation of a turn that was not run, within `RECORDED_TIMEOUT_S`.
 
-        The caller's next turn, elsewhere, would otherwise count a reservation whose end only this
-        process knows.
+        The caller is refused only afterwards: otherwise its next turn, at another entry, would
+        count a reservation whose end only this process has recorded.
         """
-        settling = self._start(self._settle_now(message))
-        await asyncio.wait({settling}, timeout=NOTED_S)
+        settling = self._start(self._resolve_now(message))
+        await asyncio.wait({settling}, timeout=RECORDED_TIMEOUT_S)
 
     def settle_refused(self, message: EndTurn) -> list[asyncio.Task[bool]]:
-        """Settle what may be reserved for a turn on which the ledger did not decide.
+        """Resolve the reservation that may exist for a turn on which the ledger did not decide.
 
-        All replicas are told at once: the caller that is refused may come back before a majority
-        has settled it.  Returns what tells them, for `noted`.
+        All replicas are notified at once, since the refused caller may retry before a majority has
+        resolved the reservation.  Returns the tasks that notify them, for `noted`.
         """
         telling = self.tell_all(message)
-        self._start(self._settle_now(message, told=True))
+        self._start(self._resolve_now(message, notified=True))
         return telling
 
     async def noted(self, telling: list[asyncio.Task[bool]]) -> bool:
-        """Wait until a majority has noted a turn's end; return whether it has, within `NOTED_S`.
+        """Wait until a majority has recorded a turn's end, for `RECORDED_TIMEOUT_S` at most.
 
-        An end that is durable at a majority outlives this process and theirs.
+        An end that is durable at a majority survives a restart of this process and of the replicas.
+        Returns whether a majority has recorded the end.
         """
         missing = len(telling) // 2 + 1
         open_tasks = set(telling)
-        end_at = self.clock() + NOTED_S
+        end_at = self.clock() + RECORDED_TIMEOUT_S
         while missing > 0 and open_tasks and (left_s := end_at - self.clock()) > 0:
             done, open_tasks = await asyncio.wait(
                 open_tasks, timeout=left_s, return_when=asyncio.FIRST_COMPLETED
@@ -239,9 +249,10 @@
         return missing <= 0
 
     async def finish(self, timeout_s: float) -> None:
-        """Wait until what is being settled is settled, and hand the rest over after `timeout_s`.
+        """Wait for reservations to be resolved, and leave the rest to the replicas at `timeout_s`.
 
-        What no replica has heard of counts as spent, and may cost a program its turn.
+        A reservation whose end no replica has received counts as spent, and may cause a later turn
+        of its program to be refused.
         """
         if self.settling:
             await asyncio.wait(self.settling, timeout=max(0.0, timeout_s))
@@ -250,16 +261,16 @@
             task.cancel()
         await asyncio.gather(*rest, return_exceptions=True)
         if self.unsettled:
-            await self._hand_over()
+            await self._notify_unresolved()
 
-    async def _hand_over(self) -> None:
-        """Tell the replicas what is not settled, and wait until they have noted it."""
-        logger.bind(turns=len(self.unsettled)).warning("reservations not settled at the end")
+    async def _notify_unresolved(self) -> None:
+        """Notify the replicas of the unresolved ends, and wait until they have recorded them."""
+        logger.bind(turns=len(self.unsettled)).warning("reservations unresolved at shutdown")
         for message in self.unsettled.values():
             self.tell_all(message)
         self.unsettled.clear()
         telling = list(self.settling)
-        _, late = await asyncio.wait(telling, timeout=HAND_OVER_S) if telling else ((), ())
+        _, late = await asyncio.wait(telling, timeout=SHUTDOWN_TIMEOUT_S) if telling else ((), ())
         for task in late:
             task.cancel()
         await asyncio.gather(*telling, return_exceptions=True)
@@ -271,62 +282,76 @@
         return task
 
     def tell_all(self, message: EndTurn) -> list[asyncio.Task[bool]]:
-        """Tell every replica that a turn has ended, without waiting for it.
+        """Notify every replica that a turn has ended, without waiting for the answers.
 
-        Each of them settles it with the next change of the account, and says so when it is asked.
+        Each replica resolves the reservation with its next change of the account, and reports the
+        end on request.
         """
-        note = NoteEnd(msgspec.structs.replace(message, kept=None))
-        return [self._start(self._tell(replica, note)) for replica in self.replicas()]
+        notice = NoteEnd(msgspec.structs.replace(message, kept=None))
+        return [self._start(self._notify(replica, notice)) for replica in self.replicas()]
 
-    async def _tell(self, replica: Replica, note: NoteEnd) -> bool:
+    async def _notify(self, replica: Replica, notice: NoteEnd) -> bool:
         try:
-            answer = await self.links.to(replica.address).request(note, ASK_S)
+            answer = await self.links.to(replica.address).request(notice, REPLICA_TIMEOUT_S)
         except LinkFailed as error:
-            logger.bind(replica=replica.vm, turn=note.end.turn, reason=str(error)).info(
-                "replica not told of a turn's end"
+            logger.bind(replica=replica.vm, turn=notice.end.turn, reason=str(error)).info(
+                "replica not notified of the end of a turn"
             )
             return False
         return isinstance(answer, EndNoted)
 
-    async def _settle_now(self, message: EndTurn, told: bool = False) -> None:
+    async def _resolve_now(self, message: EndTurn, notified: bool = False) -> None:
         self.unsettled[message.turn] = message
-        telling = asyncio.get_running_loop().call_later(TELL_S, self.tell_all, message)
-        if told:
+        telling = asyncio.get_running_loop().call_later(NOTIFY_DELAY_S, self.tell_all, message)
+        if notified:
             telling.cancel()
         try:
-            answer = await self._try(message, self.clock() + SETTLE_S, lambda _: True, [])
+            answer = await self._ask_in_order(
+                message, self.clock() + RESOLVE_TIMEOUT_S, lambda _: True, []
+            )
         finally:
             telling.cancel()
         if isinstance(answer, TurnEnded) and answer.settled:
             self.unsettled.pop(message.turn, None)
             return
-        await self._settle(message)
+        await self._resolve(message)
 
-    async def _settle(self, message: EndTurn) -> None:
+    async def _resolve(self, message: EndTurn) -> None:
         message = msgspec.structs.replace(message, kept=None)
         self.unsettled[message.turn] = message
-        for pause_s in SETTLE_TRIES_S:
+        for pause_s in RESOLVE_PAUSES_S:
             await asyncio.sleep(pause_s * (0.5 + random.random()))
-            answer = await self._try(message, self.clock() + ASK_S, lambda _: True, [])
+            answer = await self._ask_in_order(
+                message, self.clock() + REPLICA_TIMEOUT_S, lambda _: True, []
+            )
             if isinstance(answer, TurnEnded) and answer.settled:
                 self.unsettled.pop(message.turn, None)
                 return
         self.unsettled.pop(message.turn, None)
-        logger.bind(turn=message.turn, program=message.program).warning("reservation not settled")
+        logger.bind(turn=message.turn, program=message.program).warning("reservation not resolved")
 
-    async def _try(
+    async def _ask_in_order(
         self,
         message: Any,
         end_at: float,
-        good: Callable[[Any], bool],
+        accepts: Callable[[Any], bool],
         asked: list[Asked],
-        patient: bool = False,
+        retry: bool = False,
     ) -> Any:
-        """Ask one replica after the other until an answer is good or the time is over.
+        """Ask one replica after the other until an answer is acceptable or the time is over.
 
-        Where the first two have too much to do, no more are asked: that would be more to do.
-        `Busy` is returned only then, when nobody else was asked, so it says that nothing was done.
-        A patient caller asks again after a pause.  Each asking is noted in `asked`.
+        Returns `Busy` if the first `MAX_BUSY_ANSWERS` replicas answer it: to ask more replicas
+        would add to the load.  No other replica has answered before, so `Busy` means that nothing
+        was done.
+
+        Parameters
+        ----------
+        accepts : callable
+            Whether an answer ends the requests.
+        asked : list of Asked
+            Extended by each request.
+        retry : bool
+            Whether to ask again after a pause, until `end_at`.
         """
         last: Any = None
         busy = 0
@@ -336,78 +361,80 @@
                 left_s = end_at - self.clock()
                 if left_s <= 0:
                     return last
-                note = Asked(replica.vm, self.clock())
-                asked.append(note)
-                answer = await self._ask(replica, message, min(ASK_S, left_s), note)
-                if _could_not_act(message, answer):
+                attempt = Asked(replica.vm, self.clock())
+                asked.append(attempt)
+                answer = await self._ask(replica, message, min(REPLICA_TIMEOUT_S, left_s), attempt)
+                if _should_avoid(message, answer):
                     self._avoid(replica)
-                if _is_answer(answer) and good(answer):
+                if _is_answer(answer) and accepts(answer):
                     return answer
                 if isinstance(answer, Busy):
                     busy += 1
-                    if busy >= MOST_BUSY and patient:
+                    if busy >= MAX_BUSY_ANSWERS and retry:
                         break
-                    if busy == MOST_BUSY and last is None:
+                    if busy == MAX_BUSY_ANSWERS and last is None:
                         return answer
                     continue
                 last = answer or Unavailable("no replica answered")
-            if patient and busy:
+            if retry and busy:
                 pause_s = max(pause_s, BUSY_PAUSE_S * (0.5 + random.random()))
                 busy = 0
-            if patient:
-                # One more replica can be asked before the time is over.
-                pause_s = max(RETRY_PAUSE_S, min(pause_s, end_at - self.clock() - ASK_S))
+            if retry:
+                # Leaves time to ask one more replica before the end.
+                pause_s = max(
+                    RETRY_PAUSE_S, min(pause_s, end_at - self.clock() - REPLICA_TIMEOUT_S)
+                )
             if self.clock() + pause_s >= end_at:
                 return last
             await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
+            pause_s = min(2 * pause_s, MAX_RETRY_PAUSE_S)
 
-    async def _ask(self, replica: Replica, message: Any, timeout_s: float, note: Asked) -> Any:
-        """Ask one replica, and note what came of it; None if it gives no answer."""
+    async def _ask(self, replica: Replica, message: Any, timeout_s: float, attempt: Asked) -> Any:
+        """Ask one replica, and record its answer in `attempt`; None if it does not answer."""
         try:
             answer = await self.links.to(replica.address).request(message, timeout_s)
         except LinkFailed as error:
-            note.answer = "no answer" if error.sent else NOT_CONNECTED
+            attempt.answer = "no answer" if error.sent else NOT_CONNECTED
             logger.bind(replica=replica.vm, turn=message.turn, reason=str(error)).info(
                 "replica not asked"
             )
         except WaxwinggladeError as error:
-            note.answer = str(error)
+            attempt.answer = str(error)
             logger.warning("replica {}: {}", replica.vm, error)
         else:
-            note.answer = _told(answer)
+            attempt.answer = _describe(answer)
             return answer
         finally:
-            note.ended_at = self.clock()
+            attempt.ended_at = self.clock()
         return None
 
     @contextlib.contextmanager
     def _log_if_slow(self, message: BeginTurn | ConfirmTurn | EndTurn) -> Iterator[list[Asked]]:
-        """Collect whom a request is sent to, and log it if that took long."""
+        """Collect the requests to replicas, and log them if they took long."""
         began_at = self.clock()
         asked: list[Asked] = []
         try:
             yield asked
         finally:
             now = self.clock()
-            if now - began_at >= SLOW_S:
+            if now - began_at >= SLOW_LOG_S:
                 logger.bind(
                     turn=message.turn,
                     program=message.program,
                     request=type(message).__name__,
                     seconds=round(now - began_at, 3),
-                    asked=[_loggable(each, began_at, now) for each in asked],
+                    asked=[_log_fields(each, began_at, now) for each in asked],
                 ).info("ledger slow to answer")
 
     def _avoid(self, replica: Replica) -> None:
-        """Ask a replica last for a while."""
+        """Move a replica to the end of the order for `AVOID_S`."""
         self.avoided[replica.address] = self.clock() + AVOID_S
 
     def _in_order(self, message: Any) -> list[Replica]:
-        """Return the replicas to ask for a turn.
+        """Return the replicas to ask for a turn, in this order.
 
-        Entries of a zone ask the same one for a program: it then knows the account, and a change
-        takes one round instead of two.
+        All entries of a zone ask the same replica for a program, so that this replica has the
+        account cached and a change takes one round of messages instead of two.
         """
         order = self._spread(message.program or message.turn)
         if isinstance(message, ConfirmTurn):
@@ -415,10 +442,10 @@
         return order
 
     def _spread(self, key: str) -> list[Replica]:
-        """Return the replicas to ask: the nearest first, and those that failed lately last.
+        """Return the replicas in the order to ask: nearest first, recently failed ones last.
 
-        Of these the one that failed longest ago comes first, so that where all have failed they are
-        asked in turn, and not always the nearest.
+        The recently failed ones are ordered by the time of the failure, the earliest first, so that
+        they are asked in turn if all have failed, and not always the nearest.
         """
         now = self.clock()
 
@@ -431,12 +458,12 @@
 
 
 def _may_have_acted(asked: Asked) -> bool:
-    """Return whether a replica may have reserved something, by what it answered."""
+    """Return whether a replica may have reserved something, judging by its answer."""
     return asked.answer not in (NOT_CONNECTED, Busy.__name__, QuotaSpent.__name__)
 
 
-def _loggable(asked: Asked, began_at: float, now: float) -> dict[str, Any]:
-    """Return the fields of one asking, with times from the beginning of the request on."""
+def _log_fields(asked: Asked, began_at: float, now: float) -> dict[str, Any]:
+    """Return the log fields of a request to a replica, with times relative to `began_at`."""
     ended_at = now if asked.ended_at is None else asked.ended_at
     return {
         "replica": asked.replica,
@@ -446,13 +473,13 @@
     }
 
 
-def _is_kept(answer: Any) -> bool:
-    """Return whether a replica says that a turn is kept."""
+def _is_stored(answer: Any) -> bool:
+    """Return whether an answer says that a turn is stored."""
     return isinstance(answer, TurnEnded) and answer.kept
 
 
-def _told(answer: Any) -> str:
-    """Return what a replica answered, in a few words."""
+def _describe(answer: Any) -> str:
+    """Return a short description of an answer, for the log."""
     if isinstance(answer, TurnEnded):
         kept = "kept" if answer.kept else "not kept"
         return f"{kept}, {'settled' if answer.settled else 'not settled'}"
@@ -462,16 +489,16 @@
 
 
 def _is_answer(answer: Any) -> bool:
-    """Return whether a replica has decided something."""
+    """Return whether an answer is a decision."""
     return answer is not None and not isinstance(answer, Unavailable | Busy)
 
 
-def _could_not_act(message: Any, answer: Any) -> bool:
-    """Return whether another replica should be asked next time.
+def _should_avoid(message: Any, answer: Any) -> bool:
+    """Return whether the replica that answered should be avoided next time.
 
-    One that has just started may know no members, and answers at once that it has not settled a
-    turn.  One that has kept a turn knows them; if it has not settled it as well, the account is
-    held up, for every replica.
+    A replica that has just started may have no set of members yet, and answers at once that it has
+    neither stored the turn nor resolved its reservation.  A replica that has stored a turn has the
+    members; if the reservation is not resolved then, the account is delayed for every replica.
     """
     if not _is_answer(answer):
         return True
--- a/waxwingglade/ledger/tests/test_client.py
+++ b/waxwingglade/ledger/tests/test_client.py
@@ -8,7 +8,7 @@
 
 from waxwingglade.base import ProgramId, ZoneId
 from waxwingglade.follow.model import Replica
-from waxwingglade.ledger.client import ASK_S, MOST_BUSY, LedgerClient
+from waxwingglade.ledger.client import MAX_BUSY_ANSWERS, REPLICA_TIMEOUT_S, LedgerClient
 from waxwingglade.ledger.messages import (
     BeginTurn,
     Busy,
@@ -88,7 +88,7 @@
     """What a majority does not settle at once is told to every replica."""
 
     async def asyncSetUp(self) -> None:
-        patch = mock.patch("waxwingglade.ledger.client.TELL_S", 0.05)
+        patch = mock.patch("waxwingglade.ledger.client.NOTIFY_DELAY_S", 0.05)
         patch.start()
         self.addCleanup(patch.stop)
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(3)]
@@ -112,12 +112,12 @@
         self.links.silent = {"a-0", "a-1"}
         asked_at = time.monotonic()
         self.assertFalse(await self.client.noted(self.client.settle_refused(MESSAGE)))
-        self.assertLess(time.monotonic() - asked_at, ASK_S)
+        self.assertLess(time.monotonic() - asked_at, REPLICA_TIMEOUT_S)
 
     async def test_a_turn_that_no_target_took_does_not_wait_long_to_be_settled(self) -> None:
         asked_at = time.monotonic()
         await self.client.settle_first(MESSAGE)
-        self.assertLess(time.monotonic() - asked_at, ASK_S)
+        self.assertLess(time.monotonic() - asked_at, REPLICA_TIMEOUT_S)
         self.assertEqual(self.all, self.links.noted, "everybody is told meanwhile")
 
     async def test_an_end_that_is_not_settled_in_time(self) -> None:
@@ -137,7 +137,10 @@
 
 class SettlingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        for name, value in (("SETTLE_S", 0.02), ("SETTLE_TRIES_S", (0.01, 0.01, 0.05, 30.0))):
+        for name, value in (
+            ("RESOLVE_TIMEOUT_S", 0.02),
+            ("RESOLVE_PAUSES_S", (0.01, 0.01, 0.05, 30.0)),
+        ):
             patch = mock.patch(f"waxwingglade.ledger.client.{name}", value)
             patch.start()
             self.addCleanup(patch.stop)
@@ -208,7 +211,7 @@
         self.links.cut_off, self.links.busy = False, True
         begin = BeginTurn(TurnId("t"), ProgramId("p"), 40, 100)
         self.assertEqual(await client.begin(begin, 20.0), Busy())
-        self.assertEqual(len(self.links.asked), MOST_BUSY)
+        self.assertEqual(len(self.links.asked), MAX_BUSY_ANSWERS)
 
     async def test_a_turn_is_kept_though_all_replicas_have_too_much_to_do_at_first(self) -> None:
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(3)]
@@ -220,7 +223,7 @@
         self.links.busy = False
         self.assertTrue(await ending)
         asked = [each for each in self.links.asked if isinstance(each, EndTurn) and each.kept]
-        self.assertLessEqual(len(asked), 3 * MOST_BUSY + 1, "replicas are given time")
+        self.assertLessEqual(len(asked), 3 * MAX_BUSY_ANSWERS + 1, "replicas are given time")
 
     async def test_replicas_are_asked_to_keep_a_turn_until_its_caller_has_no_time_left(
         self,
--- a/waxwingglade/ledger/tests/test_held_up_account.py
+++ b/waxwingglade/ledger/tests/test_held_up_account.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import astuple
 
-from waxwingglade.ledger.client import ASK_S
+from waxwingglade.ledger.client import REPLICA_TIMEOUT_S
 from waxwingglade.ledger.messages import Accept, Prepare
 from waxwingglade.ledger.tests.builders import Cluster, begin, end
 from waxwingglade.ledger.tests.crowds import Crowd, run_crowd
@@ -34,7 +34,7 @@
         ended = await self.coordinator.end(end(1))
         seconds = time.monotonic() - began_at
         self.assertTrue(ended.kept)
-        self.assertLess(seconds, ASK_S, "the entry has asked another replica by now")
+        self.assertLess(seconds, REPLICA_TIMEOUT_S, "the entry has asked another replica by now")
 
     async def test_an_end_whose_settlement_fails_at_once_is_noted_as_well(self) -> None:
         for replica in self.cluster.replicas.values():
@@ -68,7 +68,7 @@
         for crowd in self.crowds():
             self.assertGreater(crowd.begun, 0)
             self.assertTrue(all(kept for kept, _ in crowd.ended))
-            self.assertLess(max(seconds for _, seconds in crowd.ended), ASK_S)
+            self.assertLess(max(seconds for _, seconds in crowd.ended), REPLICA_TIMEOUT_S)
 
     def test_turns_that_begin_together_are_all_decided(self) -> None:
         self.assertEqual([0] * len(SEEDS), [crowd.undecided for crowd in self.crowds()])
