--- a/waxwingglade/ingress/__init__.py
+++ b/waxwingglade/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers' requests on a platform: read, admit, place, pass on, answer once."""
+"""Serve the requests of callers on a platform: read, admit, route, relay, answer once."""
--- a/waxwingglade/ingress/accounts.py
+++ b/waxwingglade/ingress/accounts.py
@@ -1,4 +1,4 @@
-"""Who sends a request: the client account that holds its key, or a refusal."""
+"""Authenticate callers: find the client account that holds the key of a request."""
 
 import msgspec
 from loguru import logger
@@ -11,19 +11,20 @@
 
 
 class KeyAgeLimits(msgspec.Struct, frozen=True):
-    """How old a view may be under which a key is judged; ages in seconds.
+    """Limits on the age, in seconds, of the cached view that keys are checked against.
 
     The age is that of `CachedView.incomplete_s`: changes that the store acknowledged longer ago
     are in the view.
 
     Parameters
     ----------
-    honour_s : float
-        Up to which a key is honoured.  Beyond, it may have been taken away.
-    deny_s : float
-        Up to which a key that is not in the view is denied.  Beyond, it may have been added.
-    away_s : float
-        From which on callers should go to another entry.
+    max_accept_age_s : float
+        Up to this age a key is accepted.  In an older view, it may have been revoked since.
+    max_deny_age_s : float
+        Up to this age a key that is not in the view is denied.  It may have been added since an
+        older view.
+    not_ready_age_s : float
+        From this age on the entry reports that it is not ready, so callers go to another entry.
     """
 
     max_accept_age_s: float = float("inf")
@@ -37,7 +38,7 @@
     Parameters
     ----------
     accounts : tuple of ClientAccount
-        The accounts.  A key that two of them have belongs to the first.
+        The accounts.  A key that two accounts share belongs to the first one.
     """
 
     def __init__(self, accounts: tuple[ClientAccount, ...]) -> None:
@@ -47,17 +48,17 @@
                 holder = self.holders.setdefault(key, account)
                 if holder.name != account.name:
                     logger.bind(holder=holder.name, other=account.name).warning(
-                        "a key is held by two client accounts, and goes by the first"
+                        "key is shared by two client accounts; using the first"
                     )
 
     def holder(self, call: Call) -> ClientAccount | None:
-        """Return the account that holds a call's key, None if there is none."""
+        """Return the account that holds the key of a call, or None."""
         token = bearer_token(call.credentials)
         return None if token is None else self.holders.get(digest_of(token))
 
 
 def identify(table: AccountTable, call: Call, age_s: float, rules: KeyAgeLimits) -> ClientAccount:
-    """Return the account that sends a call.
+    """Return the client account of a call.
 
     Parameters
     ----------
@@ -67,7 +68,7 @@
     Raises
     ------
     Refusal
-        If no account holds the call's key, or that can't be known.
+        If no account holds the key of the call, or the view is too old to decide.
     """
     account = table.holder(call)
     if account is None and age_s <= rules.max_deny_age_s:
--- a/waxwingglade/ingress/attempt.py
+++ b/waxwingglade/ingress/attempt.py
@@ -1,4 +1,4 @@
-"""One sending of a call to a target, and what is known afterwards."""
+"""Send one call to targets, one attempt after another, and record the outcomes."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,33 +21,33 @@
 )
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
-"""Largest body of an answer that is held in memory before it is passed on."""
+"""Maximum size in bytes of an answer body that is buffered before it is passed on."""
 
 MAX_CONNECT_FAILURES = 3
-"""Targets that could not be reached before a call is given up; nothing was sent to them."""
+"""Number of unreachable targets after which a call is abandoned; nothing was sent to them."""
 
 MIN_RESPONSE_TIMEOUT_S = 0.05
-"""Seconds without an answer that are no sign of a silent connection: many times a round trip of 3
-ms, and as long as a process may stand still."""
+"""Minimum seconds without an answer before a connection counts as unresponsive.  This is many times
+a round trip of 3 ms, and as long as a process may stall."""
 
 USUAL_TIME_FACTOR = 4.0
-"""How many times its usual time a call may take before its connection is suspected; of work spread
-log-normally around its mean with a spread of 1, 3 in 100 take longer."""
+"""Multiple of the usual time that a call may take before its connection is suspected.  Of calls
+with log-normally distributed times and a sigma of 1, 3 in 100 exceed this multiple of the mean."""
 
 LAST_RESPONSE_TIMEOUT_S = 1.0
-"""Seconds after which a silent sending that is the last one ends: half of the two seconds after
-which callers give up a stream without events, so that they come back on a new connection in
-time."""
+"""Seconds after which the last attempt ends if its connection is unresponsive.  This is half of the
+two seconds after which callers abandon a stream without events, so that they can retry on a new
+connection in time."""
 
 SERVER_ERRORS = 500
-"""Lowest status by which a target says that it could not do what it was asked."""
+"""Lowest status that reports a failure of the target itself."""
 
-_PROMISES = (408, 421, 429, 503)
-"""Statuses that tell the caller that the request did not run."""
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
+"""Statuses that promise the caller that the request did not run."""
 
 
 class AttemptRecord(msgspec.Struct, omit_defaults=True):
-    """What is logged of one sending; `read_tokens` is what the target had to read, by belief."""
+    """Log record of one attempt; `prefill_tokens` estimates what the target has to prefill."""
 
     target: TargetId
     load: float
@@ -60,7 +60,7 @@
 
 
 class Head(msgspec.Struct):
-    """The head of a target's answer, and the connection with the rest."""
+    """The head of an answer of a target, and the connection from which its body is read."""
 
     choice: Choice
     connection: Http1Connection
@@ -72,39 +72,39 @@
 
 
 class NotRun(Exception):
-    """A target did not run the call; another may be asked."""
+    """A target did not run the call, so another target may be tried."""
 
 
 class MayHaveRun(Exception):
-    """A target broke off, and may have run the call."""
+    """The connection to a target broke, and the target may have run the call."""
 
 
 class NoTarget(Exception):
-    """No target is left that could be asked."""
+    """No target is left to try."""
 
 
 class Attempts:
-    """Sends one call to targets, one after the other.
+    """Sends one call to targets, one after another.
 
     Parameters
     ----------
     call : Call
         The call.
     service : Service
-        Where it goes.
+        Service of the call.
     route : Route
-        Its route: how often it may be sent, and how long its answer may take.
+        Route of the call, with its maximum attempts and the time limits of its answer.
     time_left : callable
-        Seconds that a target may still work on it.
+        Returns the seconds that are left for a target to answer.
 
     Attributes
     ----------
     history : History or None
-        Where what the call continues was read last, if that is known.
-    asked : Target or None
-        Target that was chosen last.
+        Where the previous turns of the program ran, if that is known.
+    last_target : Target or None
+        Target of the last attempt.
     saw_unresponsive : bool
-        Whether a sending was ended because its connection was silent.
+        Whether an attempt was ended because its connection was unresponsive.
     """
 
     def __init__(
@@ -125,7 +125,7 @@
         self.route = route
         self.time_left = time_left
         self.history: History | None = None
-        self.asked: Target | None = None
+        self.last_target: Target | None = None
         self.records: list[AttemptRecord] = []
         self.tried: list[TargetId] = []
         self.sent = 0
@@ -139,13 +139,13 @@
 
     @property
     def failed_at(self) -> IncarnationName | None:
-        """Target that failed the call with an error, a broken answer or none."""
-        if self.asked is None:
+        """Target whose last attempt ended in an error, a broken answer or no answer."""
+        if self.last_target is None:
             return None
         last = self.records[-1]
         failed = last.status >= SERVER_ERRORS and last.verdict is not Verdict.NOT_RUN
         if failed or last.verdict is Verdict.MAY_HAVE_RUN:
-            return self.asked.incarnation
+            return self.last_target.incarnation
         return None
 
     @property
@@ -154,7 +154,7 @@
         return self.sent < self.route.max_attempts and self.unreachable < MAX_CONNECT_FAILURES
 
     async def open(self, body: bytes, priority: int | None, last_event: int | None) -> Head:
-        """Send the call to the best target left, and return the head of its answer.
+        """Send the call to the best remaining target, and return the head of its answer.
 
         Raises
         ------
@@ -163,12 +163,12 @@
         NotTaken
             If the target did not run the call.
         MayHaveRun
-            If the connection broke after bytes had left.
+            If the connection broke after bytes were sent.
         """
         choice = self.balancer.choose(self.service, self.call, self.tried, self.history)
         if choice is None:
             raise NoTarget
-        self.asked = target = choice.target
+        self.last_target = target = choice.target
         self.tried.append(target.target)
         load, age_s = round(choice.load, 1), round(choice.load_age_s, 2)
         record = AttemptRecord(target.target, load, age_s, choice.prefill_tokens)
@@ -195,7 +195,8 @@
                 record.reason = "no answer in time"
                 self.balancer.failed(target)
             if self.balancer.clock() - sent_at > LAST_RESPONSE_TIMEOUT_S:
-                # Its caller has left without an event, and should not come back to the same target.
+                # The caller disconnected without an event, and its retry should go to another
+                # target.
                 record.verdict = Verdict.MAY_HAVE_RUN
             raise
         self.pool.note_timeout(target.address, response)
@@ -208,12 +209,12 @@
         return head
 
     def _wait_limits(self, choice: Choice) -> Patience:
-        """Return how long the connection of a sending may be silent.
+        """Return how long the connection of an attempt may be unresponsive.
 
-        A call that may be sent again is, early enough to be answered within its objective.  One
-        that may not run twice goes on, and only the other connections are given up.  So does the
-        last sending after a silence that was ended: the connections of that time are not used any
-        more, so its target is slow.
+        A call that may be sent again is resent early enough to be answered within its latency
+        objective.  A call that may not run twice continues; only idle connections of that time
+        are closed.  The last attempt continues as well if an earlier one met an unresponsive
+        connection: the connections of that time are no longer in use, so its target must be slow.
         """
         route = self.route
         again = route.idempotent and self.may_try
@@ -242,7 +243,7 @@
         return echoed is None or echoed == self.call.request
 
     async def _refused(self, head: Head) -> None:
-        """Finish with a target that promises not to run the call."""
+        """Finish an attempt whose target promises not to run the call."""
         head.record.verdict = Verdict.NOT_RUN
         head.record.reason = "refused"
         try:
@@ -259,41 +260,42 @@
         self._record_failure(choice, error)
 
     def _record_failure(self, choice: Choice, error: Exception) -> None:
-        """Note that a target failed a call, unless it may be the connection alone."""
+        """Record that a target failed a call, unless only the connection may have failed."""
         if isinstance(error, Silent):
             self.saw_unresponsive = True
         else:
             self.balancer.failed(choice.target)
 
     def record_answer(self, head: Head) -> None:
-        """Note that an answer was read to its end."""
+        """Record that an answer is complete."""
         head.record.verdict = Verdict.RAN
         head.record.seconds = round(self.balancer.clock() - head.sent_at, 4)
 
     def record_error(self, head: Head) -> None:
-        """Note an error that a target answered itself.
+        """Record an answer of a target if its status reports an error.
 
-        An engine generates or is broken; a plain service may have good reasons for a single one.
+        An error of an engine means that the engine is broken; a service without engines may have
+        valid reasons for a single error.
         """
         if head.response.status >= SERVER_ERRORS:
             is_engine = self.service.engine is not None
             self.balancer.failed(head.choice.target, is_error=is_engine)
 
     def record_break(self, head: Head, error: Exception) -> None:
-        """Note that an answer ended before it was whole."""
+        """Record that an answer was truncated."""
         head.record.verdict = Verdict.MAY_HAVE_RUN
         head.record.reason = str(error)
         self._record_failure(head.choice, error)
 
     def close(self, choice: Choice, connection: Http1Connection) -> None:
-        """Give a connection back, and count the call as ended there."""
+        """Return a connection to the pool, and record the end of the request at its target."""
         self.pool.give_back(choice.target.address, connection)
         self.balancer.ended(choice.target)
 
 
 def promises_not_run(status: int) -> bool:
-    """Return whether a status tells the caller that its request did not run."""
-    return status in _PROMISES
+    """Return whether a status promises the caller that its request did not run."""
+    return status in _NOT_RUN_STATUSES
 
 
 __all__ = [
--- a/waxwingglade/ingress/balance.py
+++ b/waxwingglade/ingress/balance.py
@@ -1,8 +1,8 @@
-"""Choose a target for a request: the least expected time, with what need not be read again.
+"""Choose the target with the least expected time for a request, counting cached prompt parts.
 
-Entries decide alone.  What those of a zone must agree on without talking, where a shared part of a
-prompt lives and which target a program prefers, follows from rendezvous hashing of names.  Where a
-turn before ran, the ledger tells.
+Each entry decides by itself.  The entries of a zone agree without communication on the targets that
+cache a shared prompt part and on the preferred target of a program, by rendezvous hashing of names.
+The ledger reports where the previous turn ran.
 """
 
 from collections.abc import Iterable
@@ -25,18 +25,22 @@
 from waxwingglade.ingress.target_state import TargetState, median_unit_s
 
 EXTERNAL_LOAD_SMOOTHING = 0.05
-"""Weight of a report in the usual load by other entries: the last twenty are two thirds of it."""
+"""Weight of one report in the moving average of the load from other entries.  The last twenty
+reports make up two thirds of it."""
 
 OTHER_ZONE_PENALTY_S = 0.03
-"""Seconds that a target in another zone counts as slower.  The round trip takes only 3 ms more; the
-rest keeps answers from hanging on a cut between zones, and bytes within the zone."""
+"""Seconds added to the cost of a target in another zone.  The round trip takes only 3 ms more; the
+rest protects answers from partitions between zones, and keeps traffic within the zone."""
 
 OTHER_ZONE_LOAD_PENALTY = 1.0
-"""The same for plain services, as a share of a target's slots."""
+"""The same for services without engines, as a share of the slots of a target."""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """A target, and what spoke for it; `usual_s` is the time of a unit of work at its service."""
+    """A chosen target, with its cost and load.
+
+    `usual_s` is the median time in seconds of a unit of work at the service.
+    """
 
     target: Target
     cost_s: float
@@ -47,14 +51,14 @@
 
 
 class History(msgspec.Struct, frozen=True):
-    """What is known of a call's program.
+    """Where the previous turns of a program ran.
 
     Parameters
     ----------
     holder : IncarnationName or None
-        Target that read what the call continues; None if it begins anew.
+        Target that has the previous turns in its cache; None for a first turn.
     failed_at : IncarnationName or None
-        Target that failed the program's last turn; it is asked only if there is no other.
+        Target that failed the last turn of the program; it is used only if there is no other.
     """
 
     holder: IncarnationName | None
@@ -62,12 +66,12 @@
 
 
 class Balancer:
-    """The targets as one entry sees them.
+    """Tracks the targets and chooses among them for one entry.
 
     Parameters
     ----------
     zone : ZoneId
-        The entry's availability zone.
+        Availability zone of the entry.
     clock : Clock
         Monotonic seconds.
     """
@@ -83,10 +87,10 @@
         self.revision = -1
 
     def update(self, targets: TargetList) -> list[Target]:
-        """Take in the registered targets; return the incarnations that are gone.
+        """Update the registered targets and return the removed incarnations.
 
-        Of one that started again under its name nothing is believed that was known of it before: it
-        holds no prompt, and neither its load nor its failures are those of then.
+        The state of a target that restarted under the same name is discarded: its cache is empty,
+        and its former load and failures no longer apply.
         """
         if targets.revision == self.revision:
             return []
@@ -109,11 +113,11 @@
         return removed
 
     def speed_of(self, service: ServiceName) -> EngineSpeed:
-        """Return what was observed of a service's engines."""
+        """Return the observed speed of the engines of a service."""
         return self.speeds.setdefault(service, EngineSpeed())
 
     def ranks_of(self, service: ServiceName) -> RankShares:
-        """Return how urgent the turns are that this entry sends to a service."""
+        """Return the shares of the ranks among the turns that this entry sends to a service."""
         return self.ranks.setdefault(service, RankShares())
 
     def choose(
@@ -128,13 +132,13 @@
         Parameters
         ----------
         service : Service
-            Service that the call goes to.
+            Service of the call.
         call : Call
             The call.
         avoid : iterable of TargetId
-            Targets that it was sent to already.
+            Targets that were already tried.
         history : History or None
-            Where what it continues was read last, if that is known.
+            Where the previous turns of the program ran, if that is known.
         """
         now = self.clock()
         usable = self._usable(service.name, set(avoid))
@@ -154,7 +158,7 @@
         return Choice(state.target, cost, load, age_s, usual_s, tokens)
 
     def _usable(self, service: ServiceName, tried: set[TargetId]) -> list[TargetState]:
-        """Return the targets that may be sent a call; ejected ones only if there are no others."""
+        """Return the usable targets; ejected ones only if there are no others."""
         states = [
             state
             for state in self.by_service.get(service, ())
@@ -163,7 +167,7 @@
         return [state for state in states if not state.ejection.active] or states
 
     def engines(self, service: ServiceName) -> list[Engine]:
-        """Return the engines of a service that may be sent a call."""
+        """Return the usable engines of a service."""
         now = self.clock()
         external_load = self.usual_external_load.get(service, 0.0)
         usual_s = median_unit_s(self.by_service.get(service, ()))
@@ -193,7 +197,7 @@
     def _prefill_tokens(
         self, call: Call, states: list[TargetState], history: History | None
     ) -> list[int]:
-        """Return for each target the tokens that it would have to read."""
+        """Return the number of tokens that each target would have to prefill."""
         if not call.prompt_parts:
             return [0] * len(states)
         parts = [(part.part, part.tokens) for part in call.prompt_parts]
@@ -213,10 +217,10 @@
     def _preferred(
         self, call: Call, states: list[TargetState], at_home: set[TargetId]
     ) -> IncarnationName | None:
-        """Return the target that probably holds what the program has said so far.
+        """Return the target that probably has the previous turns of the program in its cache.
 
-        A first turn has nothing to go back to; where later ones do not say so, entries agree on
-        one.
+        A first turn has no such target.  If the history of the program is unknown, entries agree on
+        a target by hashing.
         """
         last_part = call.prompt_parts[-1].part
         if call.program is None or any(last_part in state.cached_parts for state in states):
@@ -246,17 +250,17 @@
             choices.append((round(cost, 1), weight(key, state.target.target), state, 0))
         return choices
 
-    # What became of it
+    # Outcomes
 
     def _state(self, target: Target) -> TargetState | None:
-        """Return what is known of an incarnation of a target, if that is still there."""
+        """Return the state of an incarnation of a target, or None if it was removed."""
         state = self.states.get(target.target)
         if state is None or state.target.started_ms != target.started_ms:
             return None
         return state
 
     def sent(self, target: Target, call: Call) -> None:
-        """Note a request sent."""
+        """Record a request that was sent."""
         state = self._state(target)
         if state is None:
             return
@@ -265,12 +269,12 @@
             state.record_prompt_part(part.part, part.tokens)
 
     def ended(self, target: Target) -> None:
-        """Note the end of a request."""
+        """Record the end of a request."""
         if state := self._state(target):
             state.in_flight -= 1
 
     def record_load(self, target: Target, load: LoadStamp | None) -> None:
-        """Take in an answer of a target, with its load."""
+        """Record the load that a target reported with an answer."""
         if load is None:
             return
         state = self._state(target)
@@ -283,7 +287,7 @@
         )
 
     def turn_ended(self, choice: Choice, first_event_s: float, seconds: float, events: int) -> None:
-        """Note a whole stream, with the seconds to its first event and to its end."""
+        """Record a complete stream, with the seconds to its first event and to its end."""
         state = self._state(choice.target)
         if state is None:
             return
@@ -294,21 +298,22 @@
         self.succeeded(choice.target, ratio)
 
     def succeeded(self, target: Target, unit_s: float) -> None:
-        """Note a whole answer.
+        """Record a complete answer.
 
         Parameters
         ----------
         target : Target
-            Who gave it.
+            Target that answered.
         unit_s : float
-            Seconds of a plain answer; of a stream, how many times slower than usual it came.
+            For a plain answer, its duration in seconds; for a stream, the ratio of its duration to
+            the expected one.
         """
         if state := self._state(target):
             state.ejection.record_success()
             state.observe(unit_s)
 
     def failed(self, target: Target, is_error: bool = False) -> None:
-        """Note that a target broke off, could not be reached, or answered an error."""
+        """Record that a target broke off, was unreachable, or answered with an error."""
         if state := self._state(target):
             state.ejection.record_failure(is_error)
 
--- a/waxwingglade/ingress/dialect.py
+++ b/waxwingglade/ingress/dialect.py
@@ -1,6 +1,6 @@
-"""What an entry reads from a caller's request and a target's answer, whatever their headers say.
+"""Requests and answers as an entry sees them, independent of the header format.
 
-A `Dialect` translates; it decides nothing.
+A `Dialect` only translates between headers and these structures.
 """
 
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True, array_like=True):
-    """A part of a prompt that requests may share, and its length in tokens."""
+    """A prompt part that requests may share, and its length in tokens."""
 
     part: str
     tokens: int
@@ -29,36 +29,36 @@
     Parameters
     ----------
     request : RequestId
-        Name of this attempt of the caller.
+        Id of this attempt of the caller.
     method, path, host : str
-        As sent; the path with its query.
+        As received; the path includes the query.
     headers : list of (str, str)
-        Headers that go on to a target, with those of one connection and those that only this
-        system may set left out.
+        Headers to pass on to a target, without hop-by-hop headers and those that only this system
+        may set.
     body : bytes
-        The whole body.
+        The complete body.
     deadline_s : float or None
-        How long the caller will wait, from the arrival of the request.
+        Seconds that the caller waits, from the arrival of the request.
     prompt_tokens, max_output_tokens : int
-        Size of the prompt, and the most that is generated.
+        Size of the prompt, and the maximum number of generated tokens.
     prompt_parts : tuple of PromptPart
-        The prompt's parts in order; the last one belongs to the request or its session.
+        Parts of the prompt in order; the last one is specific to the request or its session.
     affinity : str
-        Same for requests that concern the same object.
+        Affinity key; equal for requests that concern the same object.
     program : ProgramId or None
         Program that the request belongs to.
     finish_s : float or None
-        Time left until the program should be finished.
+        Seconds until the program should be finished.
     token_budget : int or None
         Tokens that all turns of the program may generate together.
     previous_turn : RequestId or None
         Turn that this one continues.
     last_event : int or None
-        Last event of a stream that the caller already has.
+        Id of the last event of a stream that the caller already received.
     credentials : list of str
-        Values of the Authorization headers, which are not among the headers that go on.
+        Values of the Authorization headers, which `headers` does not include.
     account : ClientAccountId or None
-        Client account that sends the request, once that is known; targets are told.
+        Client account of the request, once known; it is passed on to targets.
     """
 
     request: RequestId
@@ -85,20 +85,20 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """What this system adds to a request when it sends it to a target.
+    """Data that this system adds to a request for a target.
 
     Parameters
     ----------
     target : TargetId
-        Incarnation that the request is meant for; any other refuses it.
+        Incarnation that the request is addressed to; any other refuses it.
     time_left_s : float
-        How long the target may work on it.
+        Seconds that the target may take.
     priority : int or None
-        Rank in the target's queue, 0 the first; None for the target's default.
+        Priority in the queue of the target, 0 the highest; None for the default of the target.
     last_event : int or None
-        Event after which a stream is to go on.
+        Id of the event after which a stream resumes.
     pin_s : float or None
-        How long the prompt is to stay in the engine's memory after the run.
+        Seconds for which the engine retains the prompt in its memory after the run.
     """
 
     target: TargetId
@@ -117,20 +117,20 @@
 
 
 class AnswerFacts(msgspec.Struct, frozen=True):
-    """What the head of a target's answer says beyond its status.
+    """Facts in the head of an answer of a target, beyond its status.
 
     Parameters
     ----------
     request : RequestId or None
-        Request that it answers, if it says so.
+        Request that is answered, if given.
     certified : bool
-        Whether the target vouches for the answer; a success without that is not one.
+        Whether the target certifies the answer; an uncertified success does not count as one.
     not_run : bool
-        Whether the target promises that the request did not run and never will.
+        Whether the target promises that the request did not run and will not run.
     target : TargetId or None
-        Incarnation that answered, if it says so.
+        Incarnation that answered, if given.
     load : LoadStamp or None
-        Its load.
+        Load of the target, if given.
     """
 
     request: RequestId | None
@@ -146,13 +146,13 @@
     Parameters
     ----------
     read_call : callable
-        From method, path and headers to a `Call` without its body; `FormatError` if it is wrong.
+        Decodes method, path and headers into a `Call` without its body; raises `FormatError`.
     read_answer : callable
-        From the head of a target's answer to its facts.
+        Decodes the head of an answer of a target.
     target_headers : callable
-        Headers with which a call is sent.
+        Returns the headers with which a call is sent to a target.
     own_headers : callable
-        Headers of an answer that this system gives itself to a request.
+        Returns the headers of an answer that this system itself gives to a request.
     """
 
     read_call: Callable[[str, str, HeaderList], Call]
--- a/waxwingglade/ingress/entry.py
+++ b/waxwingglade/ingress/entry.py
@@ -1,4 +1,4 @@
-"""An entry on a platform, from start to stop."""
+"""The lifecycle of an entry on a platform: start, serve, drain and stop."""
 
 import asyncio
 import random
@@ -52,46 +52,46 @@
 from waxwingglade.transport.page import serve_metrics, serve_page
 
 CHECK_INTERVAL_S = 0.2
-"""Seconds between looks at connections, the view's age and the sources of it."""
+"""Seconds between checks of the connections, the age of the cached view, and its sources."""
 
 STORE_FALLBACK_DELAY_S = 0.5
-"""Seconds for which no replica knows enough before the entry follows the store itself."""
+"""Seconds without a usable replica before the entry follows the store directly."""
 
 MEMBERS_RETRY_S = 0.3
-"""Seconds between reads of the store while no replica is known."""
+"""Mean seconds between reads of the store while no replica is known."""
 
 LINK_IDLE_S = 30.0
 QUORUM_TIMEOUT_S = 0.8
-"""Seconds without word of a majority of the ledger after which callers should go elsewhere.  Word
-comes twice a second; the balancer takes two seconds more to act on it."""
+"""Seconds without a quorum report of a replica after which callers should go to another entry.
+Reports arrive twice a second; the balancer takes two more seconds to act."""
 
 PRIORITY_STEP = 2
 MAX_PRIORITY = 9
-"""Ranks of routes map to the engines' priorities 2, 4 and so on, up to the last."""
+"""Ranks of routes map to the engine priorities 2, 4 and so on, up to the maximum."""
 
 
 class CallerServer(HTTPServer):
-    """An HTTP server that tells its delegate of closed connections, too."""
+    """An HTTP server that also notifies its delegate of closed connections."""
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection."""
+        """Remove a closed connection and notify the delegate."""
         super().on_close(server_conn)
         self.request_callback.on_close(server_conn)
 
 
 class Ingress(HTTPServerConnectionDelegate):
-    """State of an entry.
+    """An entry: serves callers and follows the state of the platform.
 
     Parameters
     ----------
     settings : IngressSettings
-        Its settings.
+        Settings of the entry.
     store : Store
-        The platform's store, for when no replica can be followed.
+        Store of the platform, used while no replica can be followed.
     keys : Keys
-        Where things lie in it.
+        Keys of the store.
     dialect : Dialect
-        What callers and targets speak.
+        Translates the requests and answers of callers and targets.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
     # Start and stop
 
     async def start(self) -> None:
-        """Begin to follow and to serve."""
+        """Start to follow the platform and to serve callers."""
         self.callers = self._listen(self, self.settings.callers)
         self.pages = [serve_page(self.settings.ready, ".*", lambda: (self.ready_status, ""))]
         self.pages += serve_metrics(self.settings.metrics, lambda: self.metrics.text(self))
@@ -150,10 +150,10 @@
         return server
 
     async def drain(self) -> None:
-        """Stop without cutting off a request.
+        """Stop accepting requests and complete those in progress.
 
-        Callers are served for as long as the balancer may still send some, and are told to close.
-        Then connections without a request are closed, and those with one after its answer.
+        Callers are served while the balancer may still send some, and their answers have the header
+        ``Connection: close``.  Then idle connections are closed, and the others after their answer.
         """
         began_at = time.monotonic()
         self.draining = True
@@ -170,7 +170,7 @@
         logger.bind(running=len(self.running)).info("drained")
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all connections and cancel all tasks."""
         for server in [*([self.callers] if self.callers else []), *self.pages]:
             server.stop()
             await server.close_all_connections()
@@ -185,14 +185,14 @@
         self.pool.close()
         self.context.term()
 
-    # What is believed
+    # State of the platform
 
     @property
     def ready(self) -> bool:
         """Whether the balancer should send callers here.
 
-        An entry that reaches no majority of the ledger serves no turn.  In a zone that is cut off
-        none does; once all of them say so, the balancer sends the callers to other zones.
+        An entry that reaches no majority of the ledger serves no turn.  In a partitioned zone no
+        entry does; once all of them are not ready, the balancer sends callers to other zones.
         """
         if self.table is None or self.draining or not self.reaches_ledger:
             return False
@@ -203,18 +203,18 @@
 
     @property
     def ready_status(self) -> int:
-        """Answer to the balancer's question."""
+        """Status of the answer to a readiness check of the balancer."""
         ready = self.ready
         self.rotation.record(ready)
         return 200 if ready else 503
 
     @property
     def reaches_ledger(self) -> bool:
-        """Whether a replica said lately that it reaches a majority."""
+        """Whether a replica recently reported that it reaches a majority."""
         return self.follower.quorum_age_s < QUORUM_TIMEOUT_S
 
     def replicas(self) -> list[Replica]:
-        """Return the ledger's members, the nearest first."""
+        """Return the members of the ledger, the nearest first."""
         members = self.cached_view.view.replicas.members
         return nearest_first(members, self.settings.zone, self.settings.vm)
 
@@ -228,7 +228,7 @@
             self.pool.forget(target.address)
 
     def _limits(self) -> ClientLimits:
-        """Return what callers may send at present."""
+        """Return the limits in force for callers."""
         return self.table.configuration.limits if self.table is not None else ClientLimits()
 
     def _use_limits(self, limits: ClientLimits) -> None:
@@ -238,13 +238,13 @@
         params.max_body_size = limits.max_body_bytes
 
     async def _find_replicas(self) -> None:
-        """Read from the store who the ledger's members are, while none is known."""
+        """Read the members of the ledger from the store while none is known."""
         reader = Watcher(self.store, self.keys)
         while not self.cached_view.view.replicas.members:
             try:
                 item = await self.store.read(self.keys.replicas)
             except StoreUnavailable as error:
-                logger.bind(reason=str(error)).info("members not read")
+                logger.bind(reason=str(error)).info("reading ledger members failed")
                 item = None
             if item is not None:
                 reader.take_replicas(item)
@@ -271,9 +271,9 @@
                 self._use_watcher()
 
     def close_idle(self) -> None:
-        """Close connections on which no request has come for as long as they may be idle now.
+        """Close connections that have been idle for longer than the current limit.
 
-        The server would go by the limit of the moment from which on they are idle.
+        The server itself applies the limit that was in force when a connection became idle.
         """
         idle_since = time.monotonic() - self._limits().idle_timeout_s
         for exchange in list(self.open_exchanges.values()):
@@ -281,14 +281,14 @@
                 exchange.close_when_idle()
 
     def _check_quorum(self) -> None:
-        """Take in whether a majority of the ledger is in reach, and log when that changes."""
+        """Check whether a majority of the ledger is reachable, and log a change."""
         if not self.quorum_monitor.check():
             return
         event = "ledger quorum regained" if self.quorum_monitor.has_quorum else "ledger quorum lost"
         logger.bind(epoch=self.cached_view.view.replicas.epoch, ready=self.ready).warning(event)
 
     def _use_watcher(self) -> None:
-        """Follow the store itself: no replica knows enough."""
+        """Follow the store directly, since no replica is usable as a source."""
         if self.watcher is None:
             logger.bind(age_s=round(min(self.cached_view.age_s, LONGEST_AGE_S), 2)).warning(
                 "no source, following the store"
@@ -307,12 +307,12 @@
         if self.watcher is not None:
             watcher, self.watcher = self.watcher, None
             await watcher.stop()
-            logger.info("following a source again")
+            logger.info("source found, no longer following the store")
 
     # Serving
 
     def start_request(self, server_conn: object, request_conn: Any) -> HTTPMessageDelegate:
-        """Begin to read a request."""
+        """Start to read a request."""
         assert isinstance(request_conn, HTTP1Connection)
         exchange = Exchange(request_conn, self._serve, lambda: not self.ready, self._limits)
         self.open_exchanges[server_conn] = exchange
@@ -321,7 +321,7 @@
         return exchange
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self.open_exchanges.pop(server_conn, None)
 
     def _serve(self, exchange: Exchange) -> asyncio.Task:
@@ -377,11 +377,11 @@
             raise timeout_refusal(attempts) from error
 
     def _identify(self, accounts: AccountTable, call: Call) -> ClientAccount:
-        """Return the account that sends a call; `Refusal` if none, or if that can't be known."""
+        """Return the account of a call; `Refusal` if it has none or the view is too old."""
         return identify(accounts, call, self.cached_view.incomplete_s, self.settings.keys)
 
     def _priority(self, serving: Serving) -> int | None:
-        """Return the rank of a call in an engine's queue."""
+        """Return the priority of a call in the queue of an engine."""
         if serving.service.engine is None:
             return None
         return min(MAX_PRIORITY, (serving.route.rank + 1) * PRIORITY_STEP)
@@ -400,7 +400,7 @@
             return
 
     def _log(self, exchange: Exchange, trace: Trace) -> None:
-        """Count a request that has ended, and log it."""
+        """Count and log a request that has ended."""
         seconds = time.monotonic() - exchange.arrived_at
         self.metrics.record(exchange, trace, seconds)
         self.request_log.record(exchange, trace, seconds)
--- a/waxwingglade/ingress/events.py
+++ b/waxwingglade/ingress/events.py
@@ -1,4 +1,4 @@
-"""Split a stream of server-sent events without changing a byte of it."""
+"""Split a stream of server-sent events without changing its bytes."""
 
 import msgspec
 
@@ -8,20 +8,20 @@
 
 
 class StreamError(Exception):
-    """The bytes of a stream are not events."""
+    """The bytes of a stream are not valid events."""
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One whole event.
+    """One complete event.
 
     Parameters
     ----------
     raw : bytes
-        Its bytes, with the empty line that ends it.
+        Bytes of the event, with the empty line that ends it.
     number : int or None
-        Its id, if it has one.
+        Id of the event, if it has one.
     data : bytes or None
-        Its data, several lines joined by line feeds; None for an event that carries none.
+        Data of the event, lines joined by line feeds; None for an event without data.
     """
 
     raw: bytes
@@ -30,18 +30,18 @@
 
 
 class EventSplitter:
-    """Collects bytes until events are whole."""
+    """Buffers bytes until events are complete."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     @property
     def rest(self) -> bool:
-        """Whether bytes of an unfinished event are waiting."""
+        """Whether bytes of an incomplete event are buffered."""
         return bool(self.buffer)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take in bytes and return the events that are whole now."""
+        """Add bytes and return the events that are complete now."""
         self.buffer += data
         events = []
         while (end := _end_of_event(self.buffer)) > 0:
@@ -53,7 +53,7 @@
 
 
 def _end_of_event(buffer: bytearray) -> int:
-    """Return the length of the first event, or 0 if it is not whole."""
+    """Return the length of the first event, or 0 if it is incomplete."""
     ends = []
     for mark in (b"\n\n", b"\r\n\r\n"):
         at = buffer.find(mark)
@@ -63,7 +63,7 @@
 
 
 def parse_event(raw: bytes) -> Event:
-    """Read id and data of an event."""
+    """Parse id and data of an event."""
     number: int | None = None
     data: list[bytes] = []
     for line in raw.replace(b"\r\n", b"\n").split(b"\n"):
--- a/waxwingglade/ingress/exchange.py
+++ b/waxwingglade/ingress/exchange.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request: read it whole, answer it whole or visibly not at all."""
+"""One request of a caller: read it completely, and answer it completely or visibly truncated."""
 
 import asyncio
 import time
@@ -39,17 +39,17 @@
     connection : HTTP1Connection
         The caller's connection.
     serve : callable
-        Starts the task that serves the request, once it was read whole.
+        Starts the task that serves the request, once it is complete.
     closing : callable
-        Whether connections are to be closed after their answer.
+        Returns whether connections are to be closed after their answer.
     limits : callable
-        What a caller may send at present.
+        Returns the limits in force for callers.
 
     Attributes
     ----------
     arrived_at : float
-        Monotonic time at which the head was read, in seconds; before, that from which on it is
-        awaited.
+        Monotonic time in seconds at which the head arrived; until then, the time at which the wait
+        for it began.
     answered : bool
         Whether the head of an answer was written.
     status : int
@@ -85,33 +85,32 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Keep the head."""
+        """Store the head."""
         assert isinstance(start_line, RequestStartLine)
         self.start_line = start_line
         self.headers = headers
         self.arrived_at = time.monotonic()
-        # The server took its own limit when the connection began to wait for this request.
+        # The server applied its limit when the connection began to wait for this request.
         self.connection.set_max_body_size(self.limits().max_body_bytes)
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a piece of the body."""
+        """Store a piece of the body."""
         self.pieces.append(chunk)
 
     def finish(self) -> None:
-        """Serve the request: it was read whole.
+        """Serve the request, which is complete.
 
-        One whose connection was closed while it was being read is not passed on to a target.
+        A request whose connection was closed while it was read is not sent to a target.
         """
         if self.connection.stream.closed():
             self.disconnected = True
             return
-        # The server tells of a close by `on_connection_close` only while a request is being
-        # received.
+        # The server itself calls `on_connection_close` only while it receives a request.
         self.connection.set_close_callback(self.on_connection_close)
         self.task = self.serve(self)
 
     def on_connection_close(self) -> None:
-        """Stop everything that is done for a caller who has left."""
+        """Cancel all work for a caller that has disconnected."""
         self.disconnected = True
         if self.task is not None and not self.done:
             self.task.cancel()
@@ -121,8 +120,8 @@
     async def caller_has_disconnected(self) -> bool:
         """Return whether the caller closed its connection before the request was read.
 
-        An entry that stood still finds both at once, and must not send the request to a target.
-        The close is read in the next turn of the loop.
+        An entry that was stalled reads the request and the close together, and must not send the
+        request to a target.  The close is read in the next iteration of the event loop.
         """
         await asyncio.sleep(0)
         return self.connection.stream.closed()
@@ -149,12 +148,12 @@
         return list(self.headers.get_all())
 
     async def answer(self, status: int, headers: HeaderList, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         self._write_head(status, headers, body, len(body))
         await self._finish()
 
     def begin_stream(self, status: int, headers: HeaderList) -> None:
-        """Write the head of an answer whose length is not known."""
+        """Write the head of an answer of unknown length."""
         self._write_head(status, headers, b"", None)
 
     async def write(self, data: bytes) -> None:
@@ -169,14 +168,14 @@
         await self._finish()
 
     def abort(self) -> None:
-        """Close the connection so that the answer can be seen to be incomplete."""
+        """Close the connection, so that the caller detects a truncated answer."""
         self.done = True
         self.connection.stream.close()
 
     def close_when_idle(self) -> None:
-        """Close the connection, after the answer if a request has begun on it.
+        """Close the connection now if it is idle, else after the answer.
 
-        Where the head of the answer is written the caller can't be told any more.
+        If the head of the answer is already written, it lacks the header ``Connection: close``.
         """
         self.close_after = True
         if self.idle:
@@ -184,14 +183,14 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request has begun."""
+        """Whether no request has arrived."""
         return self.start_line is None
 
     def _write_head(
         self, status: int, headers: HeaderList, body: bytes, length: int | None
     ) -> None:
         if self.answered:
-            raise RuntimeError("a request is answered once")
+            raise RuntimeError(f"request already answered with status {self.status}")
         self.answered = True
         self.status = status
         head = HTTPHeaders()
@@ -213,7 +212,7 @@
         try:
             self.connection.finish()
             if stream.writing():
-                # Nothing, but written behind all the rest: done once that was handed to the kernel.
+                # This empty write completes once all earlier data was passed to the kernel.
                 await stream.write(b"")
         except StreamClosedError as error:
             raise CallerDisconnected from error
--- a/waxwingglade/ingress/metrics.py
+++ b/waxwingglade/ingress/metrics.py
@@ -1,4 +1,4 @@
-"""What an entry on a platform counts and times, for Prometheus."""
+"""Prometheus metrics of an entry on a platform."""
 
 from typing import TYPE_CHECKING
 
@@ -15,12 +15,12 @@
 
 PREFIX = "waxwingglade_ingress_"
 MAX_LABEL_VALUES = 50
-"""Routes, and client accounts, with series of their own; a configuration may have hundreds, and the
-rest counts as one."""
+"""Maximum number of routes, and of client accounts, that have their own series.  A configuration
+may have hundreds; the others share one series."""
 
 OTHER = "other"
 SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.41, 1.0, 2.0, 3.0, 5.0, float("inf"))
-"""Upper bounds in seconds; the aims to the first event, 0.2 and 0.41 s, are among them."""
+"""Upper bounds of buckets in seconds, with the objectives for the first event, 0.2 and 0.41 s."""
 
 
 class IngressMetrics:
@@ -69,7 +69,7 @@
         return Times(self.registry, PREFIX + name, text, SECONDS, labels)
 
     def record(self, exchange: "Exchange", trace: "Trace", seconds: float) -> None:
-        """Count one request."""
+        """Record one request."""
         route = _label(self.routes, trace.route)
         status = str(exchange.status)
         self.requests.add(route, status)
@@ -111,7 +111,7 @@
 
 
 def _label(known: set[str], name: str) -> str:
-    """Return the name under which something is counted; those that came first have their own."""
+    """Return the label value of a name: the name itself for the first ones, else `OTHER`."""
     if name in known:
         return name
     if len(known) >= MAX_LABEL_VALUES:
--- a/waxwingglade/ingress/quorum_monitor.py
+++ b/waxwingglade/ingress/quorum_monitor.py
@@ -1,8 +1,8 @@
-"""Whether an entry reaches the ledger, and when the balancer sends its callers elsewhere.
+"""Track whether an entry reaches a ledger quorum, and when the balancer removes the entry.
 
-An entry that is cut off from the ledger's majority can neither begin nor keep a turn.  Its callers
-are told so while they can still go elsewhere.  A ledger that is merely slow still says that it
-reaches its majority, and is waited for.
+An entry that is partitioned from the majority of the ledger can neither begin nor store a turn.  It
+refuses turns early, so that callers can still go to another entry.  The replicas of a slow ledger
+still report that they reach a majority, so the entry waits for their answers.
 """
 
 import asyncio
@@ -12,26 +12,26 @@
 from waxwingglade.base import Clock, monotonic
 
 HEALTH_CHECK_INTERVAL_S = 1.0
-"""Seconds between the balancer's questions whether an entry takes callers."""
+"""Seconds between readiness checks of an entry by the balancer."""
 
 UNHEALTHY_THRESHOLD = 2
-"""Questions in a row without a good answer after which the balancer sends no more callers."""
+"""Consecutive failed checks after which the balancer sends no more callers to an entry."""
 
 REMOVAL_DELAY_S = 0.25
-"""Seconds that the balancer takes to act on the last of them."""
+"""Seconds that the balancer takes to act on the last failed check."""
 
 MIN_RETRY_AFTER_S = 0.05
-"""Shortest time in seconds after which a caller is told to come back."""
+"""Minimum value in seconds of the `Retry-After` header."""
 
 T = TypeVar("T")
 
 
 class QuorumLost(Exception):
-    """The ledger's majority was out of reach for as long as it was worth waiting for."""
+    """The majority of the ledger was unreachable for longer than the wait limit."""
 
 
 class RotationEstimate:
-    """What the balancer was told of this entry, and when it acts on it.
+    """Estimates when the balancer removes this entry from rotation.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
         self.removed_at = float("inf")
 
     def record(self, ready: bool) -> None:
-        """Take in the answer to a question of the balancer."""
+        """Record the answer to a readiness check of the balancer."""
         self.checked_at = self.clock()
         self.failed_checks = 0 if ready else self.failed_checks + 1
         if self.failed_checks <= UNHEALTHY_THRESHOLD:
@@ -58,25 +58,25 @@
 
     @property
     def until_removed_s(self) -> float:
-        """Seconds until the balancer sends callers elsewhere, if this entry stays not ready."""
+        """Seconds until the balancer removes this entry from rotation, if it stays not ready."""
         longest_s = UNHEALTHY_THRESHOLD * HEALTH_CHECK_INTERVAL_S + REMOVAL_DELAY_S
         return min(longest_s, max(MIN_RETRY_AFTER_S, self.removed_at - self.clock()))
 
 
 class QuorumMonitor:
-    """Whether the ledger's majority is in reach, as replicas and the lack of their word tell.
+    """Monitors whether a majority of the ledger is reachable, by the reports of replicas.
 
     Parameters
     ----------
-    reaches : callable
-        Whether a replica said lately that it reaches a majority.
+    is_reachable : callable
+        Returns whether a replica recently reported that it reaches a majority.
 
     Attributes
     ----------
-    reached : bool
-        Whether it was in reach at the last look.
-    waiting : dict
-        How long each caller of `wait` waits on while it is not, by what ends its waiting.
+    has_quorum : bool
+        Whether the majority was reachable at the last check.
+    wait_limits : dict
+        For the timeout of each pending `wait`, the seconds that it waits without a quorum.
     """
 
     def __init__(self, is_reachable: Callable[[], bool]) -> None:
@@ -85,13 +85,13 @@
         self.wait_limits: dict[asyncio.Timeout, float] = {}
 
     def check(self) -> bool:
-        """Take in whether the majority is in reach now; return whether that has changed."""
+        """Check whether the majority is reachable; return whether that has changed."""
         has_quorum = self.is_reachable()
         if has_quorum == self.has_quorum:
             return False
         self.has_quorum = has_quorum
         for timeout, wait_limit_s in self.wait_limits.items():
-            # One whose time is over ends its wait in the next turns of the loop.
+            # An expired timeout ends its wait in one of the next iterations of the event loop.
             if not timeout.expired():
                 timeout.reschedule(self._deadline(wait_limit_s))
         return True
@@ -100,12 +100,12 @@
         return None if self.has_quorum else asyncio.get_running_loop().time() + wait_limit_s
 
     async def wait(self, asking: Awaitable[T], wait_limit_s: float) -> T:
-        """Wait for an answer of the ledger until its majority is lost for `patience_s` seconds.
+        """Wait for an answer of the ledger until its quorum is lost for `wait_limit_s` seconds.
 
         Raises
         ------
         LedgerLost
-            If it is; what was asked is then cancelled.
+            If the quorum is lost for that long; the request is then cancelled.
         """
         timeout = asyncio.timeout_at(self._deadline(wait_limit_s))
         self.wait_limits[timeout] = wait_limit_s
--- a/waxwingglade/ingress/quota.py
+++ b/waxwingglade/ingress/quota.py
@@ -1,4 +1,4 @@
-"""The limits of client accounts, as an entry asks for them."""
+"""Enforce the rate limits of client accounts at an entry."""
 
 import asyncio
 import time
@@ -11,22 +11,22 @@
 from waxwingglade.ledger.messages import QuotaSpent, QuotaTaken
 
 MAX_QUOTA_WAIT_S = 0.5
-"""Longest time in seconds for which a request of a program under way waits for room.  Refused, its
-caller may have no try left; programs allow for some fractions of a second."""
+"""Maximum time in seconds for which a request of a running program waits for quota.  The caller of
+a refused request may have no retry left, and programs tolerate delays of a fraction of a second."""
 
 MIN_RETRY_INTERVAL_S = 0.02
-"""Seconds before room is asked for again, at least."""
+"""Minimum seconds between two requests for quota."""
 
 T = TypeVar("T")
 
 
 async def take_quota(serving: Serving, ledger: LedgerClient) -> None:
-    """Have a call granted within the limit of its client account, if it has one.
+    """Take a call from the quota of its client account, if the account has a limit.
 
     Raises
     ------
     Refusal
-        If the account is over its limit, or nobody could tell.
+        If the account is over its limit, or no replica answered.
     """
     account = serving.account
     if account is None or account.rate_per_s <= 0:
@@ -42,9 +42,10 @@
 
 
 async def check_may_begin_program(serving: Serving, ledger: LedgerClient) -> None:
-    """Raise a `Refusal` if a call's account should begin no program now.
+    """Raise a `Refusal` if the client account of a call may not begin a program now.
 
-    Its limit would not carry the program to its end, and those under way would lose by it.
+    The rate limit would not suffice to complete the program, and the programs under way would get
+    less of it.
     """
     account = serving.account
     if account is None or account.rate_per_s <= 0:
@@ -55,7 +56,7 @@
 
 
 async def retry_until_granted(ask: Callable[[], Awaitable[T]]) -> T:
-    """Ask for room until there is some, for `HOLD_S` seconds at most; return the last answer."""
+    """Ask for quota until it is granted, for at most `MAX_QUOTA_WAIT_S`; return the last answer."""
     end_at = time.monotonic() + MAX_QUOTA_WAIT_S
     while True:
         answer = await ask()
@@ -68,7 +69,7 @@
 
 
 def over_limit(serving: Serving, ledger: LedgerClient, spent: QuotaSpent) -> Refusal:
-    """Return the refusal of a call beyond the limit of its client account, and note it."""
+    """Record a call that is over the limit of its client account, and return its refusal."""
     assert serving.account is not None
     ledger.quotas.note_refused(serving.account.name)
     return _refusal(spent)
--- a/waxwingglade/ingress/refusal.py
+++ b/waxwingglade/ingress/refusal.py
@@ -1,4 +1,4 @@
-"""Answers that this system gives itself to a call that it does not serve."""
+"""Answers of this system to calls that it refuses."""
 
 from waxwingglade.ingress.dialect import Dialect
 from waxwingglade.transport.messages import HeaderList
@@ -11,7 +11,7 @@
 
 
 class Refusal(Exception):
-    """A call ends with an answer of this system's own.
+    """A call is answered by this system itself.
 
     Parameters
     ----------
@@ -20,7 +20,7 @@
     reason : str
         One line for the caller and the log.
     retry_after_s : float or None
-        After which a caller whose request did not run may come back; None for the usual time.
+        Seconds after which a caller whose request did not run may retry; None for the default.
     """
 
     def __init__(self, status: int, reason: str, retry_after_s: float | None = None) -> None:
@@ -33,7 +33,7 @@
 def own_answer(
     dialect: Dialect, usual_retry_s: float, request: str, refusal: Refusal
 ) -> tuple[int, HeaderList, bytes]:
-    """Return status, headers and body of an answer that this system gives itself."""
+    """Return status, headers and body of the answer for a refusal."""
     headers = [*dialect.own_headers(request), ("Content-Type", "text/plain")]
     if refusal.status in _RETRYABLE:
         retry_s = refusal.retry_after_s or usual_retry_s
--- a/waxwingglade/ingress/request_log.py
+++ b/waxwingglade/ingress/request_log.py
@@ -1,4 +1,4 @@
-"""The line that an entry logs for each request: what decided it, and its outcome."""
+"""The log line of an entry for each request, with its outcome and the data behind it."""
 
 from typing import Any
 
@@ -11,18 +11,18 @@
 from waxwingglade.ingress.serving import Trace
 
 SUCCESSES_LOGGED_PER_S = 20.0
-"""Lines a second for requests that ended well; failures have their own bound."""
+"""Maximum lines per second for successful requests; failures have a separate limit."""
 
 FAILURES_LOGGED_PER_S = 50.0
 
 
 class RequestLog:
-    """Writes one line for each request, up to a bound.
+    """Writes one line for each request, up to a rate limit.
 
     Parameters
     ----------
-    beliefs : CachedView
-        What the entry knows of its surroundings.
+    cached_view : CachedView
+        The cached view of the platform's state.
     """
 
     def __init__(self, cached_view: CachedView) -> None:
@@ -31,10 +31,9 @@
         self.failures = Sampler(FAILURES_LOGGED_PER_S)
 
     def record(self, exchange: Exchange, trace: Trace, seconds: float) -> None:
-        """Write the line of a request that has ended after some seconds.
+        """Log a request that ended after some seconds.
 
-        Fields that say nothing are left out: a log that is kept by its size then reaches back
-        further.
+        Empty fields are omitted, so that a log of limited size covers a longer time.
         """
         good = 200 <= exchange.status < 300 and not trace.reason
         sampler = self.successes if good else self.failures
--- a/waxwingglade/ingress/routes.py
+++ b/waxwingglade/ingress/routes.py
@@ -1,4 +1,4 @@
-"""Find the route of a request: by host, then by the longest prefix of the path."""
+"""Find the route of a request by its host, then by the longest prefix of its path."""
 
 import xxhash
 
@@ -12,12 +12,12 @@
     Parameters
     ----------
     configuration : Configuration
-        The version.
+        Version of the configuration.
 
     Attributes
     ----------
     accounts : AccountTable or None
-        Who may send requests to routes that are not public; None where nobody needs a key.
+        Client accounts that may use routes that are not public; None where no key is needed.
     """
 
     def __init__(self, configuration: Configuration) -> None:
@@ -46,10 +46,10 @@
         return None
 
     def service_for(self, route: Route, key: str) -> ServiceName:
-        """Return the service that takes a request of a route.
+        """Return the service for a request of a route.
 
-        A split follows a hash of `key`, so that what belongs together stays together, at every
-        entry.
+        A traffic split follows a hash of `key`, so that requests with the same key go to the same
+        service from every entry.
         """
         shares = [share for share in route.shares if share.weight > 0] or list(route.shares)
         if len(shares) == 1:
--- a/waxwingglade/ingress/serving.py
+++ b/waxwingglade/ingress/serving.py
@@ -1,4 +1,4 @@
-"""Serve one call: find its route, send it on, and give exactly one final answer."""
+"""Serve one call: find its route, send it to a target, and give exactly one final answer."""
 
 import time
 from collections.abc import Callable
@@ -34,25 +34,25 @@
 
 AUTHORIZATION = "Authorization"
 MIN_SEND_S = 0.01
-"""Seconds of its time that a call must have left to be worth sending."""
+"""Minimum remaining seconds for which a call is still sent."""
 
 
 class Trace(msgspec.Struct):
-    """What is logged of one call.
+    """Facts about one call for its log line and metrics.
 
     Parameters
     ----------
     call : Call or None
-        The call, once it could be read.
+        The call, once it is decoded.
     version : int
-        Configuration version that it was served under.
+        Version of the configuration by which the call is served.
     reason : str
-        Why it ended as it did, where that is not plain from the status.
+        Reason for its outcome, where the status does not suffice.
     account : str
-        Client account that sent it; empty where none needs a key.
+        Client account of the call; empty where no key is needed.
     reserved_s, confirmed_s, kept_s : float or None
-        Seconds that its caller waited for the ledger: to begin the turn, for its reservation to be
-        confirmed when the first event had come, and to keep the turn.
+        Seconds that the caller waited for the ledger: to begin the turn, to confirm its reservation
+        after the first event arrived, and to store the turn.
     """
 
     call: Call | None = None
@@ -69,11 +69,11 @@
 
 
 Identify = Callable[[AccountTable, Call], ClientAccount | None]
-"""Returns the account that sends a call; `Refusal` if that is none, or can't be known."""
+"""Returns the account of a call; raises `Refusal` if there is none or it cannot be determined."""
 
 
 class Serving(msgspec.Struct):
-    """One call, with what decides on it."""
+    """One call, with its route, service, account and deadline."""
 
     exchange: Exchange
     call: Call
@@ -84,12 +84,12 @@
     account: ClientAccount | None = None
 
     def time_left(self) -> float:
-        """Return the seconds that are left for a target."""
+        """Return the seconds that are left for a target to answer."""
         return self.end_at - time.monotonic()
 
     @property
     def turn(self) -> TurnId:
-        """Name of the call as a turn."""
+        """Id of the turn that the call requests."""
         return TurnId(self.call.request)
 
 
@@ -100,7 +100,7 @@
     trace: Trace,
     identify: Identify = lambda _accounts, _call: None,
 ) -> Serving:
-    """Decode a request, and find its route and who sends it; `Refusal` if it cannot be served."""
+    """Decode a request and find its route and account; `Refusal` if it cannot be served."""
     try:
         call = dialect.read_call(exchange.method, exchange.path, exchange.header_list())
     except FormatError as error:
@@ -112,16 +112,16 @@
     trace.version = table.configuration.version
     route = table.match(call.host, call.path)
     if route is None and call.previous_turn is not None:
-        # The turn before was served, so the route was there: this version may be older than that.
-        # The caller would give the conversation up on a 404, and there is no proof that the turn is
-        # unknown.
+        # The previous turn was served, so the route exists, and this version of the configuration
+        # may be too old to have it.  A 404 would make the caller abandon the conversation although
+        # the turn may be valid.
         raise Refusal(UNAVAILABLE, "not run: no route for a turn that goes on")
     if route is None:
         raise Refusal(NOT_FOUND, "no route")
     trace.route = route.name
     account = None
     if table.accounts is None:
-        # Without accounts the header is the target's business.
+        # Without accounts the header is passed on to the target.
         call.headers += [(AUTHORIZATION, value) for value in call.credentials]
     elif not route.public:
         account = identify(table.accounts, call)
@@ -149,12 +149,12 @@
     priority: Priority,
     last_event: int | None = None,
 ) -> Head:
-    """Send a call until a target has taken it, and return the head of its answer.
+    """Send a call until a target accepts it, and return the head of its answer.
 
     Raises
     ------
     Refusal
-        If no target took the call, or one may have run it that may not run twice.
+        If no target accepted the call, or if one may have run a call that may not run twice.
     """
     while True:
         if serving.time_left() < MIN_SEND_S:
@@ -172,14 +172,14 @@
 
 
 def raise_unless_retryable(serving: Serving, attempts: Attempts, error: Exception) -> None:
-    """Raise the final answer of a call that a target broke off, unless it may be sent again."""
+    """Raise a `Refusal` for a call whose answer broke off, unless the call may be sent again."""
     if serving.route.idempotent and attempts.may_try:
         return
     raise Refusal(BAD_GATEWAY, f"the target broke off: {error}") from error
 
 
 async def serve_plain(serving: Serving, attempts: Attempts, priority: Priority) -> None:
-    """Serve a call whose answer is passed on once it is whole."""
+    """Serve a call whose answer is passed on once it is complete."""
     while True:
         head = await open_answer(serving, attempts, serving.call.body, priority)
         try:
@@ -201,16 +201,16 @@
 
 
 def check_status(status: int, certified: bool) -> None:
-    """Keep back an answer of a target that would tell the caller something untrue."""
+    """Raise a `Refusal` instead of an answer that would make a false promise to the caller."""
     if 200 <= status < 300 and not certified:
         raise Refusal(BAD_GATEWAY, "the target did not vouch for its answer")
     if promises_not_run(status):
-        # The target did not promise it, so the caller must not be told that the call did not run.
+        # The status promises that the call did not run, but the target did not certify that.
         raise Refusal(BAD_GATEWAY, f"the target answered {status}")
 
 
 def exhausted_refusal(attempts: Attempts) -> Refusal:
-    """Return the final answer of a call that no target took."""
+    """Return the final answer of a call that no target accepted."""
     if attempts.may_have_run:
         return Refusal(BAD_GATEWAY, "the target broke off")
     if not attempts.records:
@@ -219,14 +219,14 @@
 
 
 def timeout_refusal(attempts: Attempts | None) -> Refusal:
-    """Return the final answer of a call whose time is over."""
+    """Return the final answer of a call whose time has run out."""
     if attempts is not None and attempts.may_have_run:
         return Refusal(TIMED_OUT, "the time of the request is over")
     return Refusal(UNAVAILABLE, "not run: the time of the request is over")
 
 
 def is_stream(route: Route) -> bool:
-    """Return whether the calls of a route are answered by events."""
+    """Return whether the calls of a route are answered by a stream of events."""
     return route.kind is CallKind.STREAM
 
 
--- a/waxwingglade/ingress/settings.py
+++ b/waxwingglade/ingress/settings.py
@@ -7,35 +7,35 @@
 
 
 class IngressSettings(msgspec.Struct, frozen=True):
-    """What an entry on a platform is told; times in seconds.
+    """Settings of an entry on a platform; times in seconds.
 
     Parameters
     ----------
     vm : str
-        Name of its VM.
+        Name of the VM of the entry.
     zone : ZoneId
-        Its availability zone.
+        Availability zone of the entry.
     callers : str
-        ``IP:PORT`` for callers.
+        ``IP:PORT`` on which callers are served.
     ready : str
-        ``IP:PORT`` where the balancer asks whether this entry takes callers.
+        ``IP:PORT`` of the readiness checks of the balancer.
     metrics : str
         ``IP:PORT`` of the metrics page; empty for none.
     connect_timeout_s : float
-        For a connection to a target.  A round trip takes some 3 ms; an opening packet that was
-        dropped is sent again after a second, so another target is quicker.
+        Timeout to connect to a target.  A round trip takes about 3 ms.  A lost SYN packet is sent
+        again only after a second, so it is quicker to try another target.
     answer_grace_s : float
-        Beyond a request's time, for the target's own answer that its time is over.
+        Extra time after the timeout of a request, for the timeout answer of the target itself.
     drain_wait_s : float
-        After the signal to stop, until no more requests are taken: the balancer asks once a
-        second, needs two refusals to send callers elsewhere, and lags.
+        Time from the stop signal until requests are no longer accepted.  The balancer checks once
+        a second, needs two failed checks to send callers to another entry, and acts with a delay.
     drain_timeout_s : float
-        After the signal to stop, until the process ends; the platform kills it after its grace.
-        Between the two, the longest request must fit.
+        Time from the stop signal until the process ends; the platform kills the process after its
+        grace period.  The difference from `drain_wait_s` must suffice for the longest request.
     retry_after_s : float
-        After which a caller that was not served may come back.
+        Time after which a caller that was not served may retry.
     keys : KeyRules
-        How old the view may be under which callers' keys are judged.
+        Limits on the age of the view by which the keys of callers are checked.
     """
 
     vm: str
--- a/waxwingglade/ingress/streaming.py
+++ b/waxwingglade/ingress/streaming.py
@@ -1,4 +1,4 @@
-"""Serve a call that is answered by events, and keep turns and budgets."""
+"""Serve calls that are answered by a stream of events, and record turns and budgets."""
 
 import asyncio
 import time
@@ -49,46 +49,46 @@
 
 OK = 200
 BEGIN_WITHOUT_QUORUM_S = 0.1
-"""Seconds that a turn waits to begin while no majority is in reach; a decision takes some 5 ms, and
-a caller that is refused early can go elsewhere."""
+"""Seconds that a turn waits to begin while no majority is reachable.  A decision takes about 5 ms,
+and a caller that is refused early can go to another entry."""
 
 MIN_BEGIN_TIMEOUT_S = 0.9
-"""Seconds for which a turn may always wait to begin, if its caller has them."""
+"""Minimum timeout in seconds to begin a turn, unless the caller has less time left."""
 
 BEGIN_TIMEOUT_SHARE = 0.5
-"""The same as a share of what the caller has left, so that the rest can do for its answer."""
+"""Timeout to begin a turn as a share of the remaining time; the rest is left for the answer."""
 
 UNDECIDED_RETRY_S = 1.0
-"""Seconds after which a caller may come back with a turn on which the ledger did not decide, though
-its majority is in reach."""
+"""Seconds after which a caller may retry a turn on which the ledger did not decide although its
+majority is reachable."""
 
 STORE_WITHOUT_QUORUM_S = 1.0
-"""Seconds that a turn waits to be kept while no majority is in reach; about as long as its caller
-would be sent back to this zone."""
+"""Seconds that a turn waits to be stored or confirmed while no majority is reachable.  For about as
+long, the balancer would still send its caller back to this zone."""
 
 BUSY_RETRY_S = 0.3
-"""The same for a turn that came while all replicas had as much to decide as they can answer in
-time, a quarter of a second."""
+"""Seconds after which a caller may retry a turn that arrived while all replicas were at capacity:
+each had as many decisions pending as it can answer in time, a quarter of a second."""
 
 
 class Relay(msgspec.Struct):
-    """What of a stream has reached the caller.
+    """Progress of a stream that is relayed to the caller.
 
     Parameters
     ----------
     events : int
-        Events handed to the caller.
+        Number of events passed to the caller.
     last_event : int or None
         Id of the last one.
     data : list of bytes
-        Data of the events, for a turn that is kept.
+        Data of the events, for a turn that is stored.
     target : IncarnationName or None
-        Target that made the last event.
+        Target that produced the last event.
     failed_at : IncarnationName or None
         Target that failed the turn.
     confirming : Task or None
-        What makes the reservation count until the turn ends, to be done before the first event;
-        None where that is not needed.
+        Task that confirms the reservation until the end of the turn.  It must succeed before the
+        first event is passed on.  None where no confirmation is needed.
     """
 
     events: int = 0
@@ -100,7 +100,7 @@
 
 
 class LedgerAccess(msgspec.Struct):
-    """An entry's way to the ledger, and what is known of whether it is open."""
+    """The ledger client of an entry, with its quorum and rotation state."""
 
     ledger: LedgerClient
     quorum_monitor: QuorumMonitor
@@ -110,7 +110,7 @@
 async def serve_stream(
     serving: Serving, attempts: Attempts, ledger_access: LedgerAccess, priority: Priority
 ) -> None:
-    """Serve a call whose events are passed on as they come."""
+    """Serve a call and pass its events on as they arrive."""
     ledger = ledger_access.ledger
     _admit(serving, attempts.balancer, _is_first_stored_turn(serving))
     relay = Relay(last_event=serving.call.last_event if serving.route.resumable else None)
@@ -138,36 +138,36 @@
     finally:
         if relay.confirming is not None:
             relay.confirming.cancel()
-        # Whatever cuts a turn off, also while it is being kept, its reservation is replaced;
-        # settling one that is settled changes nothing.
+        # A turn that is interrupted, even while it is being stored, must release its reservation.
+        # Releasing a resolved reservation again has no effect.
         if not ended:
             relay.failed_at = attempts.failed_at
             _release_reservation(serving, ledger, relay)
 
 
 def _is_first_stored_turn(serving: Serving) -> bool:
-    """Return whether a turn says itself that its program begins with it."""
+    """Return whether a stored turn is the first of its program, by its own headers."""
     return serving.route.keeps_turns and serving.call.previous_turn is None
 
 
 def _is_first_counted_turn(serving: Serving, attempts: Attempts) -> bool:
-    """Return whether the ledger has told that no turn of a program has ended yet.
+    """Return whether the ledger reports that no turn of the program has ended yet.
 
-    Where turns are not kept, nothing else tells the turn with which a program begins, and a burst
-    beyond what engines carry would go on after its cause.
+    Where turns are not stored, only the ledger can identify the first turn of a program.  Without
+    this check, an overload of the engines would outlast the burst of programs that caused it.
     """
     history = attempts.history
     return not serving.route.keeps_turns and history is not None and history.holder is None
 
 
 def _admit(serving: Serving, balancer: Balancer, is_first: bool) -> None:
-    """Refuse a turn that engines could not begin in time."""
+    """Refuse a turn that the engines could not begin in time."""
     service = serving.service
     if service.engine is None:
         return
-    patience_s = min(serving.route.patience_s, serving.time_left())
+    wait_limit_s = min(serving.route.patience_s, serving.time_left())
     share = balancer.ranks_of(service.name).share_up_to(serving.route.rank)
-    waiting = AdmissionRequest(patience_s, is_first, share)
+    waiting = AdmissionRequest(wait_limit_s, is_first, share)
     retry_s = retry_after_s(
         balancer.speed_of(service.name), balancer.engines(service.name), waiting
     )
@@ -178,7 +178,7 @@
 async def _begin_turn(
     serving: Serving, attempts: Attempts, ledger_access: LedgerAccess
 ) -> TurnBegun:
-    """Reserve the turn's tokens, and return the turns before it."""
+    """Reserve the tokens of a turn, and return the turns before it."""
     call, ledger = serving.call, ledger_access.ledger
     previous = call.previous_turn if serving.route.keeps_turns else None
     budget = _budget(serving)
@@ -197,7 +197,7 @@
         _is_first_stored_turn(serving),
         confirms=True,
     )
-    asked_at = time.monotonic()
+    requested_at = time.monotonic()
     try:
         answer = await retry_until_granted(
             lambda: ledger_access.quorum_monitor.wait(
@@ -207,10 +207,10 @@
     except QuorumLost:
         answer = Unavailable("no majority is in reach")
     except asyncio.CancelledError:
-        # The ledger may have reserved the tokens, and no other turn could use them any more.
+        # The ledger may have reserved the tokens, which no other turn could use then.
         _release_undecided(serving, ledger)
         raise
-    serving.trace.reserved_s = round(time.monotonic() - asked_at, 4)
+    serving.trace.reserved_s = round(time.monotonic() - requested_at, 4)
     if isinstance(answer, TurnBegun):
         attempts.history = _history(serving, answer)
         return answer
@@ -223,7 +223,8 @@
         raise over_limit(serving, ledger, answer)
     if isinstance(answer, Busy):
         raise Refusal(UNAVAILABLE, "not run: the ledger has too much to do", BUSY_RETRY_S)
-    # Its caller's next turn would count this one if all who know of its end were killed.
+    # If every process that has the release were killed, the next turn of the program would still
+    # count this reservation.  So the release is recorded before the caller gets its answer.
     await ledger.noted(_release_undecided(serving, ledger))
     reason = f"not run: the ledger did not decide: {answer.reason}"
     retry_s = (
@@ -235,12 +236,12 @@
 
 
 def _begin_timeout_s(left_s: float) -> float:
-    """Return the seconds for which a turn waits to begin while a majority is in reach."""
+    """Return the timeout in seconds to begin a turn while a majority is reachable."""
     return min(left_s, max(MIN_BEGIN_TIMEOUT_S, BEGIN_TIMEOUT_SHARE * left_s))
 
 
 async def _confirm_turn(serving: Serving, ledger_access: LedgerAccess, granter: str) -> bool:
-    """Make the turn's reservation count until it ends; return whether it does."""
+    """Confirm the reservation of a turn until its end; return whether the ledger agreed."""
     program = serving.call.program
     assert program is not None
     message = ConfirmTurn(serving.turn, program, granter)
@@ -253,14 +254,14 @@
 
 
 def _history(serving: Serving, begun: TurnBegun) -> History | None:
-    """Return where the turns before ran; None if that is not known."""
+    """Return where the previous turns ran, or None if that is unknown."""
     if begun.chain and (target := begun.chain[-1].target) is not None:
         return History(target, begun.failed_at)
     if _is_first_stored_turn(serving):
         return History(None, begun.failed_at)
     if serving.route.keeps_turns and begun.target is None:
         return None
-    # A program without kept turns, none of whose turns has ended, begins anew.
+    # A program whose turns are not stored and of which no turn has ended has an empty history.
     return History(begun.target, begun.failed_at)
 
 
@@ -268,15 +269,15 @@
     return serving.call.token_budget if serving.call.program is not None else None
 
 
-def _end_message(serving: Serving, relay: Relay, keep: bool) -> EndTurn:
-    """Return the message that settles a turn, and keeps it if it is whole."""
+def _end_message(serving: Serving, relay: Relay, store: bool) -> EndTurn:
+    """Return the message that ends a turn, and stores it if it is complete."""
     engine = serving.service.engine
     used = relay.events * (engine.tokens_per_event if engine else 1)
     program = serving.call.program if _budget(serving) is not None else None
-    kept = None
-    if keep and serving.route.keeps_turns:
+    stored = None
+    if store and serving.route.keeps_turns:
         previous = serving.call.previous_turn
-        kept = Turn(
+        stored = Turn(
             serving.turn,
             previous,
             serving.call.body,
@@ -285,60 +286,60 @@
             relay.target,
             serving.call.account,
         )
-    return EndTurn(serving.turn, program, used, kept, relay.target, relay.failed_at)
+    return EndTurn(serving.turn, program, used, stored, relay.target, relay.failed_at)
 
 
 def _release_reservation(serving: Serving, ledger: LedgerClient, relay: Relay) -> None:
-    """Replace the reservation of a turn that did not end whole."""
-    message = _end_message(serving, relay, keep=False)
+    """Replace the reservation of an incomplete turn by the tokens that it used."""
+    message = _end_message(serving, relay, store=False)
     if message.program is not None:
         ledger.settle_later(message)
 
 
 async def _await_confirmation(serving: Serving, confirming: asyncio.Task[bool]) -> None:
-    """Wait until the turn's reservation counts; `Refusal` if it does not."""
-    waits_since = time.monotonic()
+    """Wait for the confirmation of the reservation; raise a `Refusal` if it is not confirmed."""
+    waiting_since = time.monotonic()
     confirmed = await confirming
-    serving.trace.confirmed_s = round(time.monotonic() - waits_since, 4)
+    serving.trace.confirmed_s = round(time.monotonic() - waiting_since, 4)
     if not confirmed:
-        # Another turn may have got the reservation, and the budget does not hold both.
+        # The tokens may have been reserved for another turn, and the budget does not cover both.
         raise Refusal(BAD_GATEWAY, "the turn's reservation was not confirmed")
 
 
 async def _release_before_answer(serving: Serving, ledger: LedgerClient, relay: Relay) -> None:
-    """Give back the reservation of a turn that was not run, before its caller is told so."""
-    message = _end_message(serving, relay, keep=False)
+    """Release the reservation of a turn that did not run, before its caller is notified."""
+    message = _end_message(serving, relay, store=False)
     if message.program is not None:
         await ledger.settle_first(message)
 
 
 def _release_undecided(serving: Serving, ledger: LedgerClient) -> list[asyncio.Task[bool]]:
-    """Give back what the ledger may have reserved for a turn that it did not decide on.
+    """Release the tokens that the ledger may have reserved for an undecided turn.
 
-    Returns what tells the replicas, for `LedgerClient.noted`.
+    Returns the tasks that notify the replicas, for `LedgerClient.noted`.
     """
-    message = _end_message(serving, Relay(), keep=False)
+    message = _end_message(serving, Relay(), store=False)
     return [] if message.program is None else ledger.settle_refused(message)
 
 
 async def _end_turn(serving: Serving, ledger_access: LedgerAccess, relay: Relay) -> None:
-    """End the stream as complete, once the turn is kept."""
-    message = _end_message(serving, relay, keep=True)
+    """End the stream as complete once the turn is stored."""
+    message = _end_message(serving, relay, store=True)
     if message.kept is None:
         await serving.exchange.end_stream()
         if message.program is not None:
             ledger_access.ledger.settle_later(message)
         return
-    asked_at = time.monotonic()
+    requested_at = time.monotonic()
     try:
-        kept = await ledger_access.quorum_monitor.wait(
+        stored = await ledger_access.quorum_monitor.wait(
             ledger_access.ledger.end(message, serving.time_left()), STORE_WITHOUT_QUORUM_S
         )
     except QuorumLost:
-        kept = False
+        stored = False
         _release_reservation(serving, ledger_access.ledger, relay)
-    serving.trace.kept_s = round(time.monotonic() - asked_at, 4)
-    if not kept:
+    serving.trace.kept_s = round(time.monotonic() - requested_at, 4)
+    if not stored:
         serving.trace.reason = "the turn could not be kept"
         serving.exchange.abort()
         return
@@ -348,7 +349,7 @@
 async def _relay_attempts(
     serving: Serving, attempts: Attempts, relay: Relay, prompt: bytes, priority: Priority
 ) -> None:
-    """Send the call until a stream has come to its end, or an answer of another kind is given."""
+    """Send the call until a stream is complete or an answer without a stream was passed on."""
     while True:
         head = await open_answer(serving, attempts, prompt, priority, relay.last_event)
         try:
@@ -390,8 +391,8 @@
 
 async def _relay_event(serving: Serving, head: Head, event: Event, relay: Relay) -> None:
     """Pass one event on, unless the caller already has it."""
-    known = relay.last_event
-    if event.number is not None and known is not None and event.number <= known:
+    last = relay.last_event
+    if event.number is not None and last is not None and event.number <= last:
         return
     if head.first_event_s is None:
         head.first_event_s = time.monotonic() - head.sent_at
@@ -400,7 +401,7 @@
     if not serving.exchange.answered:
         serving.exchange.begin_stream(head.response.status, head.response.headers)
         serving.trace.first_event_s = round(time.monotonic() - serving.exchange.arrived_at, 4)
-    # Counted before it is written: what may have reached the caller counts as spent.
+    # Counted before it is written: tokens that may have reached the caller count as used.
     if event.data is not None:
         relay.events += 1
         relay.data.append(event.data + b"\n")
--- a/waxwingglade/ingress/target_state.py
+++ b/waxwingglade/ingress/target_state.py
@@ -1,4 +1,4 @@
-"""What one entry knows of a target beyond its registration: load, pace, failures, parts held."""
+"""State of a target as observed by one entry: load, speed, failures, cached prompt parts."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -10,25 +10,25 @@
 from waxwingglade.ingress.dialect import LoadStamp
 
 LOAD_HALF_LIFE_S = 0.5
-"""Seconds in which half of the trust in a reported load is lost; reports lag by 0.2 s."""
+"""Half-life in seconds of the weight of a reported load; reports lag by 0.2 s."""
 
 SLOWNESS_SMOOTHING = 0.15
 SLOW_RATIO = 1.6
-"""How many times slower than the others a target must have been to count as slow; answers of one
-service differ by about as much by themselves."""
+"""Ratio to the median time per unit of work from which on a target counts as slow.  The times of
+the answers of one service vary by about this ratio anyway."""
 
 MAX_SLOWNESS = 10.0
 MAX_CACHED_PARTS = 4_000
-"""Prompt parts that are remembered of a target."""
+"""Maximum number of prompt parts recorded for a target."""
 
 
 class TargetState:
-    """What this entry knows of one incarnation of a target beyond its registration.
+    """State of one incarnation of a target, as observed by this entry.
 
     Attributes
     ----------
-    held : OrderedDict
-        Tokens of each prompt part that the target was sent, the latest last.
+    cached_parts : OrderedDict
+        Tokens of each prompt part that was sent to the target, the latest last.
     """
 
     def __init__(self, target: Target, clock: Clock) -> None:
@@ -42,46 +42,46 @@
 
     @property
     def slots(self) -> int:
-        """Requests that the target runs at once."""
+        """Number of requests that the target runs concurrently."""
         return max(1, self.target.slots)
 
     def load(self, now: float, usual_external_load: float = 0.0) -> float:
-        """Return the requests believed to be at the target.
+        """Return the estimated number of requests at the target.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
-        usual_foreign : float
-            Requests that other entries usually have at a target of its service, for all that is not
-            known of this one.
+        usual_external_load : float
+            Average number of requests that other entries have at a target of the service.  It
+            replaces the reported load as the report ages.
         """
         trust = 0.5 ** (max(0.0, now - self.load_reported_at) / LOAD_HALF_LIFE_S)
         return self.in_flight + trust * self.external_load + (1 - trust) * usual_external_load
 
     def record_load(self, now: float, stamp: LoadStamp) -> None:
-        """Take in a load that the target reported with an answer."""
+        """Record a load that the target reported with an answer."""
         own = max(1, self.in_flight)
         self.external_load = max(0.0, stamp.running + stamp.waiting - own)
         self.load_reported_at = now
 
     def slowness(self, usual_s: float) -> float:
-        """Return how many times slower than usual the target is, 1 if it is not clearly slow."""
+        """Return how many times slower than usual the target is, at least 1."""
         if self.unit_s is None or usual_s <= 0:
             return 1.0
         return min(MAX_SLOWNESS, max(1.0, self.unit_s / usual_s / SLOW_RATIO))
 
     def observe(self, unit_s: float) -> None:
-        """Take in how long a unit of work took."""
+        """Record the time in seconds of a unit of work."""
         before = unit_s if self.unit_s is None else self.unit_s
         self.unit_s = before + SLOWNESS_SMOOTHING * (unit_s - before)
 
     def as_engine(self, now: float, usual_external_load: float, usual_s: float) -> Engine:
-        """Return the target as an engine at this moment; arguments as of `load` and `slowness`."""
+        """Return the current state as an `Engine`; arguments as for `load` and `slowness`."""
         return Engine(self.load(now, usual_external_load), self.slots, self.slowness(usual_s))
 
     def record_prompt_part(self, part: str, tokens: int) -> None:
-        """Note that the target has read a part of a prompt."""
+        """Record that the target has processed a part of a prompt."""
         self.cached_parts[part] = tokens
         self.cached_parts.move_to_end(part)
         while len(self.cached_parts) > MAX_CACHED_PARTS:
@@ -89,7 +89,7 @@
 
 
 def median_unit_s(states: Iterable[TargetState]) -> float:
-    """Return the median of the targets' seconds for a unit of work, 0 if none is known."""
+    """Return the median seconds per unit of work of some targets, 0 if none is known."""
     known = sorted(state.unit_s for state in states if state.unit_s is not None)
     return known[(len(known) - 1) // 2] if known else 0.0
 
