--- a/waxwingglade/ledger/accounts.py
+++ b/waxwingglade/ledger/accounts.py
@@ -1,13 +1,14 @@
 """Accounts of programs: each a register on which a majority of the members agrees.
 
-A process that wants to change an account proposes the changed account under a ballot; it holds once
-a majority of the members has accepted it.  Usually the last proposal was this process's own, and
-one round of messages is enough, since whoever accepted it also promised the next ballot; otherwise
-a round of promises comes first, which returns what was accepted last.  Nobody owns an account, so
-nothing has to be taken over when a process dies.
-
-Changes that come while a proposal is under way go into the next one, all together: one after the
-other they would take a round each, and sub-agents of one program come in crowds.
+The protocol is Paxos, with one register per account.  A process changes an account by proposing the
+changed account under a ballot; the change is committed once a majority of the members has accepted
+it.  If the last committed proposal came from the same process, one round of messages is enough,
+because each member that accepted it has also promised the next ballot.  Otherwise a round of
+promises comes first, which returns the account that was accepted last.  No process owns an account,
+so no takeover is needed when a process dies.
+
+Changes that arrive while a proposal is in progress are batched into the next proposal: one by one,
+each would take a round of messages, and many sub-agents of a program send requests at once.
 """
 
 import asyncio
@@ -42,46 +43,47 @@
 
 T = TypeVar("T")
 Change = Callable[[Account], tuple[Account, Any]]
-"""Returns the changed account and a result; idempotent."""
+"""Idempotent function that returns the changed account and a result."""
 
-REMEMBERED = 5_000
-"""Accounts whose last proposal is remembered, for changes in one round."""
+MAX_CACHED = 5_000
+"""Number of accounts whose last proposal is cached, so that changes take one round of messages."""
 
-LONGEST_PAUSE_S = 0.5
-"""Seconds that a process makes way at most: short against the time after which those that wait for
-its changes give up."""
+MAX_BACKOFF_S = 0.5
+"""Upper bound in seconds of the back-off after a conflict: short compared with the timeout of the
+callers that wait for a change."""
 
-MOST_TURNS = 8
-"""Proposals of others for which a process makes way at most, before it proposes again."""
+MAX_BACKOFF_FACTOR = 8
+"""Upper bound of the back-off after a conflict, in durations of a proposal."""
 
-SLOW_S = 0.2
-"""Seconds from which on a change is logged with what held it up; many rounds of messages."""
+SLOW_LOG_S = 0.2
+"""Duration in seconds from which on a change is logged with the reason of its delay; it allows for
+many rounds of messages."""
 
 
 class LastProposal(msgspec.Struct, frozen=True):
-    """The account that this process saw accepted last, and under what."""
+    """The last account that this process saw committed, with its epoch and ballot."""
 
     epoch: int
     ballot: Ballot
     account: Account
 
 
-class _Waiting(msgspec.Struct):
-    """A change that waits for its outcome: since when, and what came before it.
+class _PendingChange(msgspec.Struct):
+    """A pending change, with the reasons of its delay.
 
     Parameters
     ----------
     proposed_after_s : float or None
-        Seconds until a proposal with it began; None before.
-    overtaken : int
-        Proposals with it that others came before.
+        Seconds until the first proposal that contains the change began; None before.
+    conflicts : int
+        Number of proposals with the change that were rejected because of a conflict.
     """
 
     change: Change
     outcome: asyncio.Future[Any]
     began_at: float
     proposed_after_s: float | None = None
-    overtaken: int = 0
+    conflicts: int = 0
 
 
 class Accounts:
@@ -90,11 +92,12 @@
     Parameters
     ----------
     rounds : Rounds
-        Asks the members.
+        Sends messages to the members.
     unsettled : UnsettledEnds
-        Ends of turns that this process was told of; they are settled with the next change.
+        Ends of turns that this process has received; their reservations are resolved with the next
+        change of the account.
     confirmations : Confirmations
-        What this process has confirmed; what has ended is forgotten there.
+        Turns that this process has confirmed; turns that have ended are removed from it.
     wall_clock : Clock
         Calendar time in seconds.
     """
@@ -108,11 +111,11 @@
     ) -> None:
         self.rounds = rounds
         self.confirmations = confirmations
-        rounds.rejected = self.pass_by
+        rounds.rejected = self.raise_ballot
         self.unsettled = unsettled
         self.wall_clock = wall_clock
         self.name = secrets.token_hex(4)
-        self.waiting: dict[ProgramId, list[_Waiting]] = {}
+        self.pending: dict[ProgramId, list[_PendingChange]] = {}
         self.last: dict[ProgramId, LastProposal] = {}
         self.numbers: dict[ProgramId, int] = {}
 
@@ -122,22 +125,22 @@
         Raises
         ------
         NoMajority
-            If too few members answer; the change may hold or may still come to hold.
+            If too few members answer.  The change may be committed, now or later.
         """
         outcome: asyncio.Future[T] = asyncio.get_running_loop().create_future()
-        waiting = _Waiting(change, outcome, monotonic())
-        if program in self.waiting:
-            self.waiting[program].append(waiting)
+        pending = _PendingChange(change, outcome, monotonic())
+        if program in self.pending:
+            self.pending[program].append(pending)
         else:
-            self.waiting[program] = [waiting]
-            run_detached(self._propose_while_waiting(program))
+            self.pending[program] = [pending]
+            run_detached(self._propose_pending(program))
         try:
             return await outcome
         finally:
-            _log_held_up(program, waiting)
+            _log_if_slow(program, pending)
 
-    async def known(self, program: ProgramId) -> Account:
-        """Return the account as this process knows it, which others may have changed since."""
+    async def cached(self, program: ProgramId) -> Account:
+        """Return the account as cached here or stored on this disk, which may be out of date."""
         last = self.last.get(program)
         if last is not None:
             return last.account
@@ -146,10 +149,10 @@
         return seen.account if isinstance(seen, Seen) else NEW_ACCOUNT
 
     async def read(self, program: ProgramId) -> Account | None:
-        """Return the account that holds, without a write; None if that can't be told.
+        """Return the committed account without a write; None if it cannot be determined.
 
-        It can where a majority has accepted the same proposal last and promised no other one since:
-        then every later proposal follows from this one, whoever makes it.
+        The account is committed if a majority has accepted the same proposal last and has promised
+        no other ballot since: every later proposal is based on this one then.
         """
         replicas = self.rounds.usable_members()
         message = Look(replicas.epoch, program)
@@ -163,36 +166,36 @@
                     if agreeing[seen.accepted] >= replicas.majority:
                         return seen.account
         except TimeoutError:
-            pass  # A member is silent, and the others don't agree.
+            pass  # A member does not answer, and the others disagree.
         return None
 
-    async def _propose_while_waiting(self, program: ProgramId) -> None:
-        """Propose what waits for a program's account until nothing does any more."""
-        lost = 0
+    async def _propose_pending(self, program: ProgramId) -> None:
+        """Propose the pending changes of a program's account until there are none."""
+        conflicts = 0
         try:
             while batch := self._batch(program):
                 began_at = monotonic()
                 try:
                     await self._propose(program, batch)
-                    lost = 0
-                except _Overtaken:
+                    conflicts = 0
+                except _Conflict:
                     for each in batch:
-                        each.overtaken += 1
-                    lost += 1
-                    await asyncio.sleep(_pause_s(monotonic() - began_at, lost))
+                        each.conflicts += 1
+                    conflicts += 1
+                    await asyncio.sleep(_backoff_s(monotonic() - began_at, conflicts))
                 except NoMajority as error:
                     _fail(batch, error)
         finally:
-            _fail(self.waiting.pop(program), NoMajority("the process stops"))
+            _fail(self.pending.pop(program), NoMajority("the process stops"))
 
-    def _batch(self, program: ProgramId) -> list[_Waiting]:
-        """Return the changes that somebody still waits for."""
-        batch = [each for each in self.waiting[program] if not each.outcome.done()]
-        self.waiting[program] = list(batch)
+    def _batch(self, program: ProgramId) -> list[_PendingChange]:
+        """Return the pending changes whose callers still wait."""
+        batch = [each for each in self.pending[program] if not each.outcome.done()]
+        self.pending[program] = list(batch)
         return batch
 
-    async def _propose(self, program: ProgramId, batch: list[_Waiting]) -> None:
-        """Propose an account with some changes, and tell their results once it holds."""
+    async def _propose(self, program: ProgramId, batch: list[_PendingChange]) -> None:
+        """Propose an account with a batch of changes, and set their results on commit."""
         now = monotonic()
         for each in batch:
             if each.proposed_after_s is None:
@@ -200,18 +203,18 @@
         replicas = self.rounds.usable_members()
         last = self.last.pop(program, None)
         if last is not None and last.epoch == replicas.epoch:
-            # The majority that accepted the last ballot has promised the next one with it.
+            # Each member that accepted the last ballot has also promised the next one.
             account, ballot = last.account, last.ballot.next()
-            self.pass_by(program, ballot)
+            self.raise_ballot(program, ballot)
         else:
             ballot = self._next_ballot(program)
             account = await self._promises(replicas, program, ballot)
-        account, results = _apply(batch, self.with_known_ends(program, account))
+        account, results = _apply(batch, self.with_received_ends(program, account))
         message = Accept(replicas.epoch, program, ballot, account)
         order = self.rounds.nearest_first(replicas, program)
         answers = await self.rounds.majority(order, replicas.majority, message, Accepted)
         if len(answers) < replicas.majority:
-            raise _Overtaken
+            raise _Conflict
         self._remember(program, LastProposal(replicas.epoch, ballot, account))
         self.unsettled.forget(program, account)
         self.confirmations.forget_ended(program, account)
@@ -219,19 +222,19 @@
             if not each.outcome.done():
                 each.outcome.set_result(result)
 
-    def with_known_ends(self, program: ProgramId, account: Account) -> Account:
-        """Settle what this process was told of."""
+    def with_received_ends(self, program: ProgramId, account: Account) -> Account:
+        """Return the account with the reservations of all received ends resolved."""
         for end in self.unsettled.of(program):
             account = settle(account, end, self.wall_clock())
         return account
 
     async def _promises(self, replicas: ReplicaSet, program: ProgramId, ballot: Ballot) -> Account:
-        """Return the account that was accepted last, after a majority's promise."""
+        """Return the account that was accepted last, according to the promises of a majority."""
         message = Prepare(replicas.epoch, program, ballot)
         order = self.rounds.nearest_first(replicas, program)
         answers = await self.rounds.majority(order, replicas.majority, message, Promised)
         if len(answers) < replicas.majority:
-            raise _Overtaken
+            raise _Conflict
         newest = max(answers, key=lambda answer: answer.accepted)
         return newest.account if newest.accepted != NO_BALLOT else NEW_ACCOUNT
 
@@ -242,32 +245,33 @@
 
     def _remember(self, program: ProgramId, proposal: LastProposal) -> None:
         self.last[program] = proposal
-        while len(self.last) > REMEMBERED:
+        while len(self.last) > MAX_CACHED:
             oldest = next(iter(self.last))
             del self.last[oldest]
             self.numbers.pop(oldest, None)
 
-    def pass_by(self, program: ProgramId, ballot: Ballot) -> None:
-        """Use higher ballots from now on than one that is used, or that stood in the way."""
+    def raise_ballot(self, program: ProgramId, ballot: Ballot) -> None:
+        """Use only ballots above `ballot` from now on, as it is used or promised already."""
         self.numbers[program] = max(self.numbers.get(program, 0), ballot.number)
 
 
-class _Overtaken(Exception):
-    """Another proposal, or another set of members, came first."""
+class _Conflict(Exception):
+    """The proposal conflicts with a higher ballot or another set of members."""
 
 
-def _pause_s(proposal_s: float, lost: int) -> float:
-    """Return how long to wait after some proposals in a row that others came before.
+def _backoff_s(proposal_s: float, conflicts: int) -> float:
+    """Return the random back-off in seconds after `conflicts` consecutive conflicts.
 
-    Two that propose again at once outbid each other for ever, so the pause is drawn from a time in
-    which others can bring theirs to an end, whatever disks and ways take.
+    Two processes that propose again at once would outbid each other for ever.  The back-off scales
+    with the duration of a proposal, so that the other proposals can complete, however slow disks
+    and networks are.
     """
-    bound_s = min(MOST_TURNS, 2**lost) * max(FIRST_PAUSE_S, proposal_s)
-    return random.random() * min(bound_s, LONGEST_PAUSE_S)
+    bound_s = min(MAX_BACKOFF_FACTOR, 2**conflicts) * max(FIRST_PAUSE_S, proposal_s)
+    return random.random() * min(bound_s, MAX_BACKOFF_S)
 
 
-def _apply(batch: list[_Waiting], account: Account) -> tuple[Account, list[Any]]:
-    """Return the account after some changes, and the result of each."""
+def _apply(batch: list[_PendingChange], account: Account) -> tuple[Account, list[Any]]:
+    """Apply a batch of changes; return the changed account and the result of each change."""
     results = []
     for each in batch:
         account, result = each.change(account)
@@ -275,24 +279,24 @@
     return account, results
 
 
-def _fail(batch: list[_Waiting], error: NoMajority) -> None:
-    """Tell those that still wait that no majority agreed."""
+def _fail(batch: list[_PendingChange], error: NoMajority) -> None:
+    """Fail the changes whose callers still wait."""
     for each in batch:
         if not each.outcome.done():
             each.outcome.set_exception(NoMajority(str(error), error.unresponsive))
 
 
-def _log_held_up(program: ProgramId, waiting: _Waiting) -> None:
-    """Log a change that took long, done or not."""
-    seconds = monotonic() - waiting.began_at
-    if seconds < SLOW_S:
+def _log_if_slow(program: ProgramId, pending: _PendingChange) -> None:
+    """Log a change that took long, whether it is committed or not."""
+    seconds = monotonic() - pending.began_at
+    if seconds < SLOW_LOG_S:
         return
-    waited_s = waiting.proposed_after_s
+    waited_s = pending.proposed_after_s
     logger.bind(
         program=program,
         seconds=round(seconds, 3),
         waited_s=round(seconds if waited_s is None else waited_s, 3),
-        overtaken=waiting.overtaken,
+        overtaken=pending.conflicts,
     ).info("account held up")
 
 
--- a/waxwingglade/ledger/quotas.py
+++ b/waxwingglade/ledger/quotas.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts, counted at the members of the ledger on behalf of entries."""
+"""Request quotas of client accounts, enforced by the members of the ledger for the entries."""
 
 import asyncio
 from typing import Any
@@ -23,21 +23,21 @@
 from waxwingglade.ledger.replica import Replica
 
 OLDEST_VIEW_S = 5.0
-"""Age in seconds of the view up to which requests are granted.  Once it is older, other members may
-grant this one's part."""
+"""Maximum age in seconds of the view with which requests are granted.  With an older view, other
+members may grant the quota share of this one."""
 
 REFUSALS_LOGGED_PER_S = 5.0
 
 
 class Granted(msgspec.Struct):
-    """A request that may go to a target.
+    """Grant of a request, which may be sent to a target.
 
     Parameters
     ----------
     at : float
-        When that was said, in monotonic seconds.
+        Time of the grant in monotonic seconds.
     durable : asyncio.Future or None
-        Done once a restart would not forget it; None where nothing was counted.
+        Done once the grant is durable; None if the request is not counted.
     """
 
     at: float = 0.0
@@ -50,15 +50,15 @@
     Parameters
     ----------
     rules : QuotaRules
-        How limits are counted.
+        Rules by which requests are counted.
     usual_members : int
-        Members among which limits are divided, unless there are more.
+        Number of members among which limits are divided at least.
     beliefs : CachedView
-        The configuration and the members, and up to when they are known to be complete.
+        The configuration and the members, and the time up to which they are complete.
     replica : Replica
-        Where grants are kept.
+        Stores the grants.
     bootstrap : bool
-        Whether the whole system starts for the first time, so that nobody has granted anything.
+        Whether the whole system starts for the first time, so that no member has granted anything.
     clock : Clock
         Monotonic seconds.
     """
@@ -86,14 +86,14 @@
         self.refusals = Sampler(REFUSALS_LOGGED_PER_S)
 
     def open(self) -> None:
-        """Go on from what the disk holds."""
+        """Restore the state from the disk."""
         joined_before = self.bootstrap or self.replica.counts
         self.parts = QuotaShare(
             self.part_rules, self.replica.disk, joined_before, self.replica.largest_set
         )
 
     async def take(self, message: TakeQuota) -> QuotaTaken | QuotaSpent | Unavailable:
-        """Count a request that needs nothing else of the ledger."""
+        """Count a request that is not the begin of a turn; return once the grant is durable."""
         outcome = self.count(message.client)
         if not isinstance(outcome, Granted):
             return outcome
@@ -102,9 +102,9 @@
         return QuotaTaken()
 
     async def begin_program(self, message: BeginProgram) -> QuotaTaken | QuotaSpent | Unavailable:
-        """Count a program that begins, if the account's limit may carry it to its end.
+        """Count a program that begins, if the account's limit probably suffices until its end.
 
-        This only spares requests that would be refused; the limit itself is kept by `count`.
+        This only avoids requests that would be refused later; `count` enforces the limit.
         """
         account = self._account(message.client)
         if isinstance(account, Unavailable):
@@ -119,7 +119,7 @@
         return QuotaSpent(verdict.retry_s)
 
     def _account(self, client: ClientAccountId) -> ClientAccount | Unavailable:
-        """Return an account by its name, or why it can't be told of."""
+        """Return a client account, or the reason why it is unavailable."""
         self._take_view()
         if self.beliefs.incomplete_s > OLDEST_VIEW_S:
             return Unavailable("limits were confirmed too long ago")
@@ -128,7 +128,7 @@
     def count(
         self, client: ClientAccountId, is_first: bool = False
     ) -> Granted | QuotaSpent | Unavailable:
-        """Count a request, if the account may still send it."""
+        """Count a request if the account's quota share here is not used up."""
         account = self._account(client)
         if isinstance(account, Unavailable):
             return account
@@ -144,17 +144,17 @@
             return QuotaSpent(verdict.retry_s)
         grants.record(now)
         if not grants.recently_refused(now):
-            # Programs that were refused end early, and would pass for short ones.
+            # Programs that were refused end early, and would bias the average length.
             self.program_size.record(is_first)
         return Granted(now, self.replica.record_grant(client, now))
 
     def give_back(self, client: ClientAccountId, granted: Granted) -> None:
-        """Take back the grant of a request that reaches no target."""
+        """Return the grant of a request that reaches no target."""
         if granted.durable is not None:
             self.replica.grants[client].give_back(granted.at)
 
     def learn(self) -> None:
-        """Take in the present members and accounts, and remember what must outlive a restart."""
+        """Update members and accounts from the view, and store what must survive a restart."""
         self._take_view()
         if self.beliefs.view.replicas.epoch:
             self._note_counting(self.clock())
@@ -170,7 +170,7 @@
         self.accounts = {account.name: account for account in reversed(accounts)}
 
     def _note_counting(self, now: float) -> None:
-        """Remember over a restart whether this member has been one for long enough."""
+        """Store whether this process has been a member for long enough to grant its share."""
         settled = self.parts.settled(now)
         if settled != self.replica.counts:
             self.replica.record_counting(settled)
--- a/waxwingglade/ledger/reservations.py
+++ b/waxwingglade/ledger/reservations.py
@@ -1,4 +1,4 @@
-"""Reserve tokens of programs' budgets for turns that begin."""
+"""Reserve tokens of a program's budget for a turn that begins."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,19 +21,20 @@
 )
 from waxwingglade.ledger.rounds import HEDGE_S, NoMajority
 
-LOOK_S = 0.02
-"""Seconds between looks at whether a reservation was confirmed."""
+CHECK_INTERVAL_S = 0.02
+"""Interval in seconds between checks whether a reservation was confirmed."""
 
 
 class Judgement(msgspec.Struct, frozen=True):
-    """Whether a turn's tokens are reserved.
+    """Result of an attempt to reserve a turn's tokens.
 
     Parameters
     ----------
     account : Account
-        The program's account before that.
+        The program's account before the reservation.
     granter : str
-        Life of the process that may confirm the reservation; empty if it counts already.
+        Incarnation of the process that may confirm the reservation; empty if the reservation needs
+        no confirmation.
     """
 
     outcome: Reservation
@@ -41,8 +42,8 @@
     granter: str
 
     @property
-    def is_kept_out(self) -> bool:
-        """Whether the program's budget does not hold the turn now."""
+    def exceeds_budget(self) -> bool:
+        """Whether the remaining budget is too small for the turn."""
         return self.outcome in (Reservation.SPENT, Reservation.PENDING)
 
 
@@ -52,7 +53,7 @@
     Parameters
     ----------
     accounts : Accounts
-        Changes accounts, and knows of ends and confirmations.
+        Changes accounts; holds the received ends and the confirmations.
     wall_clock : Clock
         Calendar time in seconds.
     """
@@ -62,16 +63,17 @@
         self.wall_clock = wall_clock
 
     async def reserve(self, message: BeginTurn, program: ProgramId) -> Judgement:
-        """Reserve a turn's tokens if the budget holds them.
+        """Reserve a turn's tokens if the remaining budget is large enough.
 
-        The entry may confirm the reservation here if this life of the process has made it.
+        The entry may confirm the reservation at this process if this incarnation of the process has
+        made it.
         """
         turn, confirmations = message.turn, self.accounts.confirmations
         if not message.confirms or not confirmations.begin(program, turn):
-            return await self._judge_until_clear(message, program)
+            return await self._reserve_or_wait(message, program)
         granter = ""
         try:
-            judgement = await self._judge_until_clear(message, program)
+            judgement = await self._reserve_or_wait(message, program)
             granter = judgement.granter
         finally:
             if granter == confirmations.life:
@@ -80,8 +82,8 @@
                 confirmations.not_begun(program, turn)
         return judgement
 
-    async def _judge_until_clear(self, message: BeginTurn, program: ProgramId) -> Judgement:
-        """Judge a turn; wait where only reservations keep it out that may lapse."""
+    async def _reserve_or_wait(self, message: BeginTurn, program: ProgramId) -> Judgement:
+        """Try to reserve a turn's tokens; wait while unconfirmed reservations may still expire."""
         counted: set[TurnId] = set()
         lapsed: dict[TurnId, str] = {}
         granter = self.accounts.confirmations.life if message.confirms else ""
@@ -96,43 +98,46 @@
             return changed, Judgement(outcome, account, changed.unconfirmed.get(message.turn, ""))
 
         while True:
-            refused = await self._refusal(program, change)
+            refused = await self._refuse_without_write(program, change)
             judgement = refused or await self.accounts.change(program, change)
-            if judgement.is_kept_out and await self._learns_ends(message, judgement.account):
+            if judgement.exceeds_budget and await self._check_ends(message, judgement.account):
                 judgement = await self.accounts.change(program, change)
             if judgement.outcome is not Reservation.PENDING:
                 break
             while judgement.outcome is Reservation.PENDING:
-                # By the account as it was: to read it anew may change it, and those that wait would
-                # hold up the others.
+                # Uses the account of the last attempt: each new read may write to the account, and
+                # the waiting turns would delay the others.
                 account = judgement.account
-                if not await self._learns_confirmations(program, account, counted, lapsed):
-                    await asyncio.sleep(LOOK_S)
+                if not await self._check_confirmations(program, account, counted, lapsed):
+                    await asyncio.sleep(CHECK_INTERVAL_S)
                 _, judgement = change(account)
             if judgement.outcome is Reservation.SPENT:
                 break
         if lapsed:
             logger.bind(turn=message.turn, program=program, lapsed=sorted(lapsed)).info(
-                "reservations lapsed"
+                "reservations expired"
             )
         return judgement
 
-    async def _learns_confirmations(
+    async def _check_confirmations(
         self,
         program: ProgramId,
         account: Account,
         counted: set[TurnId],
         lapsed: dict[TurnId, str],
     ) -> bool:
-        """Ask those that began a program's turns which are confirmed; return whether any is judged.
+        """Ask the processes that began a program's turns which of these are confirmed or expired.
+
+        Returns whether the state of any turn became known.
 
         Parameters
         ----------
         counted, lapsed : set, dict
-            What was learnt; extended.  What nobody can tell any more is counted.
+            Confirmed and expired turns; extended.  A turn counts as confirmed if the process that
+            began it is no member any more.
         """
         members = {member.disk: member for member in self.accounts.rounds.members().members}
-        known = len(counted) + len(lapsed)
+        known_before = len(counted) + len(lapsed)
         for granter in set(account.unconfirmed.values()):
             turns = tuple(turn for turn, each in account.unconfirmed.items() if each == granter)
             member = members.get(disk_of(granter))
@@ -143,72 +148,75 @@
             if isinstance(answer, Judged):
                 counted.update(answer.confirmed)
                 lapsed.update(dict.fromkeys(answer.lapsed, granter))
-        return len(counted) + len(lapsed) > known
+        return len(counted) + len(lapsed) > known_before
 
-    async def _refusal(
+    async def _refuse_without_write(
         self,
         program: ProgramId,
         change: Callable[[Account], tuple[Account, Judgement]],
     ) -> Judgement | None:
-        """Return why a turn can't begin; None if it can, or that is not known.
+        """Return the refusal of a turn; None if the turn may begin, or that is uncertain.
 
-        A refusal changes nothing.  Proposed like a change, it would outbid those that others make,
-        and a program that was told once that its budget is spent may ask many times more.
+        A refusal is not proposed as a change, since it does not change the account: the proposal
+        would outbid those of other processes, and a program whose budget is spent may ask many
+        times again.
         """
         accounts = self.accounts
-        _, judgement = change(accounts.with_known_ends(program, await accounts.known(program)))
+        _, judgement = change(accounts.with_received_ends(program, await accounts.cached(program)))
         if judgement.outcome is Reservation.GRANTED:
             return None
         account = await accounts.read(program)
         if account is None:
             return None
-        _, judgement = change(accounts.with_known_ends(program, account))
+        _, judgement = change(accounts.with_received_ends(program, account))
         return None if judgement.outcome is Reservation.GRANTED else judgement
 
-    async def _learns_ends(self, message: BeginTurn, account: Account) -> bool:
-        """Ask whether a reservation that keeps a turn out of its budget belongs to one that ended.
+    async def _check_ends(self, message: BeginTurn, account: Account) -> bool:
+        """Check whether an open reservation that blocks a turn belongs to a turn that has ended.
 
-        An entry tells all replicas when it refuses a turn on which the ledger did not decide, and
-        its caller may come back, elsewhere, before that is settled.  It costs a round of messages,
-        and no write, for each turn that open reservations keep out.
+        An entry notifies all replicas when it refuses a turn on which the ledger did not decide,
+        and the caller may retry at another entry before that reservation is resolved.  The check
+        costs a round of messages, and no write, for each turn that open reservations block.
         """
         assert message.program is not None
         if account.spent + message.most_tokens > message.budget:
             return False
-        await self._ask_for_ends(message.turn, message.program)
-        learnt = [end.turn for end in self.accounts.unsettled.of(message.program)]
-        ended = [turn for turn in learnt if turn in account.open]
+        await self._collect_ends(message.turn, message.program)
+        received = [end.turn for end in self.accounts.unsettled.of(message.program)]
+        ended = [turn for turn in received if turn in account.open]
         if ended:
             logger.bind(turn=message.turn, program=message.program, ended=ended).info(
                 "reservations of ended turns"
             )
         return bool(ended)
 
-    async def _ask_for_ends(self, turn: TurnId, program: ProgramId) -> None:
-        """Learn which turns have ended from a majority, and from those others that answer soon.
+    async def _collect_ends(self, turn: TurnId, program: ProgramId) -> None:
+        """Collect the ends of turns from a majority, and from other members that answer soon.
 
         Raises
         ------
         NoMajority
-            If too few members answer; others may know of an end that nobody here was told of.
+            If too few members answer: other members may have received an end that is missing here.
         """
         replicas = self.accounts.rounds.usable_members()
-        soon = asyncio.get_running_loop().time() + HEDGE_S
-        heard = 0
+        hedge_at = asyncio.get_running_loop().time() + HEDGE_S
+        answered = 0
         try:
-            async with asyncio.timeout(None) as patience:
+            async with asyncio.timeout(None) as deadline:
                 async for _, answer in self.accounts.rounds.answers(replicas, ListEnds(program)):
                     if not isinstance(answer, Ends):
                         continue
                     for end in answer.ends:
                         self.accounts.unsettled.add(end)
-                    heard += 1
-                    if heard == replicas.majority:
-                        patience.reschedule(soon)
+                    answered += 1
+                    if answered == replicas.majority:
+                        deadline.reschedule(hedge_at)
         except TimeoutError:
-            logger.bind(turn=turn, program=program).info("not all asked for ends")
-        if heard < replicas.majority:
-            raise NoMajority(f"{heard} of {len(replicas.members)} members told of ends")
+            logger.bind(turn=turn, program=program).info(
+                "ends of turns not received from all members"
+            )
+        if answered < replicas.majority:
+            raise NoMajority(f"{answered} of {len(replicas.members)} members told of ends")
 
 
 __all__ = ["Judgement", "Reservations"]
--- a/waxwingglade/ledger/tests/test_accounts.py
+++ b/waxwingglade/ledger/tests/test_accounts.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from waxwingglade.ledger.accounts import LONGEST_PAUSE_S, MOST_TURNS, _pause_s
+from waxwingglade.ledger.accounts import MAX_BACKOFF_FACTOR, MAX_BACKOFF_S, _backoff_s
 from waxwingglade.ledger.messages import (
     Accept,
     Account,
@@ -55,7 +55,7 @@
         turns = [begin(number, TURN, BUDGET) for number in range(AGENTS)]
         answers = await asyncio.gather(*(one.begin(turn) for turn in turns))
         self.assertFalse([each for each in answers if isinstance(each, TurnBegun)])
-        self.assertEqual({}, one.accounts.waiting)
+        self.assertEqual({}, one.accounts.pending)
 
 
 class RefusalTest(unittest.IsolatedAsyncioTestCase):
@@ -132,16 +132,16 @@
 class PauseTest(unittest.TestCase):
     """A process makes way for about as long as others take, which depends on their disks."""
 
-    def longest(self, proposal_s: float, lost: int) -> float:
-        return max(_pause_s(proposal_s, lost) for _ in range(1_000))
+    def longest(self, proposal_s: float, conflicts: int) -> float:
+        return max(_backoff_s(proposal_s, conflicts) for _ in range(1_000))
 
     def test_it_is_longer_where_proposals_take_longer(self) -> None:
         self.assertGreater(self.longest(0.05, 1), 0.05)
         self.assertLess(self.longest(0.002, 1), 2.01 * FIRST_PAUSE_S)
 
     def test_it_is_bounded(self) -> None:
-        self.assertLessEqual(self.longest(0.05, 30), MOST_TURNS * 0.05)
-        self.assertLessEqual(self.longest(0.3, 30), LONGEST_PAUSE_S)
+        self.assertLessEqual(self.longest(0.05, 30), MAX_BACKOFF_FACTOR * 0.05)
+        self.assertLessEqual(self.longest(0.3, 30), MAX_BACKOFF_S)
 
 
 if __name__ == "__main__":
