--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -54,9 +54,9 @@
         retry_after_s(pace, balancer.engines(ENGINES.name), AdmissionRequest(wait_limit_s=2.0))
         choice = balancer.choose(ENGINES, call, (), history)
         assert choice is not None
-        balancer.sent(choice.target, call)
-        balancer.turn_ended(choice, 0.1, 0.5, 11)
-        balancer.ended(choice.target)
+        balancer.record_sent(choice.target, call)
+        balancer.record_turn(choice, 0.1, 0.5, 11)
+        balancer.record_end(choice.target)
     return (time.process_time() - began_at) / TURNS * 1e6
 
 
--- a/bench/turns/policies.py
+++ b/bench/turns/policies.py
@@ -96,7 +96,7 @@
         call.prompt_parts = tuple(PromptPart(*part) for part in asked.parts)
         choice = self.balancer.choose(self.service, call, (), asked.history)
         assert choice is not None
-        self.balancer.sent(choice.target, call)
+        self.balancer.record_sent(choice.target, call)
         ranks.record(asked.rank)
         return Sent(choice.target.target, choice)
 
@@ -107,11 +107,11 @@
         assert sent.choice is not None
         target = sent.choice.target
         if took is None:
-            self.balancer.failed(target, is_error)
+            self.balancer.record_failure(target, is_error)
         else:
             self.balancer.record_load(target, LoadStamp(*load, self.slots))
-            self.balancer.turn_ended(sent.choice, took.first_event_s, took.seconds, took.events)
-        self.balancer.ended(target)
+            self.balancer.record_turn(sent.choice, took.first_event_s, took.seconds, took.events)
+        self.balancer.record_end(target)
 
 
 class Previous(Waxwingglade):
--- a/bench/turns/previous.py
+++ b/bench/turns/previous.py
@@ -24,9 +24,9 @@
         super().__init__(zone, clock)
         self.last_target: OrderedDict[ProgramId | None, TargetId] = OrderedDict()
 
-    def sent(self, target: Target, call: Call) -> None:
+    def record_sent(self, target: Target, call: Call) -> None:
         """Note a request sent."""
-        super().sent(target, call)
+        super().record_sent(target, call)
         self.last_target[call.program] = target.target
 
     def _engine_choices(
--- a/waxwingglade/ingress/attempt.py
+++ b/waxwingglade/ingress/attempt.py
@@ -178,7 +178,7 @@
         headers = self.dialect.target_headers(self.call, send)
         request = HttpRequest(self.call.method, self.call.path, headers, body)
         sent_at = self.balancer.clock()
-        self.balancer.sent(target, self.call)
+        self.balancer.record_sent(target, self.call)
         self.balancer.ranks_of(self.service.name).record(self.route.rank)
         try:
             self.sent += 1
@@ -193,7 +193,7 @@
             self.close(choice, connection)
             if self.time_left() <= 0:
                 record.reason = "no answer in time"
-                self.balancer.failed(target)
+                self.balancer.record_failure(target)
             if self.balancer.clock() - sent_at > LAST_RESPONSE_TIMEOUT_S:
                 # The caller disconnected without an event, and its retry should go to another
                 # target.
@@ -235,7 +235,7 @@
             self.unreachable += 1
             record.verdict = Verdict.NOT_RUN
             record.reason = str(error)
-            self.balancer.failed(choice.target)
+            self.balancer.record_failure(choice.target)
             raise NotRun(str(error)) from error
 
     def _answers_this_call(self, response: HttpResponse) -> bool:
@@ -264,7 +264,7 @@
         if isinstance(error, Silent):
             self.saw_unresponsive = True
         else:
-            self.balancer.failed(choice.target)
+            self.balancer.record_failure(choice.target)
 
     def record_answer(self, head: Head) -> None:
         """Record that an answer is complete."""
@@ -279,7 +279,7 @@
         """
         if head.response.status >= SERVER_ERRORS:
             is_engine = self.service.engine is not None
-            self.balancer.failed(head.choice.target, is_error=is_engine)
+            self.balancer.record_failure(head.choice.target, is_error=is_engine)
 
     def record_break(self, head: Head, error: Exception) -> None:
         """Record that an answer was truncated."""
@@ -290,7 +290,7 @@
     def close(self, choice: Choice, connection: Http1Connection) -> None:
         """Return a connection to the pool, and record the end of the request at its target."""
         self.pool.give_back(choice.target.address, connection)
-        self.balancer.ended(choice.target)
+        self.balancer.record_end(choice.target)
 
 
 def promises_not_run(status: int) -> bool:
--- a/waxwingglade/ingress/balance.py
+++ b/waxwingglade/ingress/balance.py
@@ -259,7 +259,7 @@
             return None
         return state
 
-    def sent(self, target: Target, call: Call) -> None:
+    def record_sent(self, target: Target, call: Call) -> None:
         """Record a request that was sent."""
         state = self._state(target)
         if state is None:
@@ -268,7 +268,7 @@
         for part in call.prompt_parts:
             state.record_prompt_part(part.part, part.tokens)
 
-    def ended(self, target: Target) -> None:
+    def record_end(self, target: Target) -> None:
         """Record the end of a request."""
         if state := self._state(target):
             state.in_flight -= 1
@@ -286,7 +286,9 @@
             state.external_load - before
         )
 
-    def turn_ended(self, choice: Choice, first_event_s: float, seconds: float, events: int) -> None:
+    def record_turn(
+        self, choice: Choice, first_event_s: float, seconds: float, events: int
+    ) -> None:
         """Record a complete stream, with the seconds to its first event and to its end."""
         state = self._state(choice.target)
         if state is None:
@@ -295,9 +297,9 @@
             choice.load / state.slots, choice.prefill_tokens, first_event_s, seconds, events
         )
         ratio = self.speed_of(choice.target.service).observe(turn)
-        self.succeeded(choice.target, ratio)
+        self.record_success(choice.target, ratio)
 
-    def succeeded(self, target: Target, unit_s: float) -> None:
+    def record_success(self, target: Target, unit_s: float) -> None:
         """Record a complete answer.
 
         Parameters
@@ -312,7 +314,7 @@
             state.ejection.record_success()
             state.observe(unit_s)
 
-    def failed(self, target: Target, is_error: bool = False) -> None:
+    def record_failure(self, target: Target, is_error: bool = False) -> None:
         """Record that a target broke off, was unreachable, or answered with an error."""
         if state := self._state(target):
             state.ejection.record_failure(is_error)
--- a/waxwingglade/ingress/serving.py
+++ b/waxwingglade/ingress/serving.py
@@ -195,7 +195,7 @@
         status = head.response.status
         check_status(status, head.facts.certified)
         if status < SERVER_ERRORS:
-            attempts.balancer.succeeded(head.choice.target, head.record.seconds)
+            attempts.balancer.record_success(head.choice.target, head.record.seconds)
         await serving.exchange.answer(status, head.response.headers, body)
         return
 
--- a/waxwingglade/ingress/streaming.py
+++ b/waxwingglade/ingress/streaming.py
@@ -362,7 +362,7 @@
             attempts.close(head.choice, head.connection)
         attempts.record_answer(head)
         if head.first_event_s is not None:
-            attempts.balancer.turn_ended(
+            attempts.balancer.record_turn(
                 head.choice, head.first_event_s, head.record.seconds, relay.events
             )
         return
--- a/waxwingglade/ingress/tests/test_choices.py
+++ b/waxwingglade/ingress/tests/test_choices.py
@@ -79,7 +79,7 @@
         self.balancer.update(targets(target("a"), target("b")))
         for number in range(10):
             choice = self.balancer.choose(NOTES, call(f"r{number}"), [])
-            self.balancer.sent(choice.target, call())
+            self.balancer.record_sent(choice.target, call())
         loads = [state.in_flight for state in self.balancer.states.values()]
         self.assertEqual(loads, [5, 5])
         self.balancer.record_load(target("a"), LoadStamp(8, 10, 8))
@@ -104,7 +104,7 @@
     def test_a_target_that_fails_again_is_spared_for_a_while(self) -> None:
         self.balancer.update(targets(target("a"), target("b")))
         for _ in range(2):
-            self.balancer.failed(target("a"))
+            self.balancer.record_failure(target("a"))
         chosen = {self.balancer.choose(NOTES, call(str(n)), []).target.target for n in range(20)}
         self.assertEqual(chosen, {"b"})
         self.assertEqual(self.balancer.choose(NOTES, call(), ["b"]).target.target, "a")
@@ -135,8 +135,8 @@
     def test_a_slow_target_gets_less(self) -> None:
         self.balancer.update(targets(target("a"), target("b")))
         for _ in range(20):
-            self.balancer.succeeded(target("a"), 0.2)
-            self.balancer.succeeded(target("b"), 0.02)
+            self.balancer.record_success(target("a"), 0.2)
+            self.balancer.record_success(target("b"), 0.02)
         chosen = {self.balancer.choose(NOTES, call(str(n)), []).target.target for n in range(20)}
         self.assertEqual(chosen, {"b"})
 
@@ -145,7 +145,7 @@
         self.balancer.update(targets(*engines))
         turn = call("r", "p", ("shared", "own"))
         first = self.balancer.choose(ENGINES, turn, []).target
-        self.balancer.sent(first, turn)
+        self.balancer.record_sent(first, turn)
         self.assertEqual(self.balancer.choose(ENGINES, turn, []).target, first)
         self.balancer.record_load(first, LoadStamp(4, 20, 4))
         self.assertNotEqual(self.balancer.choose(ENGINES, turn, []).target, first)
@@ -167,7 +167,7 @@
 
     def test_an_engine_s_own_error_ejects_it_at_once(self) -> None:
         self.balancer.update(targets(target("e0", "engines"), target("e1", "engines")))
-        self.balancer.failed(target("e0", "engines"), is_error=True)
+        self.balancer.record_failure(target("e0", "engines"), is_error=True)
         turn = call("r", "p", ("shared", "own"))
         choice = self.balancer.choose(ENGINES, turn, [], History(IncarnationName("e0")))
         self.assertEqual(choice.target.target, "e1")
@@ -177,7 +177,9 @@
         self.balancer.update(targets(*engines))
         for number in range(60):
             turn = call(f"r{number}", f"p{number}", ("shared", f"own-{number}"))
-            self.balancer.sent(self.balancer.choose(ENGINES, turn, [], History(None)).target, turn)
+            self.balancer.record_sent(
+                self.balancer.choose(ENGINES, turn, [], History(None)).target, turn
+            )
         loads = [state.in_flight for state in self.balancer.states.values()]
         self.assertEqual(sum(loads), 60)
         self.assertLessEqual(max(loads) - min(loads), 12)
@@ -201,9 +203,9 @@
         return [one.target for one in removed]
 
     def test_what_it_held_and_its_load_are_forgotten(self) -> None:
-        self.balancer.sent(self.before, self.turn)
+        self.balancer.record_sent(self.before, self.turn)
         self.balancer.record_load(self.before, LoadStamp(8, 30, 8))
-        self.balancer.succeeded(self.before, 9.0)
+        self.balancer.record_success(self.before, 9.0)
         self.assertEqual(self.start_again(), ["e0"], "its connections are to be forgotten too")
         state = self.balancer.states[TargetId("e0")]
         self.assertEqual(
@@ -213,29 +215,29 @@
     def test_what_the_ledger_says_of_its_earlier_start_is_not_believed_of_it(self) -> None:
         """It has to read a history that it held, and is asked again though it failed a turn."""
         name = self.before.incarnation
-        self.balancer.sent(self.other, self.turn)
+        self.balancer.record_sent(self.other, self.turn)
         held = self.balancer.choose(ENGINES, self.turn, [], History(name))
         self.assertEqual((held.target.target, held.prefill_tokens), ("e0", 0))
         self.start_again()
         again = self.balancer.choose(ENGINES, self.turn, ["e1"], History(name))
         self.assertEqual((again.target.target, again.prefill_tokens), ("e0", 10_000))
         for _ in range(3):
-            self.balancer.sent(self.other, self.turn)
+            self.balancer.record_sent(self.other, self.turn)
         chosen = self.balancer.choose(ENGINES, call("r2", "q", ("s", "o")), [], History(None, name))
         self.assertEqual(chosen.target.target, "e0")
 
     def test_its_failures_are_forgotten(self) -> None:
         for _ in range(2):
-            self.balancer.failed(self.before)
+            self.balancer.record_failure(self.before)
         self.assertTrue(self.balancer.states[TargetId("e0")].ejection.active)
         self.start_again()
         self.assertFalse(self.balancer.states[TargetId("e0")].ejection.active)
 
     def test_what_its_earlier_start_leaves_behind_is_not_counted(self) -> None:
-        self.balancer.sent(self.before, self.turn)
+        self.balancer.record_sent(self.before, self.turn)
         self.start_again()
-        self.balancer.ended(self.before)
-        self.balancer.failed(self.before)
+        self.balancer.record_end(self.before)
+        self.balancer.record_failure(self.before)
         self.balancer.record_load(self.before, LoadStamp(8, 30, 8))
         state = self.balancer.states[TargetId("e0")]
         self.assertEqual(
@@ -243,6 +245,6 @@
         )
 
     def test_one_that_only_gives_signs_of_life_is_the_same(self) -> None:
-        self.balancer.sent(self.before, self.turn)
+        self.balancer.record_sent(self.before, self.turn)
         self.assertEqual(self.balancer.update(targets(self.before, self.other, revision=2)), [])
         self.assertEqual(self.balancer.states[TargetId("e0")].in_flight, 1)
