--- a/waxwingglade/ledger/account.py
+++ b/waxwingglade/ledger/account.py
@@ -1,6 +1,6 @@
-"""A program's account of generated tokens: pure functions from account to account.
+"""Pure functions that change a program's account of generated tokens.
 
-All are idempotent, so a request whose answer was lost is simply repeated.
+All of them are idempotent, so that a request whose answer is lost can be repeated.
 """
 
 from collections.abc import Collection, Mapping
@@ -15,7 +15,7 @@
 
 
 class Reservation(Enum):
-    """What became of a request for tokens."""
+    """Outcome of an attempt to reserve tokens."""
 
     GRANTED = "granted"
     SPENT = "spent"
@@ -32,27 +32,28 @@
     granter: str = "",
     counted: Collection[TurnId] = (),
 ) -> tuple[Account, Reservation]:
-    """Reserve the most that a turn may generate.
+    """Reserve the maximum number of tokens that a turn may generate.
 
     Parameters
     ----------
     account : Account
         The program's account.
     turn : TurnId
-        The turn; one that is reserved already keeps its reservation.
+        The turn; an existing reservation of the turn is not changed.
     most_tokens, budget : int
-        Tokens.
+        Maximum number of tokens of the turn, and of all turns of the program together.
     now : float
         Calendar time in seconds.
     granter : str
-        Life of a process that may confirm the reservation; empty where it counts at once.
+        Incarnation of the process that may confirm the reservation; empty if the reservation needs
+        no confirmation.
     counted : collection of TurnId
-        Turns that were confirmed, though the account does not show it.
+        Turns that are confirmed, but still unconfirmed in the account.
 
     Returns
     -------
     (Account, Reservation)
-        The account afterwards, and the outcome.  A turn that has ended is not begun again.
+        The changed account, and the outcome.  A turn that has ended does not begin again.
     """
     if turn in account.open:
         return account, Reservation.GRANTED
@@ -72,7 +73,7 @@
 
 
 def confirm(account: Account, turn: TurnId, now: float) -> tuple[Account, bool]:
-    """Make a reservation count until its turn ends; return whether there is one."""
+    """Confirm a turn's reservation until the turn ends; return whether there is a reservation."""
     if turn not in account.open:
         return account, False
     if turn not in account.unconfirmed:
@@ -82,12 +83,13 @@
 
 
 def lapse(account: Account, lapsed: Mapping[TurnId, str], now: float) -> Account:
-    """End turns whose reservations were not confirmed; their callers have got no token.
+    """End turns whose reservations expired unconfirmed; their callers have received no token.
 
     Parameters
     ----------
     lapsed : mapping
-        Turns that lives of processes, by name, said they will not confirm.
+        Turns that are never going to be confirmed, each with the incarnation of the process that
+        reported so.
     """
     for turn, granter in account.unconfirmed.items():
         if lapsed.get(turn) == granter:
@@ -96,9 +98,9 @@
 
 
 def settle(account: Account, message: EndTurn, now: float) -> Account:
-    """Replace a turn's reservation by what it used, and note where it ran.
+    """Replace a turn's reservation by its token usage, and record the engine that ran the turn.
 
-    A turn that was never reserved is closed too, so that its reservation cannot come late.
+    A turn without a reservation is closed as well, so that a late reservation is refused.
     """
     turn = message.turn
     if turn in account.closed:
@@ -119,7 +121,7 @@
 
 
 def committed(account: Account) -> int:
-    """Return the tokens spent, and reserved by turns whose end is not known."""
+    """Return the sum of spent and reserved tokens."""
     return account.spent + sum(account.open.values())
 
 
--- a/waxwingglade/ledger/confirmations.py
+++ b/waxwingglade/ledger/confirmations.py
@@ -1,4 +1,4 @@
-"""Turns that this process has begun: which of them it has confirmed, or still may."""
+"""Confirmation state of the turns that this process has begun."""
 
 import secrets
 from collections.abc import Awaitable, Callable, Iterable, Iterator
@@ -7,18 +7,19 @@
 from waxwingglade.ledger.messages import Account, TurnId
 
 LAPSE_S = 0.5
-"""Seconds for which a turn that was begun may be confirmed here; entries do within some 5 ms."""
+"""Seconds for which a turn that has begun may be confirmed here; entries usually confirm it within
+about 5 ms."""
 
 Write = Callable[[ProgramId, TurnId], Awaitable[object]]
-"""Makes a confirmation durable on the disk."""
+"""Function that makes a confirmation durable on the disk."""
 
 
 class Confirmations:
-    """What one life of a process says of the turns that it has begun.
+    """Confirmation state of the turns that one incarnation of a process has begun.
 
-    A turn that it calls lapsed is never confirmed here afterwards, so whoever was told that may end
-    the turn.  What a life before has confirmed is known from the disk; what it has only begun has
-    lapsed with it.
+    Once a turn is reported as expired, it is never confirmed here, so that the receiver of the
+    report may end the turn.  The confirmations of earlier incarnations are read from the disk; the
+    turns that these have begun but not confirmed are expired.
 
     Parameters
     ----------
@@ -32,13 +33,14 @@
     Attributes
     ----------
     life : str
-        Name of this life, with that of the disk.
+        Name of this incarnation, which begins with the name of the disk.
     beginning : dict
-        Until when each turn may be confirmed, by program; without end while it is being begun.
+        Monotonic time until which each turn may be confirmed, by program; infinite while the turn
+        is being begun.
     confirmed : dict
-        Turns that were confirmed, by program, also by lives before.
+        Turns that are confirmed, by program, including those confirmed by earlier incarnations.
     lapsed : dict
-        Turns that were called lapsed, by program.
+        Turns that were reported as expired, by program.
     """
 
     def __init__(self, disk: str, write: Write, clock: Clock = monotonic) -> None:
@@ -50,30 +52,30 @@
         self.lapsed: dict[ProgramId, set[TurnId]] = {}
 
     def begin(self, program: ProgramId, turn: TurnId) -> bool:
-        """Note that a turn is being begun here; return whether that was not known."""
+        """Record that a turn is being begun; return False if it is recorded or expired already."""
         if turn in self.lapsed.get(program, ()) or turn in self.beginning.get(program, ()):
             return False
         self.beginning.setdefault(program, {})[turn] = float("inf")
         return True
 
     def begun(self, program: ProgramId, turn: TurnId) -> None:
-        """Note that a turn has begun, which may be confirmed from now on."""
-        # Its program may have been forgotten meanwhile, with an account of long ago.
+        """Record that a turn has begun and may be confirmed from now on."""
+        # The program may have been removed meanwhile, if its account is old.
         self.beginning.setdefault(program, {})[turn] = self.clock() + LAPSE_S
 
     def not_begun(self, program: ProgramId, turn: TurnId) -> None:
-        """Note that a turn has not begun here."""
+        """Record that a turn can't be confirmed here any more, or has not begun here."""
         turns = self.beginning.get(program, {})
         turns.pop(turn, None)
         if not turns:
             self.beginning.pop(program, None)
 
     async def confirm(self, program: ProgramId, turn: TurnId) -> bool:
-        """Confirm a turn on the disk; return whether that was possible here."""
+        """Make a turn's confirmation durable; return whether the turn may be confirmed here."""
         until = self.beginning.get(program, {}).get(turn, float("-inf"))
         if until == float("inf") or until <= self.clock():
             return False
-        # Known as confirmed from now on, so that it does not lapse while it is written down.
+        # Marked as confirmed before the write, so that the turn does not expire during the write.
         self.confirmed.setdefault(program, set()).add(turn)
         self.not_begun(program, turn)
         await self.write(program, turn)
@@ -82,7 +84,7 @@
     def judge(
         self, program: ProgramId, turns: Iterable[TurnId]
     ) -> tuple[tuple[TurnId, ...], tuple[TurnId, ...]]:
-        """Return which of some turns are confirmed, and which have lapsed; others are open."""
+        """Return the confirmed and the expired turns among `turns`; all others are undecided."""
         now = self.clock()
         beginning = self.beginning.get(program, {})
         confirmed = self.confirmed.get(program, set())
@@ -97,13 +99,13 @@
         return known, lapsed
 
     def all_confirmed(self) -> Iterator[tuple[ProgramId, TurnId]]:
-        """Yield every turn that was confirmed."""
+        """Yield every confirmed turn with its program."""
         for program, turns in self.confirmed.items():
             for turn in turns:
                 yield program, turn
 
     def forget_ended(self, program: ProgramId, account: Account) -> None:
-        """Forget the turns that an account shows as ended which a majority has accepted."""
+        """Remove the turns that have ended according to an account that a majority accepted."""
         for turn in set(self.beginning.get(program, ())).intersection(account.closed):
             self.not_begun(program, turn)
         for known in (self.confirmed, self.lapsed):
@@ -115,13 +117,13 @@
                 del known[program]
 
     def forget(self, program: ProgramId) -> None:
-        """Forget a program whose account is forgotten."""
+        """Remove a program whose account is removed."""
         for known in (self.confirmed, self.lapsed, self.beginning):
             known.pop(program, None)
 
 
 def disk_of(life: str) -> str:
-    """Return the name of the disk that a life of a process had."""
+    """Return the name of the disk of an incarnation of a process."""
     return life.partition(":")[0]
 
 
--- a/waxwingglade/ledger/messages.py
+++ b/waxwingglade/ledger/messages.py
@@ -12,12 +12,12 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Number of a proposal; a process never uses one twice.
+    """Unique number of a proposal; a process never uses the same ballot twice.
 
     Parameters
     ----------
     number : int
-        Raised with each proposal.
+        Increases with each proposal.
     proposer : str
         Random name of the proposing process.
     """
@@ -26,7 +26,7 @@
     proposer: str = ""
 
     def next(self) -> "Ballot":
-        """Return the ballot that whoever accepts this one also promises to the same process."""
+        """Return the ballot that a member promises to the proposer when it accepts this one."""
         return Ballot(self.number + 1, self.proposer)
 
 
@@ -34,24 +34,25 @@
 
 
 class Turn(msgspec.Struct, frozen=True, array_like=True):
-    """A whole turn, which never changes.
+    """A complete turn; immutable.
 
     Parameters
     ----------
     turn : TurnId
-        The request that made it.
+        Identifier of the turn, from the request that created it.
     previous : TurnId or None
-        Turn that it continues.
+        Turn that this turn continues.
     asked : bytes
-        Its input.
+        Input of the turn.
     answered : bytes
-        The data of its events, each followed by a line feed.
+        Data of the turn's events, each followed by a line feed.
     expires_at : float
-        Calendar time until which it is kept, in seconds.
+        Calendar time in seconds until which the turn is stored.
     target : IncarnationName or None
-        Engine that ran it, which holds what was said so far; None in what older versions wrote.
+        Engine that ran the turn and has its conversation cached; None in data written by older
+        versions.
     client : ClientAccountId or None
-        Client account that it belongs to; None where callers need no key.
+        Client account that owns the turn; None if callers need no key.
     """
 
     turn: TurnId
@@ -68,25 +69,25 @@
 
 
 class Account(msgspec.Struct, frozen=True, array_like=True):
-    """What a program has generated.
+    """Account of the tokens that a program has generated and reserved.
 
     Parameters
     ----------
     spent : int
         Tokens of turns that have ended.
     open : dict
-        Most tokens of each turn that has begun and not ended.
+        Reserved tokens of each turn that has begun and not ended.
     closed : tuple of TurnId
-        Turns that have ended; one of them never begins again.
+        Turns that have ended, which never begin again.
     touched_at : float
         Calendar time of the last change, in seconds.
     target : IncarnationName or None
         Engine that ran the turn that ended last.
     failed_at : IncarnationName or None
-        Engine that failed the last turn, if it was not whole.
+        Engine that failed the last turn, if the turn was not completed.
     unconfirmed : dict
-        Turns that have begun and that only the process that began them may have confirmed, with
-        the name of its life.
+        Turns that have begun and whose confirmations, if any, are stored only at the process that
+        began them; the values are the incarnations of that process.
     """
 
     spent: int = 0
@@ -105,26 +106,26 @@
 
 
 class BeginTurn(Message):
-    """Reserve a turn's tokens, and return the chain that it continues.
+    """Reserve a turn's tokens, and return the chain that the turn continues.
 
     Parameters
     ----------
     turn : TurnId
         The turn.
     program : ProgramId or None
-        Whose budget is charged; None where there is no budget.
+        Program whose budget is charged; None if there is no budget.
     most_tokens, budget : int
-        Most tokens that the turn generates, and those of all turns together.
+        Maximum number of tokens of the turn, and of all turns of the program together.
     previous : TurnId or None
-        Turn whose chain is wanted.
+        Last turn of the chain to return.
     client : ClientAccountId or None
-        Client account that asks; None where callers need no key.
+        Client account of the caller; None if callers need no key.
     is_first : bool
-        Whether its program begins with the turn.
+        Whether the turn is the first one of its program.
     is_counted : bool
-        Whether the turn was granted within the account's limit already.
+        Whether the turn was already granted within the client account's limit.
     confirms : bool
-        Whether the entry confirms the reservation before its caller gets any token.
+        Whether the entry confirms the reservation before its caller receives any token.
     """
 
     turn: TurnId
@@ -144,14 +145,14 @@
     Parameters
     ----------
     chain : tuple of Turn
-        The turns before, the oldest first.
+        The previous turns, the oldest first.
     target : IncarnationName or None
-        Engine that ran the program's turn that ended last, whichever that was.
+        Engine that ran the turn of the program that ended last, in this chain or another one.
     failed_at : IncarnationName or None
         Engine that failed the program's last turn.
     granter : str
-        Disk of the replica whose process may confirm the reservation, which may be given to another
-        turn until then; empty where it counts already.
+        Disk of the replica whose process may confirm the reservation; until then, the tokens may be
+        reserved for another turn.  Empty if the reservation needs no confirmation.
     """
 
     chain: tuple[Turn, ...] = ()
@@ -161,14 +162,16 @@
 
 
 class ConfirmTurn(Message):
-    """Keep the reservation of a turn that the entry serves, until the turn ends.
+    """Confirm the reservation of a turn that the entry serves, until the turn ends.
 
-    The answer is `TurnConfirmed`, or `NoSuchTurn` if the turn has ended or its reservation lapsed.
+    The answer is `TurnConfirmed`, or `NoSuchTurn` if the turn has ended or its reservation has
+    expired.
 
     Parameters
     ----------
     granter : str
-        Disk of the replica whose process may confirm it; for others it takes much more.
+        Disk of the replica whose process may confirm the reservation; at other replicas, the
+        confirmation takes a change of the account.
     """
 
     turn: TurnId
@@ -177,18 +180,18 @@
 
 
 class TurnConfirmed(Message):
-    """The reservation counts until the turn ends."""
+    """The reservation is confirmed until the turn ends."""
 
 
 class BudgetSpent(Message):
-    """The budget does not hold one more turn."""
+    """The remaining budget is too small for the turn."""
 
     spent: int
     reserved: int
 
 
 class NoSuchTurn(Message):
-    """The turn to continue does not exist, for certain; nothing was reserved."""
+    """The turn to continue certainly does not exist; nothing was reserved."""
 
 
 class TakeQuota(Message):
@@ -203,7 +206,8 @@
     Parameters
     ----------
     refused : int
-        Requests of its programs under way that the asking entry has refused since it asked before.
+        Number of requests of the account's running programs that the entry has refused since its
+        previous message.
     """
 
     client: ClientAccountId
@@ -211,32 +215,32 @@
 
 
 class QuotaTaken(Message):
-    """The request may go to a target, or the program may begin, and is counted."""
+    """The request may be sent to a target, or the program may begin; it is counted."""
 
 
 class QuotaSpent(Message):
-    """This member may grant the account nothing for `retry_s` seconds; nothing was reserved."""
+    """This member grants the account nothing for `retry_s` seconds; nothing was reserved."""
 
     retry_s: float
 
 
 class EndTurn(Message):
-    """Keep a turn, and replace what it reserved by what it used.
+    """Store a turn, and replace its reservation by its token usage.
 
     Parameters
     ----------
     turn : TurnId
         The turn.
     program : ProgramId or None
-        Whose budget is charged.
+        Program whose budget is charged.
     used_tokens : int
-        Tokens that went to the caller; 0 for a turn that was not run.
+        Number of tokens that were sent to the caller; 0 for a turn that was not run.
     kept : Turn or None
-        The turn, where it is to be continued later.
+        The turn to store, if it may be continued later.
     target : IncarnationName or None
-        Engine that ran it; None for a turn that was not run.
+        Engine that ran the turn; None for a turn that was not run.
     failed_at : IncarnationName or None
-        Engine that failed it.
+        Engine that failed the turn.
     """
 
     turn: TurnId
@@ -248,16 +252,16 @@
 
 
 class TurnEnded(Message):
-    """What of an `EndTurn` is durable."""
+    """Result of an `EndTurn`: whether the turn is stored, and its reservation resolved."""
 
     kept: bool
     settled: bool
 
 
 class NoteEnd(Message):
-    """Remember that a turn has ended, without settling it; `end` keeps nothing.
+    """Record that a turn has ended, without resolving its reservation; `end` stores no turn.
 
-    Whoever was told settles the turn along with the next change of its program's account.
+    The receiver resolves the reservation with its next change of the program's account.
     """
 
     end: EndTurn
@@ -268,7 +272,7 @@
 
 
 class Busy(Message):
-    """The process has as much to decide as it can answer in time; it did nothing."""
+    """The process has too many pending requests to answer in time; it did nothing."""
 
 
 class Unavailable(Message):
@@ -289,7 +293,7 @@
 
 
 class Promised(Message):
-    """The promise, with what was accepted last."""
+    """The promise, with the account that was accepted last."""
 
     accepted: Ballot
     account: Account
@@ -309,13 +313,13 @@
 
 
 class Rejected(Message):
-    """A proposal came too late; `promised` is the ballot that stands in its way."""
+    """The proposal is rejected, as the higher ballot `promised` has been promised."""
 
     promised: Ballot
 
 
 class OtherEpoch(Message):
-    """The sender's set of members is not that of the receiver, which is enclosed."""
+    """The sender's set of members differs from `replicas`, the set of the receiver."""
 
     replicas: ReplicaSet
 
@@ -328,7 +332,7 @@
 
 
 class Seen(Message):
-    """What was accepted last here, and below which ballot nothing is accepted any more."""
+    """The account that was accepted last here, and the lowest ballot that is still accepted."""
 
     promised: Ballot
     accepted: Ballot
@@ -336,7 +340,7 @@
 
 
 class Keep(Message):
-    """Keep a turn."""
+    """Store a turn."""
 
     epoch: int
     turn: Turn
@@ -347,7 +351,7 @@
 
 
 class Find(Message):
-    """Ask for a turn and those before it."""
+    """Ask for a turn and the previous turns of its chain."""
 
     epoch: int
     turn: TurnId
@@ -359,9 +363,9 @@
     Parameters
     ----------
     chain : tuple of Turn
-        Empty if the turn itself is not here.
+        Empty if the replica does not have the turn itself.
     whole : bool
-        Whether the chain reaches back to its start.
+        Whether the chain is complete back to its first turn.
     """
 
     chain: tuple[Turn, ...] = ()
@@ -369,27 +373,27 @@
 
 
 class ListEnds(Message):
-    """Ask for the ends of a program's turns that its account may not show yet."""
+    """Ask for the ends of a program's turns that its account may not include yet."""
 
     program: ProgramId
 
 
 class JudgeTurns(Message):
-    """Ask a process which of the turns that it began are confirmed, and which never will be."""
+    """Ask a process which of the turns that it began are confirmed and which are expired."""
 
     program: ProgramId
     turns: tuple[TurnId, ...]
 
 
 class Judged(Message):
-    """What a process says of turns that it began; of those in neither list it can't tell yet.
+    """Confirmation state of turns that a process began; turns in neither tuple are undecided.
 
     Parameters
     ----------
     confirmed : tuple of TurnId
-        They count until they end.
+        Turns whose reservations are confirmed until they end.
     lapsed : tuple of TurnId
-        They are not confirmed by this process, now or later.
+        Turns whose reservations have expired: this process never confirms them.
     """
 
     confirmed: tuple[TurnId, ...] = ()
@@ -397,31 +401,32 @@
 
 
 class Ends(Message):
-    """Those that this process was told of."""
+    """The ends of the program's turns that this process has received."""
 
     ends: tuple[EndTurn, ...] = ()
 
 
 class Ping(Message):
-    """Ask whether a replica is there."""
+    """Check whether a replica is alive."""
 
     epoch: int
     disk: str
 
 
 class Pong(Message):
-    """A replica is there.
+    """Answer of a replica that is alive.
 
     Parameters
     ----------
     disk : str
-        Name of its disk's content.
+        Name of the content of the replica's disk.
     synced_epoch : int
-        Newest set of members since whose start it has read what the others hold.
+        Epoch of the newest set of members since whose start the replica has copied the data of the
+        other members.
     replicas : ReplicaSet or None
-        Its set of members, if that is newer than the asker's.
+        Set of members of the replica, if it is newer than that of the sender of the `Ping`.
     reaches_store : bool
-        Whether the platform's store has answered it lately.
+        Whether the platform's store has recently answered the replica.
     """
 
     disk: str
@@ -431,22 +436,22 @@
 
 
 class ListHeld(Message):
-    """Ask what a replica holds, from which on it refuses older sets of members than this one."""
+    """Ask for the names of all data; the replica refuses older sets of members from then on."""
 
     replicas: ReplicaSet
 
 
 class Held(Message):
-    """What a replica holds, by name.
+    """Names of the data that a replica stores.
 
     Parameters
     ----------
     turns : tuple of TurnId
-        All turns.
+        All stored turns.
     accounts : dict
         Accepted ballot of each program's account.
     promised : dict
-        Promised ballot of each account for which it is not the one that follows the accepted one.
+        Promised ballot of each account whose promised ballot is not the one after the accepted one.
     """
 
     turns: tuple[TurnId, ...]
@@ -462,7 +467,7 @@
 
 
 class Fetched(Message):
-    """Those of the turns and accounts that are here."""
+    """The requested turns and accounts that the replica has."""
 
     turns: tuple[Turn, ...] = ()
     accounts: dict[ProgramId, tuple[Ballot, Account]] = msgspec.field(default_factory=dict)
@@ -476,8 +481,8 @@
 class ToReplica(Message):
     """A request for the replica of one disk.
 
-    After a disk was wiped the process at its address is another replica; it must not answer for
-    the one before.
+    After a disk was wiped, the process at its address is a new replica, which must not answer on
+    behalf of the previous one.
     """
 
     disk: str
@@ -485,7 +490,7 @@
 
 
 class NotHere(Message):
-    """The replica that a request was meant for is not at this address."""
+    """The replica to which a request is addressed is not at this address."""
 
 
 LedgerMessage = (
--- a/waxwingglade/ledger/quota_client.py
+++ b/waxwingglade/ledger/quota_client.py
@@ -1,4 +1,4 @@
-"""The limits of client accounts, as an entry asks the ledger's members for them."""
+"""Client of an entry for the request quotas of client accounts, which the members grant."""
 
 import random
 from collections import Counter
@@ -20,36 +20,38 @@
 from waxwingglade.transport.links import Links
 
 TAKE_S = 0.15
-"""Seconds for a member to grant a request before another is asked."""
+"""Timeout in seconds of a request to one member, after which another member is asked."""
 
 SPENT_S = 0.25
-"""Longest time in seconds for which an account that no member granted anything is refused without
-asking again."""
+"""Maximum time in seconds for which an account that all members refused is refused here without a
+new request to the members."""
 
 ASK_FOR_S = 0.9
-"""Seconds for a request to be granted, over all members that are asked."""
+"""Timeout in seconds to obtain a grant, over all members that are asked."""
 
 
 class QuotaClient:
-    """The limits of client accounts for one entry.
+    """Client of one entry for the request quotas of client accounts.
 
     Parameters
     ----------
     links : Links
         Connections to members.
     in_order : callable
-        The members in the order in which they are asked; a key spreads what is asked over them.
+        Returns the members in the order in which they are asked for a key; different keys spread
+        the requests over the members.
     avoid : callable
-        Called with a member that gave no answer, which is asked last for a while.
+        Called with a member that did not answer, which is asked last for a while.
     clock : Clock
         Monotonic seconds.
 
     Attributes
     ----------
     spent : dict
-        Until when each account that no member granted anything is refused without asking.
+        Monotonic time until which each account that all members refused is refused without a new
+        request.
     refused : Counter
-        Requests of each account's programs under way that were refused and not told of yet.
+        Refused requests of running programs by account, not reported to a member yet.
     """
 
     def __init__(
@@ -69,14 +71,14 @@
     async def take(
         self, client: ClientAccountId, timeout_s: float
     ) -> QuotaTaken | QuotaSpent | Unavailable:
-        """Have a request granted within the limit of its client account."""
+        """Obtain a grant for a request within the limit of its client account."""
         if (spent := self.known_spent(client)) is not None:
             return spent
         end_at = self.clock() + min(timeout_s, ASK_FOR_S)
         return await self.take_from(self.in_order(random.random().hex()), client, None, end_at)
 
     def known_spent(self, client: ClientAccountId) -> QuotaSpent | None:
-        """Return the refusal of an account of which all members said lately that it has no room."""
+        """Return the cached refusal of an account whose quota was recently used up everywhere."""
         left_s = self.spent.get(client, 0.0) - self.clock()
         return QuotaSpent(left_s) if left_s > 0 else None
 
@@ -89,15 +91,15 @@
     ) -> QuotaTaken | QuotaSpent | Unavailable:
         """Ask members one after the other until one grants a request.
 
-        Where some have no room and the others do not answer, the request is refused as over the
-        limit: a member that does not answer may have granted its part to others.
+        If some members refuse and the others do not answer, the request is refused as over the
+        limit: a member that does not answer may have used up its quota share.
 
         Parameters
         ----------
         spent : QuotaSpent or None
-            What a member that was asked before has answered.
+            Refusal of a member that was asked before.
         end_at : float
-            Until when members are asked, in monotonic seconds.
+            Monotonic time in seconds until which members are asked.
         """
         for member in members:
             left_s = end_at - self.clock()
@@ -114,10 +116,10 @@
         return spent
 
     async def begin_program(self, client: ClientAccountId) -> QuotaSpent | None:
-        """Ask whether an account may begin a program; return why not, None if it may try.
+        """Ask whether an account may begin a program; return the refusal, None if it may begin.
 
-        One member is asked for all programs of an account, so that it knows of all of them.  Where
-        it does not answer a program begins: its requests are counted in any case.
+        The same member is asked for all programs of an account, so that it counts all of them.  If
+        the member does not answer, the program begins: its requests are counted in any case.
         """
         members = self.in_order(client)
         if not members:
@@ -128,19 +130,19 @@
         return answer if isinstance(answer, QuotaSpent) else None
 
     def note_refused(self, client: ClientAccountId) -> None:
-        """Note that a request of a program under way was refused as over its account's limit."""
+        """Record that a request of a running program was refused as over its account's limit."""
         self.refused[client] += 1
 
     async def _ask(
         self, member: Replica, message: TakeQuota | BeginProgram, timeout_s: float
     ) -> Any:
-        """Ask one member; None if it gives no answer."""
+        """Ask one member; return None if it does not answer."""
         try:
             return await self.links.to(member.address).request(message, timeout_s)
         except WaxwinggladeError as error:
             self.avoid(member)
             logger.bind(replica=member.vm, account=message.client, reason=str(error)).info(
-                "limit not asked for"
+                "member not asked for a quota"
             )
             return None
 
--- a/waxwingglade/ledger/records.py
+++ b/waxwingglade/ledger/records.py
@@ -1,4 +1,4 @@
-"""What a replica writes to its journal."""
+"""Records that a replica writes to its journal."""
 
 import msgspec
 
@@ -8,20 +8,20 @@
 
 
 class TurnRecord(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """A turn that is kept."""
+    """A stored turn."""
 
     turn: Turn
 
 
 class PromiseRecord(msgspec.Struct, frozen=True, array_like=True, tag="p"):
-    """A promise to accept nothing below a ballot for a program's account."""
+    """A promise to accept no proposal below a ballot for a program's account."""
 
     program: ProgramId
     promised: Ballot
 
 
 class AcceptRecord(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """An account as it was accepted, with the promise that goes along."""
+    """An accepted account, with the promise that was made along with it."""
 
     program: ProgramId
     promised: Ballot
@@ -30,33 +30,33 @@
 
 
 class EndRecord(msgspec.Struct, frozen=True, array_like=True, tag="e"):
-    """The end of a turn that the account may not show yet."""
+    """The end of a turn that the account may not include yet."""
 
     end: EndTurn
 
 
 class ConfirmRecord(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """A turn that this process began and has confirmed."""
+    """A turn that this process has begun and confirmed."""
 
     program: ProgramId
     turn: TurnId
 
 
 class MembersRecord(msgspec.Struct, frozen=True, array_like=True, tag="m"):
-    """A set of members; older ones are refused from then on."""
+    """A set of members; requests of older sets are refused from then on."""
 
     replicas: ReplicaSet
 
 
 class GrantRecord(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """A request that was granted to a client account, and when by the monotonic clock."""
+    """A grant to a client account, with its time in monotonic seconds."""
 
     client: ClientAccountId
     at: float
 
 
 class CountingRecord(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """Whether this member has been one for long enough to grant its part of the limits."""
+    """Whether this process has been a member for long enough to grant its share of the limits."""
 
     counts: bool
 
--- a/waxwingglade/ledger/turns.py
+++ b/waxwingglade/ledger/turns.py
@@ -1,4 +1,4 @@
-"""Turns of the ledger: copies at a majority of the members, and chains that are put together."""
+"""Storage of turns at a majority of the members, and retrieval of chains of turns."""
 
 import asyncio
 
@@ -10,16 +10,16 @@
 from waxwingglade.ledger.rounds import FIRST_PAUSE_S, LONGEST_PAUSE_S, NoMajority, Rounds
 
 DENIALS_LOGGED_PER_S = 10.0
-"""Lines a second for turns that do not exist; a caller may ask for many."""
+"""Maximum number of log lines per second for turns that do not exist; a caller may ask for many."""
 
 
 class Turns:
-    """Keeps and finds turns on behalf of entries.
+    """Stores and finds turns on behalf of entries.
 
     Parameters
     ----------
     rounds : Rounds
-        Asks the members.
+        Sends messages to the members.
     """
 
     def __init__(self, rounds: Rounds) -> None:
@@ -27,13 +27,19 @@
         self.denials = Sampler(DENIALS_LOGGED_PER_S)
 
     async def copy(self, turn: Turn) -> None:
-        """Have a majority of the members keep a turn; `NoMajority` if too few answer."""
+        """Store a turn at a majority of the members.
+
+        Raises
+        ------
+        NoMajority
+            If too few members answer.
+        """
         pause_s = FIRST_PAUSE_S
         while True:
             replicas = self.rounds.usable_members()
             order = list(replicas.members)
             message = Keep(replicas.epoch, turn)
-            # All are asked at once, so that each has the turn at hand when it is continued.
+            # All members are asked at once, so that each of them can continue the turn locally.
             answers = await self.rounds.majority(order, len(order), message, Kept)
             if len(answers) >= replicas.majority:
                 return
@@ -41,10 +47,16 @@
             pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
 
     async def find(self, turn: TurnId) -> tuple[Turn, ...] | None:
-        """Return the chain up to a turn; None if it certainly does not exist.
+        """Return the chain up to a turn; None if the turn certainly does not exist.
+
+        A turn that was answered completely is stored at a majority of the set of members of that
+        time.  If the members without the turn intersect every such majority, the turn does not
+        exist.
 
-        A turn that was answered whole is held by a majority of the set of that time.  If the
-        members without it include one of every such majority, it was not.
+        Raises
+        ------
+        NoMajority
+            If too few members answer to decide.
         """
         while True:
             replicas = self.rounds.usable_members()
@@ -77,7 +89,10 @@
             await asyncio.sleep(FIRST_PAUSE_S)
 
     def _log_denial(self, turn: TurnId, replicas: ReplicaSet, absent: set[str]) -> None:
-        """Log on whose word a turn was denied; the entry's line names the request and this turn."""
+        """Log the members without a turn that was denied.
+
+        The log line of the entry has the request along with this turn.
+        """
         if not self.denials.allows():
             return
         logger.bind(
@@ -90,9 +105,10 @@
         ).warning("turn denied")
 
     async def _find_here(self, replicas: ReplicaSet, message: Find) -> tuple[Turn, ...] | None:
-        """Return the chain up to a turn if this process's replica holds all of it.
+        """Return the chain up to a turn if the replica of this process has all of it.
 
-        It mostly does.  If all members were asked at once, each would send the whole chain.
+        The local replica has it in most cases.  If all members were asked at once, each would send
+        the whole chain.
         """
         for member in replicas.members:
             if member.disk != self.rounds.own.disk:
@@ -104,7 +120,7 @@
 
 
 def _join(parts: dict[TurnId, Turn], last: TurnId) -> tuple[Turn, ...] | None:
-    """Return the whole chain up to a turn, if all its parts are there."""
+    """Return the complete chain up to a turn; None if any turn of it is missing."""
     chain = []
     wanted: TurnId | None = last
     while wanted is not None:
--- a/waxwingglade/ledger/unsettled.py
+++ b/waxwingglade/ledger/unsettled.py
@@ -1,4 +1,4 @@
-"""Ends of turns that a process was told of and that the accounts may not show yet."""
+"""Ends of turns that a process has received and that the accounts may not include yet."""
 
 import msgspec
 
@@ -6,17 +6,17 @@
 from waxwingglade.ledger.messages import Account, EndTurn, TurnId
 
 MOST_PROGRAMS = 5_000
-"""Programs whose ends are remembered, some 400 bytes each; there are ends to remember only while no
-majority settles them, and the oldest give way."""
+"""Maximum number of programs whose ends are stored, at about 400 bytes each.  Ends are stored only
+until a majority resolves the reservations.  Beyond the maximum, the oldest program is evicted."""
 
 
 class UnsettledEnds:
-    """Ends of turns by program, until a majority has accepted an account that shows them.
+    """Ends of turns by program, until a majority has accepted an account that includes them.
 
     Attributes
     ----------
     programs : dict
-        Ends of each program's turns, the program that was added last at the end.
+        Ends of each program's turns, with programs in the order in which they were added.
     """
 
     def __init__(self) -> None:
@@ -26,13 +26,13 @@
         return sum(len(ends) for ends in self.programs.values())
 
     def add(self, end: EndTurn) -> bool:
-        """Remember the end of a turn that has a budget; return whether it was not known."""
+        """Store the end of a turn that has a budget; return whether the end is new."""
         if end.program is None:
             return False
         ends = self.programs.setdefault(end.program, {})
         if end.turn in ends:
             return False
-        # The turn itself is kept by other messages and would only take memory here.
+        # The turn itself is stored by other messages, and would only use memory here.
         ends[end.turn] = msgspec.structs.replace(end, kept=None)
         while len(self.programs) > MOST_PROGRAMS:
             del self.programs[next(iter(self.programs))]
@@ -47,7 +47,7 @@
         return [end for ends in self.programs.values() for end in ends.values()]
 
     def forget(self, program: ProgramId, account: Account) -> None:
-        """Forget the ends that an account shows which a majority has accepted."""
+        """Remove the ends that are included in an account that a majority has accepted."""
         ends = self.programs.get(program)
         if ends is None:
             return
