--- a/tests/fuzz/test_registry.py
+++ b/tests/fuzz/test_registry.py
@@ -55,8 +55,8 @@
     def test_an_entry_that_names_none_takes_its_target_and_no_other(self, value):
         registered = RegisteredTargets(TARGETS_PREFIX, decode_target, lambda: 0.0, TargetList())
         sound = [Item(f"servers/{name}", ENTRY, Revision(1)) for name in ("a", "b")]
-        registered.take(sound, Revision(1), whole=True)
-        registered.take([Item("servers/b", value, Revision(2))], Revision(2), whole=False)
+        registered.apply(sound, Revision(1), complete=True)
+        registered.apply([Item("servers/b", value, Revision(2))], Revision(2), complete=False)
         self.assertIn("servers/a", registered.targets)
         try:
             named = decode_target("servers/b", value)
--- a/waxwingglade/follow/feed.py
+++ b/waxwingglade/follow/feed.py
@@ -55,7 +55,7 @@
         self.confirmed_at = float("-inf")
         self.complete_until = float("-inf")
         self.listeners: list[Callable[[View], None]] = []
-        self.news = asyncio.Event()
+        self.updated = asyncio.Event()
 
     @property
     def age_s(self) -> float:
@@ -90,25 +90,25 @@
 
     def notify(self) -> None:
         """Answer everybody who waits for news."""
-        self.news.set()
-        self.news = asyncio.Event()
+        self.updated.set()
+        self.updated = asyncio.Event()
 
     async def answer(self, message: Follow) -> Followed:
         """Answer a process that follows this one."""
         arrived_at = self.clock()
-        news = message.news_in(self.view)
-        if not _has_news(news, message) and message.wait_s > 0:
+        updates = message.updates_in(self.view)
+        if not _has_updates(updates, message) and message.wait_s > 0:
             try:
                 async with asyncio.timeout(message.wait_s):
-                    await self.news.wait()
+                    await self.updated.wait()
             except TimeoutError:
                 pass
-            news = message.news_in(self.view)
+            updates = message.updates_in(self.view)
         complete_s = max(self.complete_until - arrived_at, -LONGEST_AGE_S)
-        return Followed(news, max(0.0, min(self.age_s, LONGEST_AGE_S)), complete_s=complete_s)
+        return Followed(updates, max(0.0, min(self.age_s, LONGEST_AGE_S)), complete_s=complete_s)
 
 
-def _has_news(view: View, message: Follow) -> bool:
+def _has_updates(view: View, message: Follow) -> bool:
     return (
         view.configuration is not None
         or view.targets.revision > message.targets_revision
@@ -121,7 +121,7 @@
 
     Parameters
     ----------
-    beliefs : CachedView
+    cached_view : CachedView
         Where what is learnt goes.
     sources : callable
         The processes to follow, the nearest first.
@@ -133,18 +133,18 @@
 
     def __init__(
         self,
-        beliefs: CachedView,
+        cached_view: CachedView,
         sources: Callable[[], list[Replica]],
         ask: Ask,
         needed: Callable[[], bool] = lambda: True,
     ) -> None:
-        self.beliefs = beliefs
+        self.cached_view = cached_view
         self.sources = sources
         self.ask = ask
         self.needed = needed
         self.tried = 0
         self.source = ""
-        self.good = False
+        self.source_current = False
         self.quorum_at = float("-inf")
         self.confirmed_at = float("-inf")
         self.task: asyncio.Task | None = None
@@ -162,13 +162,13 @@
     @property
     def exhausted(self) -> bool:
         """Whether no source knows enough of the store: all of them were tried in vain."""
-        stale = self.beliefs.clock() - self.confirmed_at > FRESH_S
-        return stale and not self.good and self.tried >= len(self.sources())
+        stale = self.cached_view.clock() - self.confirmed_at > FRESH_S
+        return stale and not self.source_current and self.tried >= len(self.sources())
 
     @property
     def quorum_age_s(self) -> float:
         """Seconds since a source said that it reaches a majority of the ledger's members."""
-        return self.beliefs.clock() - self.quorum_at
+        return self.cached_view.clock() - self.quorum_at
 
     async def _follow(self) -> None:
         while True:
@@ -178,8 +178,8 @@
                 await asyncio.sleep(SOURCE_PAUSE_S)
                 continue
             source = sources[self.tried % len(sources)]
-            self.good = await self._ask(source)
-            if self.good:
+            self.source_current = await self._ask(source)
+            if self.source_current:
                 if self.tried and source.address != self.source:
                     logger.bind(source=source.vm).info("following")
                 self.source = source.address
@@ -190,7 +190,7 @@
 
     async def _ask(self, source: Replica) -> bool:
         """Ask one source; return whether it knows enough."""
-        view = self.beliefs.view
+        view = self.cached_view.view
         wait_s = WAIT_S if source.address == self.source else 0.0
         message = Follow(
             view.version,
@@ -199,7 +199,7 @@
             wait_s,
             view.configuration_revision,
         )
-        asked_at = self.beliefs.clock()
+        asked_at = self.cached_view.clock()
         try:
             answer = await self.ask(source.address, message, wait_s + ANSWER_S)
         except WaxwinggladeError as error:
@@ -207,11 +207,11 @@
                 logger.bind(source=source.vm, reason=str(error)).warning("source lost")
                 self.source = ""
             return False
-        now = self.beliefs.clock()
+        now = self.cached_view.clock()
         # What was read later than it was awaited for lay here while this VM stood still.
         in_time = wait_s > 0 and now - asked_at <= wait_s + ANSWER_S
         confirmed_at = (now if in_time else asked_at) - answer.age_s
-        self.beliefs.merge(answer.view, confirmed_at, asked_at + answer.complete_s)
+        self.cached_view.merge(answer.view, confirmed_at, asked_at + answer.complete_s)
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
         # A source that has lost the majority says so at once.  Where another still reaches it, that
         # one is asked next and the loss lasts for a round trip.
--- a/waxwingglade/follow/messages.py
+++ b/waxwingglade/follow/messages.py
@@ -19,7 +19,7 @@
     wait_s: float
     configuration_revision: Revision = Revision(0)
 
-    def news_in(self, view: View) -> View:
+    def updates_in(self, view: View) -> View:
         """Return a view without the parts that the sender knows already."""
         known = (self.version, self.configuration_revision)
         newer = (view.version, view.configuration_revision) > known
--- a/waxwingglade/follow/model.py
+++ b/waxwingglade/follow/model.py
@@ -283,9 +283,9 @@
         return len(self.members) // 2 + 1
 
     @property
-    def witnesses(self) -> int:
+    def blocking_size(self) -> int:
         """Members of which every majority contains one."""
-        return witnesses_of(len(self.members))
+        return blocking_size_of(len(self.members))
 
     def follows(self, before: "ReplicaSet") -> bool:
         """Return whether this set may be written over another: as the next, or as it, settled."""
@@ -293,7 +293,7 @@
             return self.members == before.members and self.settled and not before.settled
         return self.epoch == before.epoch + 1 and (before.settled or not before.epoch)
 
-    def meet_earlier(self, disks: Set[str]) -> bool:
+    def intersects_earlier_majorities(self, disks: Set[str]) -> bool:
         """Return whether members include one of every majority that earlier sets decided with.
 
         Once the set is settled, its own majorities hold all of that.  Before, what counts are those
@@ -303,11 +303,11 @@
         for a proof.
         """
         if self.settled:
-            return len(disks) >= self.witnesses
+            return len(disks) >= self.blocking_size
         size_before = len(self.members) + (-1 if self.joining else 1)
-        return len(disks - {self.joining}) >= witnesses_of(size_before)
+        return len(disks - {self.joining}) >= blocking_size_of(size_before)
 
-    def meet_all(self, disks: Set[str]) -> bool:
+    def intersects_all_majorities(self, disks: Set[str]) -> bool:
         """Return whether members include one of every majority, of this set and of those beside it.
 
         They are those of earlier sets and of the next one, which whoever asks may not have heard
@@ -315,10 +315,10 @@
         yet.  The witnesses do not: of a set of even size they are half, and the other half with a
         member that has joined is a majority of the next.
         """
-        return len(disks) >= self.majority and self.meet_earlier(disks)
+        return len(disks) >= self.majority and self.intersects_earlier_majorities(disks)
 
 
-def witnesses_of(members: int) -> int:
+def blocking_size_of(members: int) -> int:
     """Return how many of a number of members every majority of them meets."""
     return members - members // 2
 
@@ -396,5 +396,5 @@
     "Target",
     "TargetList",
     "View",
-    "witnesses_of",
+    "blocking_size_of",
 ]
--- a/waxwingglade/follow/store.py
+++ b/waxwingglade/follow/store.py
@@ -34,7 +34,7 @@
         self.may_have_run = may_have_run
 
 
-class HistoryGone(WaxwinggladeError):
+class HistoryCompacted(WaxwinggladeError):
     """The store no longer has the history after the revision that was asked for."""
 
 
@@ -74,7 +74,7 @@
         """
 
     async def watch(self, prefix: str, after: Revision, wait_s: float) -> Listing:
-        """Return the events after a revision, waiting up to `wait_s`; `HistoryGone` on a gap."""
+        """Return the events after a revision, waiting up to `wait_s`, or `HistoryCompacted`."""
 
     async def compare_and_swap(self, key: str, revision: Revision, value: bytes) -> Item | None:
         """Write a key if it is still at `revision` (0: if it does not exist).
@@ -86,4 +86,4 @@
         """
 
 
-__all__ = ["WATCH_MARGIN_S", "HistoryGone", "Item", "Listing", "Store", "StoreUnavailable"]
+__all__ = ["WATCH_MARGIN_S", "HistoryCompacted", "Item", "Listing", "Store", "StoreUnavailable"]
--- a/waxwingglade/follow/targets.py
+++ b/waxwingglade/follow/targets.py
@@ -8,7 +8,7 @@
 from waxwingglade.follow.model import Revision, Target, TargetList
 from waxwingglade.follow.store import Item
 
-RETURN_S = 2.2
+REREGISTRATION_S = 2.2
 """Seconds after an outage of the store for which a target that is missing may still come back;
 targets that live have registered again within two seconds."""
 
@@ -29,7 +29,7 @@
 
     Attributes
     ----------
-    unread : set of str
+    undecodable : set of str
         Keys whose entries name no target.
     missing : dict
         Until when targets that are no longer registered may come back, by key.
@@ -47,7 +47,7 @@
         self.decode = decode
         self.clock = clock
         self.targets = {prefix + target.target: target for target in known.targets}
-        self.unread: set[str] = set()
+        self.undecodable: set[str] = set()
         self.published = TargetList()
         self.unpublished = False
         self.missing: dict[str, float] = {}
@@ -55,28 +55,28 @@
         self.partial_until = float("-inf")
         self.partial = False
 
-    def note_return(self) -> None:
+    def record_store_recovery(self) -> None:
         """Note that the store is back: entries of targets that live may have lapsed meanwhile."""
         self.outage_until = self.clock()
         if not self.targets:
-            self.partial_until = self.outage_until + RETURN_S
+            self.partial_until = self.outage_until + REREGISTRATION_S
 
-    def take(self, items: Iterable[Item], revision: Revision, whole: bool) -> TargetList | None:
+    def apply(self, items: Iterable[Item], revision: Revision, complete: bool) -> TargetList | None:
         """Take in all entries, or those that have changed; return the list if it is to be told."""
         now = self.clock()
         before = dict(self.targets)
-        if whole:
+        if complete:
             present = {item.key for item in items}
-            self.unread &= present
+            self.undecodable &= present
             for key in list(self.targets):
                 if key not in present:
-                    self._lose(key, now)
+                    self._remove_or_defer(key, now)
         for item in items:
             if item.value is None:
-                self.unread.discard(item.key)
-                self._lose(item.key, now)
+                self.undecodable.discard(item.key)
+                self._remove_or_defer(item.key, now)
             else:
-                self._keep(item.key, item.value)
+                self._add(item.key, item.value)
         for key, until in list(self.missing.items()):
             if now >= until:
                 self.missing.pop(key)
@@ -87,7 +87,7 @@
             self.unpublished = True
         return self._list(revision) if self.unpublished else None
 
-    def note_published(self, targets: TargetList) -> None:
+    def record_published(self, targets: TargetList) -> None:
         """Note the list that is told to others.
 
         One that waited until its time was over may be dropped without a change of the store; the
@@ -107,33 +107,33 @@
             revision = Revision(self.published.revision + 1)
         return TargetList(revision, tuple(self.targets.values()))
 
-    def _keep(self, key: str, value: bytes) -> None:
+    def _add(self, key: str, value: bytes) -> None:
         try:
             target = self.decode(key, value)
         except FormatError as error:
-            self._leave_out(key, error)
+            self._reject(key, error)
             return
-        self.unread.discard(key)
+        self.undecodable.discard(key)
         if self.missing.pop(key, None) is not None:
             # Others may have dropped it meanwhile, so the list is told anew though it is the same.
             self.unpublished = True
         self.targets[key] = target
 
-    def _leave_out(self, key: str, error: FormatError) -> None:
+    def _reject(self, key: str, error: FormatError) -> None:
         """Use no target by an entry that names none, whatever stood there before; logged once."""
         self.targets.pop(key, None)
         self.missing.pop(key, None)
-        if key not in self.unread:
-            self.unread.add(key)
+        if key not in self.undecodable:
+            self.undecodable.add(key)
             logger.warning("entry names no target: {}", error)
 
-    def _lose(self, key: str, now: float) -> None:
+    def _remove_or_defer(self, key: str, now: float) -> None:
         """Drop a target, unless its entry may only have lapsed while the store was away."""
         target = self.targets.get(key)
         if target is None or key in self.missing:
             return
-        if not target.leaving and now - self.outage_until < RETURN_S:
-            self.missing[key] = self.outage_until + RETURN_S
+        if not target.leaving and now - self.outage_until < REREGISTRATION_S:
+            self.missing[key] = self.outage_until + REREGISTRATION_S
             return
         del self.targets[key]
 
@@ -152,4 +152,4 @@
                 logger.bind(target=target.target).info("target leaving")
 
 
-__all__ = ["RETURN_S", "RegisteredTargets"]
+__all__ = ["REREGISTRATION_S", "RegisteredTargets"]
--- a/waxwingglade/follow/tests/builders.py
+++ b/waxwingglade/follow/tests/builders.py
@@ -9,11 +9,11 @@
 
 from waxwingglade.base import ConfigVersion, FormatError, TargetId, ZoneId
 from waxwingglade.follow.model import Configuration, Revision, ServiceName, Target
-from waxwingglade.follow.store import HistoryGone, Item, Listing, StoreUnavailable
+from waxwingglade.follow.store import HistoryCompacted, Item, Listing, StoreUnavailable
 from waxwingglade.follow.watcher import Keys
 
 SHORT_S = 0.01
-SILENCE_S = 0.2
+UNRESPONSIVE_S = 0.2
 """Seconds after which a watch that hears nothing breaks off."""
 
 
@@ -59,7 +59,7 @@
 def quick_pauses() -> Iterator[None]:
     """Let a watcher ask the store again almost at once."""
     with contextlib.ExitStack() as patches:
-        for name in ("PACE_S", "FIRST_PAUSE_S", "LONGEST_PAUSE_S"):
+        for name in ("WATCH_INTERVAL_S", "FIRST_PAUSE_S", "LONGEST_PAUSE_S"):
             patches.enter_context(mock.patch(f"waxwingglade.follow.watcher.{name}", SHORT_S))
         yield
 
@@ -69,9 +69,9 @@
 
     Attributes
     ----------
-    away : bool
+    unavailable : bool
         Whether calls fail.
-    silenced : str or None
+    unresponsive_key : str or None
         Key whose watches hear nothing, do not end in time and at last break off.
     """
 
@@ -80,8 +80,8 @@
         self.history: list[Item] = []
         self.revision = 0
         self.oldest = 0
-        self.away = False
-        self.silenced: str | None = None
+        self.unavailable = False
+        self.unresponsive_key: str | None = None
         self.calls: Counter[str] = Counter()
 
     def put(self, key: str, value: bytes | None) -> None:
@@ -101,7 +101,7 @@
 
     def _call(self) -> None:
         self.calls["all"] += 1
-        if self.away:
+        if self.unavailable:
             raise StoreUnavailable("away", may_have_run=False)
 
     async def read(self, key: str) -> Item | None:
@@ -119,11 +119,11 @@
         """Return events after a revision, after a short wait."""
         await asyncio.sleep(SHORT_S)
         self._call()
-        if self.silenced is not None and self.silenced.startswith(prefix):
-            await asyncio.sleep(SILENCE_S)
+        if self.unresponsive_key is not None and self.unresponsive_key.startswith(prefix):
+            await asyncio.sleep(UNRESPONSIVE_S)
             raise StoreUnavailable("no answer", may_have_run=False)
         if after < self.oldest:
-            raise HistoryGone(prefix)
+            raise HistoryCompacted(prefix)
         events = [
             item for item in self.history if item.revision > after and item.key.startswith(prefix)
         ]
--- a/waxwingglade/follow/tests/test_completeness.py
+++ b/waxwingglade/follow/tests/test_completeness.py
@@ -29,8 +29,8 @@
     def setUp(self) -> None:
         self.now = 100.0
         self.source = CachedView(lambda: self.now)
-        self.beliefs = CachedView(lambda: self.now)
-        self.follower = FeedFollower(self.beliefs, lambda: [SOURCE], self.ask)
+        self.cached_view = CachedView(lambda: self.now)
+        self.follower = FeedFollower(self.cached_view, lambda: [SOURCE], self.ask)
         self.way_s = (0.0, 0.0)
 
     async def ask(self, _address: str, message: Follow, _timeout_s: float) -> Followed:
@@ -45,8 +45,10 @@
             complete_until = self.now - 0.4
             self.source.merge(configured(1), self.now, complete_until)
             await self.follower._ask(SOURCE)
-            self.assertLessEqual(self.beliefs.complete_until, complete_until)
-            self.assertGreaterEqual(self.beliefs.complete_until, complete_until - ways[0] - 1e-9)
+            self.assertLessEqual(self.cached_view.complete_until, complete_until)
+            self.assertGreaterEqual(
+                self.cached_view.complete_until, complete_until - ways[0] - 1e-9
+            )
 
     async def test_at_random_it_never_runs_ahead_of_what_the_source_knew(self) -> None:
         chance = random.Random(7)
@@ -57,22 +59,22 @@
             known.append(self.source.complete_until)
             self.way_s = (chance.expovariate(5), chance.expovariate(5))
             await self.follower._ask(SOURCE)
-            self.assertEqual(version, self.beliefs.view.version)
-            self.assertLessEqual(self.beliefs.complete_until, known[-1] + 1e-9)
+            self.assertEqual(version, self.cached_view.view.version)
+            self.assertLessEqual(self.cached_view.complete_until, known[-1] + 1e-9)
 
     async def test_an_older_process_that_does_not_tell_it_confirms_nothing(self) -> None:
         self.follower.ask = mock.AsyncMock(return_value=Followed(configured(1), 0.1))
         await self.follower._ask(SOURCE)
-        self.assertEqual(float("-inf"), self.beliefs.complete_until)
+        self.assertEqual(float("-inf"), self.cached_view.complete_until)
 
     async def test_another_content_of_the_same_version_is_passed_on(self) -> None:
         self.source.merge(configured(1, 5), self.now)
         await self.follower._ask(SOURCE)
         self.source.merge(configured(1, 6), self.now)
         await self.follower._ask(SOURCE)
-        self.assertEqual(6, self.beliefs.view.configuration_revision)
-        self.beliefs.merge(configured(1, 5), self.now)
-        self.assertEqual(6, self.beliefs.view.configuration_revision)
+        self.assertEqual(6, self.cached_view.view.configuration_revision)
+        self.cached_view.merge(configured(1, 5), self.now)
+        self.assertEqual(6, self.cached_view.view.configuration_revision)
 
 
 class WatcherTest(unittest.IsolatedAsyncioTestCase):
@@ -116,7 +118,7 @@
         while self.watcher.complete_until < self.now:
             await asyncio.sleep(0.005)
         before = self.now
-        self.store.away = True
+        self.store.unavailable = True
         await asyncio.sleep(0.05)
         self.now += 4.0
         await asyncio.sleep(0.05)
--- a/waxwingglade/follow/tests/test_following.py
+++ b/waxwingglade/follow/tests/test_following.py
@@ -13,11 +13,11 @@
 from waxwingglade.follow.messages import Follow, Followed
 from waxwingglade.follow.model import Configuration, Replica, Revision, Target, TargetList, View
 from waxwingglade.follow.store import Listing, StoreUnavailable
-from waxwingglade.follow.targets import RETURN_S
+from waxwingglade.follow.targets import REREGISTRATION_S
 from waxwingglade.follow.tests.builders import (
     KEYS,
     SHORT_S,
-    SILENCE_S,
+    UNRESPONSIVE_S,
     MemoryStore,
     quick_pauses,
 )
@@ -69,26 +69,26 @@
         self.assertEqual(self.watcher.view.version, 4)
 
     async def test_what_changed_while_the_history_went_is_read_anew(self) -> None:
-        self.store.away = True
+        self.store.unavailable = True
         await until(lambda: self.watcher.in_outage)
         self.store.put("op/config", b'{"version": 9}')
         self.store.put("targets/a", b"leaving")
         self.store.compact()
-        self.store.away = False
+        self.store.unavailable = False
         await until(lambda: self.watcher.view.version == 9)
         await until(lambda: any(t.leaving for t in self.watcher.view.targets.targets))
 
     async def test_a_view_is_confirmed_only_with_the_configuration_of_that_time(self) -> None:
-        self.store.silenced = "op/config"
+        self.store.unresponsive_key = "op/config"
         await asyncio.sleep(4 * SHORT_S)
         written_at = self.now
         self.store.put("op/config", b'{"version": 9}')
         self.now += 1.0
-        silent_until = time.monotonic() + 2 * SILENCE_S
+        silent_until = time.monotonic() + 2 * UNRESPONSIVE_S
         while self.watcher.view.version != 9:
             self.assertLessEqual(self.watcher.confirmed_at, written_at)
             if time.monotonic() > silent_until:
-                self.store.silenced = None
+                self.store.unresponsive_key = None
             await asyncio.sleep(0.005)
 
     async def test_an_entry_that_names_no_target_leaves_the_others(self) -> None:
@@ -110,11 +110,11 @@
         await until(lambda: self.names() == {"b"})
 
     async def test_a_target_that_lapsed_in_an_outage_may_come_back(self) -> None:
-        self.store.away = True
+        self.store.unavailable = True
         await until(lambda: self.watcher.in_outage)
         self.store.put("targets/a", None)
         self.store.put("targets/b", None)
-        self.store.away = False
+        self.store.unavailable = False
         await until(lambda: len(self.watcher.targets.missing) == 2)
         self.assertEqual(self.names(), {"a", "b"})
         self.store.put("targets/b", b"ready")
@@ -127,12 +127,12 @@
         """Its time may end at a revision that others have already as one with it."""
         await self.watcher.stop()
         revision = Revision(self.store.revision)
-        self.watcher._note_outage("away")
+        self.watcher._record_outage("away")
         self.store.put("targets/a", None)
         self.store.put("targets/c", b"ready")
         revision = await self.watcher._step(revision)
         self.assertEqual(self.names(), {"a", "b", "c"})
-        self.now += RETURN_S + 0.1
+        self.now += REREGISTRATION_S + 0.1
         revision = await self.watcher._step(revision)
         self.store.put("own/sign-of-life", b"")
         await self.watcher._step(revision)
@@ -142,7 +142,7 @@
         """An entry that followed the store for a while may have dropped it."""
         await self.watcher.stop()
         revision = Revision(self.store.revision)
-        self.watcher._note_outage("away")
+        self.watcher._record_outage("away")
         self.store.put("targets/a", None)
         revision = await self.watcher._step(revision)
         self.store.put("targets/a", b"ready")
@@ -191,7 +191,7 @@
         await until(lambda: len(before.view.targets.targets) == 2)
         self.known = before.view
         await before.stop()
-        self.store.away = True
+        self.store.unavailable = True
         self.store.put("targets/a", None)
         self.store.put("targets/b", None)
 
@@ -208,7 +208,7 @@
 
     async def test_what_was_known_before_may_come_back(self) -> None:
         watcher = self.watch(self.known.targets)
-        self.store.away = False
+        self.store.unavailable = False
         await until(lambda: watcher.view.version == 4)
         self.assertEqual(self.names(self.known.merged(watcher.view)), {"a", "b"})
         self.store.put("targets/b", b"ready")
@@ -222,7 +222,7 @@
         watcher = self.watch()
         await until(lambda: watcher.in_outage)
         self.store.put("targets/c", b"ready")
-        self.store.away = False
+        self.store.unavailable = False
         await until(lambda: self.names(watcher.view) == {"c"})
         self.assertEqual(self.names(self.known.merged(watcher.view)), {"a", "b"})
         self.store.put("targets/b", b"ready")
--- a/waxwingglade/follow/watcher.py
+++ b/waxwingglade/follow/watcher.py
@@ -25,7 +25,7 @@
 )
 from waxwingglade.follow.store import (
     WATCH_MARGIN_S,
-    HistoryGone,
+    HistoryCompacted,
     Item,
     Listing,
     Store,
@@ -36,7 +36,7 @@
 EVERYTHING = ""
 """Prefix of all keys."""
 
-PACE_S = 0.35
+WATCH_INTERVAL_S = 0.35
 """Seconds between watches; a fifth of the two seconds within which a changed configuration is in
 force and a target that leaves gets no more work."""
 
@@ -115,11 +115,11 @@
     ----------
     view : View
         What is believed.
-    checked_at : float
+    store_confirmed_at : float
         When the store last confirmed the view; -inf before.
-    asked_at : float
+    store_complete_until : float
         When the call began by which it did so: up to then the view is complete.
-    unread : bool
+    undecodable : bool
         Whether the store holds a configuration that could not be read; no call makes the view
         complete then.
     retiring : dict
@@ -145,9 +145,9 @@
         self.clock = clock
         self.wait_s = wait_s
         self.view = EMPTY_VIEW
-        self.checked_at = float("-inf")
-        self.asked_at = float("-inf")
-        self.unread = False
+        self.store_confirmed_at = float("-inf")
+        self.store_complete_until = float("-inf")
+        self.undecodable = False
         self.retiring: dict[str, Revision] = {}
         self.candidates: dict[str, Candidate] = {}
         self.replicas_revision = Revision(0)
@@ -172,14 +172,14 @@
         """When the store last confirmed the view, once the configuration was read too."""
         if self.view.configuration is None:
             return float("-inf")
-        return self.checked_at
+        return self.store_confirmed_at
 
     @property
     def complete_until(self) -> float:
         """Moment up to which the view holds all that the store acknowledged, once it was read."""
         if self.view.configuration is None:
             return float("-inf")
-        return self.asked_at
+        return self.store_complete_until
 
     async def _follow(self) -> None:
         """Keep the view up to date: a listing, then watches from its revision."""
@@ -189,44 +189,44 @@
             asked_at = self.clock()
             try:
                 revision = await self._step(revision)
-            except HistoryGone as error:
+            except HistoryCompacted as error:
                 logger.info("history gone, reading anew: {}", error)
                 revision = None
                 continue
             except StoreUnavailable as error:
-                self._note_outage(str(error))
+                self._record_outage(str(error))
                 next_at = asked_at + pause_s * (0.5 + random.random())
                 await asyncio.sleep(max(SHORTEST_PAUSE_S, next_at - self.clock()))
                 pause_s = min(2 * pause_s, max(LONGEST_PAUSE_S, self.wait_s()))
                 continue
             pause_s = FIRST_PAUSE_S
-            await asyncio.sleep(PACE_S)
+            await asyncio.sleep(WATCH_INTERVAL_S)
 
     async def _step(self, revision: Revision | None) -> Revision:
         asked_at = self.clock()
         if revision is None:
             listing = await self.store.list(EVERYTHING)
-            self._take(listing, True)
-            self._note_complete(asked_at)
-            self.checked_at = asked_at
+            self._apply(listing, True)
+            self._record_complete(asked_at)
+            self.store_confirmed_at = asked_at
             return listing.revision
         wait_s = self.wait_s()
         events = await self.store.watch(EVERYTHING, revision, wait_s)
-        self._take(events, False)
-        self._note_complete(asked_at)
+        self._apply(events, False)
+        self._record_complete(asked_at)
         now = self.clock()
         # An answer that comes later than any does was held up here, for example while the VM stood
         # still.
-        self.checked_at = now if now - asked_at < wait_s + WATCH_MARGIN_S else asked_at
+        self.store_confirmed_at = now if now - asked_at < wait_s + WATCH_MARGIN_S else asked_at
         return max(revision, events.revision)
 
-    def _note_complete(self, asked_at: float) -> None:
-        if not self.unread:
-            self.asked_at = asked_at
+    def _record_complete(self, asked_at: float) -> None:
+        if not self.undecodable:
+            self.store_complete_until = asked_at
 
-    def _take(self, listing: Listing, whole: bool) -> None:
+    def _apply(self, listing: Listing, complete: bool) -> None:
         """Take in all items, or those that have changed."""
-        self._note_answer()
+        self._record_answer()
         parts: dict[str, list[Item]] = {
             prefix: [] for prefix in (self.keys.operators, self.keys.own, self.keys.targets)
         }
@@ -234,50 +234,50 @@
             for prefix, items in parts.items():
                 if item.key.startswith(prefix):
                     items.append(item)
-        self._take_operators(parts[self.keys.operators], whole)
-        self._take_own(parts[self.keys.own])
-        targets = self.targets.take(parts[self.keys.targets], listing.revision, whole)
+        self._apply_operator_items(parts[self.keys.operators], complete)
+        self._apply_own_items(parts[self.keys.own])
+        targets = self.targets.apply(parts[self.keys.targets], listing.revision, complete)
         if targets is not None:
             self._replace(self.view.merged(View(targets=targets)))
-            self.targets.note_published(self.view.targets)
+            self.targets.record_published(self.view.targets)
 
-    def _note_outage(self, reason: str) -> None:
+    def _record_outage(self, reason: str) -> None:
         if not self.in_outage:
             logger.bind(reason=reason).warning("store lost")
         self.in_outage = True
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         if not self.in_outage:
             return
         self.in_outage = False
-        self.targets.note_return()
+        self.targets.record_store_recovery()
         logger.info("store regained")
 
     # What operators wrote
 
-    def _take_operators(self, items: list[Item], whole: bool) -> None:
-        if whole:
+    def _apply_operator_items(self, items: list[Item], complete: bool) -> None:
+        if complete:
             self.retiring = {}
         for item in items:
             if item.key == self.keys.configuration:
-                self._take_configuration(item)
+                self._apply_configuration(item)
             elif item.key.startswith(self.keys.retire):
-                self._take_retirement(item)
+                self._apply_retirement(item)
 
-    def _take_configuration(self, item: Item) -> None:
+    def _apply_configuration(self, item: Item) -> None:
         if item.value is None:
             return
         try:
             configuration = self.keys.decode_configuration(item.value)
         except FormatError as error:
             logger.error("configuration at revision {} not read: {}", item.revision, error)
-            self.unread = True
+            self.undecodable = True
             return
-        self.unread = False
+        self.undecodable = False
         configuration = msgspec.structs.replace(configuration, revision=item.revision)
         self._replace(self.view.merged(View(configuration)))
 
-    def _take_retirement(self, item: Item) -> None:
+    def _apply_retirement(self, item: Item) -> None:
         vm = item.key.removeprefix(self.keys.retire)
         if item.value is None:
             self.retiring.pop(vm, None)
@@ -289,15 +289,15 @@
 
     # What this system wrote
 
-    def _take_own(self, items: list[Item]) -> None:
+    def _apply_own_items(self, items: list[Item]) -> None:
         for item in items:
             if item.key == self.keys.replicas and item.value is not None:
-                self.take_replicas(item)
+                self.apply_replicas(item)
             elif item.key.startswith(self.keys.candidates):
-                self.take_candidate(item)
+                self.apply_candidate(item)
         self.replicas_known.set()
 
-    def take_candidate(self, item: Item) -> None:
+    def apply_candidate(self, item: Item) -> None:
         """Take in which replica is about to join; a word that was seen before is not new."""
         known = self.candidates.get(item.key)
         if item.value is None or (known is not None and item.revision <= known.revision):
@@ -305,7 +305,7 @@
         disk = item.value.decode("utf-8", "replace")
         self.candidates[item.key] = Candidate(disk, item.revision, self.clock())
 
-    def take_replicas(self, item: Item) -> None:
+    def apply_replicas(self, item: Item) -> None:
         """Take in what the key of the ledger's members holds."""
         if item.value is None or item.revision < self.replicas_revision:
             return
--- a/waxwingglade/ingress/entry.py
+++ b/waxwingglade/ingress/entry.py
@@ -247,7 +247,7 @@
                 logger.bind(reason=str(error)).info("reading ledger members failed")
                 item = None
             if item is not None:
-                reader.take_replicas(item)
+                reader.apply_replicas(item)
                 self.cached_view.merge(reader.view, float("-inf"))
                 continue
             await asyncio.sleep(MEMBERS_RETRY_S * (0.5 + random.random()))
--- a/waxwingglade/ingress/tests/test_limits.py
+++ b/waxwingglade/ingress/tests/test_limits.py
@@ -34,7 +34,7 @@
         self.addAsyncCleanup(self.entry.stop)
         await self.entry.start()
         # With a source to follow it does not turn to the store.
-        self.entry.ingress.follower.good = True
+        self.entry.ingress.follower.source_current = True
         checking = asyncio.create_task(self.entry.ingress._check_forever())
         self.addCleanup(checking.cancel)
 
--- a/waxwingglade/ledger/candidacy.py
+++ b/waxwingglade/ledger/candidacy.py
@@ -104,7 +104,7 @@
         held = await self.store.compare_and_swap(self.key, revision, self.own.disk.encode())
         if held is None:
             return True
-        self.watcher.take_candidate(held)
+        self.watcher.apply_candidate(held)
         return held.value == self.own.disk.encode()
 
     async def renew_forever(self) -> None:
--- a/waxwingglade/ledger/catch_up.py
+++ b/waxwingglade/ledger/catch_up.py
@@ -67,7 +67,7 @@
     }
     try:
         unread = set(tasks)
-        while unread and not replicas.meet_earlier(read):
+        while unread and not replicas.intersects_earlier_majorities(read):
             ended, unread = await asyncio.wait(unread, return_when=asyncio.FIRST_COMPLETED)
             read |= {tasks[task] for task in ended if task.result()}
     finally:
@@ -77,7 +77,7 @@
     # What one member had of an account may still be on its way to the disk when the next one is
     # read.
     await replica.flush()
-    if not replicas.meet_earlier(read):
+    if not replicas.intersects_earlier_majorities(read):
         raise WaxwinggladeError(f"only {len(read)} of {len(replicas.members)} members were read")
 
 
--- a/waxwingglade/ledger/membership.py
+++ b/waxwingglade/ledger/membership.py
@@ -161,7 +161,7 @@
     @property
     def reaches_store(self) -> bool:
         """Whether the store has answered this process lately."""
-        return self.clock() - self.watcher.checked_at < STORE_S
+        return self.clock() - self.watcher.store_confirmed_at < STORE_S
 
     # Signs of life
 
@@ -258,7 +258,7 @@
             return
         if not self._is_needed(replicas):
             return
-        if not replicas.meet_earlier({member.disk for member in self._alive()}):
+        if not replicas.intersects_earlier_majorities({member.disk for member in self._alive()}):
             raise WaxwinggladeError("too few members are heard to read from")
         if not await self.candidacy.claim(replicas):
             return
@@ -426,7 +426,7 @@
     async def _read_again(self) -> None:
         item = await self.store.read(self.replicas_key)
         if item is not None:
-            self.watcher.take_replicas(item)
+            self.watcher.apply_replicas(item)
             await self.replica.adopt_members(self.watcher.view.replicas)
 
 
--- a/waxwingglade/ledger/tests/machines.py
+++ b/waxwingglade/ledger/tests/machines.py
@@ -39,7 +39,7 @@
     with contextlib.ExitStack() as patches:
         for name, value in QUICK.items():
             patches.enter_context(mock.patch(f"waxwingglade.ledger.membership.{name}", value))
-        patches.enter_context(mock.patch("waxwingglade.follow.watcher.PACE_S", 0.01))
+        patches.enter_context(mock.patch("waxwingglade.follow.watcher.WATCH_INTERVAL_S", 0.01))
         patches.enter_context(mock.patch("waxwingglade.ledger.candidacy.VALID_S", 0.2))
         patches.enter_context(mock.patch("waxwingglade.ledger.candidacy.RENEW_S", 0.05))
         yield
@@ -163,7 +163,7 @@
         """The set of members in the store."""
         watcher = Watcher(self.store, KEYS)
         if KEYS.replicas in self.store.items:
-            watcher.take_replicas(self.store.items[KEYS.replicas])
+            watcher.apply_replicas(self.store.items[KEYS.replicas])
         return watcher.view.replicas
 
     def vms(self) -> set[str]:
--- a/waxwingglade/ledger/tests/test_membership.py
+++ b/waxwingglade/ledger/tests/test_membership.py
@@ -8,7 +8,7 @@
 
 from waxwingglade.base import WaxwinggladeError
 from waxwingglade.follow.model import Replica as Member
-from waxwingglade.follow.model import witnesses_of
+from waxwingglade.follow.model import blocking_size_of
 from waxwingglade.ledger.catch_up import catch_up
 from waxwingglade.ledger.messages import NoSuchTurn, TurnBegun
 from waxwingglade.ledger.tests.builders import PROGRAM, Cluster, Silence, begin, end, turn
@@ -130,13 +130,13 @@
         self.machines.heal()
 
     async def test_no_set_changes_while_the_store_is_away(self) -> None:
-        self.machines.store.away = True
+        self.machines.store.unavailable = True
         await self.machines.take_away("vm-0")
         await self.machines.begin_on("vm-10")
         await asyncio.sleep(0.5)
         self.assertEqual(self.machines.vms(), {"vm-0", "vm-1", "vm-2"})
         await self.keep("vm-1", 1)
-        self.machines.store.away = False
+        self.machines.store.unavailable = False
         await self.until(lambda: self.machines.vms() == {"vm-1", "vm-2", "vm-10"})
 
     async def test_a_member_that_is_cut_off_denies_nothing_on_its_own_word(self) -> None:
@@ -237,5 +237,5 @@
     def test_every_majority_meets_the_witnesses(self) -> None:
         for size in range(1, 12):
             majority = size // 2 + 1
-            self.assertGreater(witnesses_of(size) + majority, size)
-            self.assertLessEqual(witnesses_of(size) - 1 + majority, size)
+            self.assertGreater(blocking_size_of(size) + majority, size)
+            self.assertLessEqual(blocking_size_of(size) - 1 + majority, size)
--- a/waxwingglade/ledger/tests/test_one_set.py
+++ b/waxwingglade/ledger/tests/test_one_set.py
@@ -47,7 +47,7 @@
         """Let watches bring what the store holds."""
         for vm in vms:
             machine = self.machines.machines[vm]
-            machine.watcher.take_replicas(self.machines.store.items[KEYS.replicas])
+            machine.watcher.apply_replicas(self.machines.store.items[KEYS.replicas])
             machine.watcher.replicas_known.set()
             await machine.replica.adopt_members(machine.watcher.view.replicas)
 
--- a/waxwingglade/ledger/turns.py
+++ b/waxwingglade/ledger/turns.py
@@ -79,7 +79,7 @@
                     absent.add(member.disk)
                 if (chain := _join(partial, turn)) is not None:
                     return chain
-                if replicas.meet_all(absent):
+                if replicas.intersects_all_majorities(absent):
                     self._log_denial(turn, replicas, absent)
                     return None
             if not refused:
--- a/waxwingglade/platform/headers.py
+++ b/waxwingglade/platform/headers.py
@@ -39,7 +39,7 @@
 
 MISDIRECTED = 421
 
-_PER_CONNECTION = {
+_HOP_BY_HOP = {
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -70,13 +70,13 @@
 pass."""
 
 _CREDENTIALS = AUTHORIZATION.lower()
-_LEFT_OUT = _PER_CONNECTION | {name.lower() for name in _SET_BY_THIS_SYSTEM}
+_DROPPED_HEADERS = _HOP_BY_HOP | {name.lower() for name in _SET_BY_THIS_SYSTEM}
 
 
 def read_call(method: str, path: str, headers: HeaderList) -> Call:
     """Read the head of a caller's request; `FormatError` names a header that is wrong."""
     values = {name.lower(): value for name, value in headers}
-    dropped = _LEFT_OUT | _named_by_connection(values)
+    dropped = _DROPPED_HEADERS | _named_by_connection(values)
     call = Call(
         request=RequestId(values.get(REQUEST_ID.lower(), "")),
         method=method,
--- a/waxwingglade/platform/process.py
+++ b/waxwingglade/platform/process.py
@@ -37,11 +37,11 @@
     decode_target=registry.decode_target,
 )
 
-AWAY_SHARE = 0.6
+DIVERT_SHARE = 0.6
 """Share of the time in which a key must be dead from which on an entry that hears nothing of the
 store sends callers elsewhere."""
 
-LOG_PATIENCE_S = 0.2
+LOG_FLUSH_TIMEOUT_S = 0.2
 """Seconds that a process waits at its end for a slow reader of its logs."""
 
 
@@ -54,15 +54,15 @@
 METRICS_PORT = 9464
 """Port of the metrics page, the same on every machine; deploy/system.toml names it too."""
 
-TAKE_SHARE = 0.55
+ACCEPT_SHARE = 0.55
 """Share of the grace for which a process that stops still takes requests: longer than the balancer
 needs to notice, three seconds, and leaving as much for the longest request."""
 
-END_SHARE = 0.93
+EXIT_SHARE = 0.93
 """Share of the grace after which it ends, before it is killed."""
 
 
-def end_loading() -> None:
+def enable_garbage_collection() -> None:
     """Collect garbage from now on, but none of what is loaded, which would cost each collection."""
     gc.freeze()
     gc.enable()
@@ -74,7 +74,7 @@
     if not bounds.strict_revoke:
         return KeyAgeLimits(max_deny_age_s=deny_s)
     revoke_s = bounds.revoke_ms / 1000
-    return KeyAgeLimits(revoke_s, min(deny_s, revoke_s), AWAY_SHARE * revoke_s)
+    return KeyAgeLimits(revoke_s, min(deny_s, revoke_s), DIVERT_SHARE * revoke_s)
 
 
 async def run_entry(settings: NodeSettings, stop: asyncio.Event) -> None:
@@ -82,7 +82,7 @@
     from waxwingglade.ingress.entry import Ingress  # noqa: PLC0415
     from waxwingglade.ingress.settings import IngressSettings  # noqa: PLC0415
 
-    end_loading()
+    enable_garbage_collection()
     grace_s = settings.bounds.grace_s
     ingress = Ingress(
         IngressSettings(
@@ -91,8 +91,8 @@
             callers=settings.listen["front"],
             ready=settings.listen["ready"],
             metrics=f"{settings.ip}:{METRICS_PORT}",
-            drain_wait_s=TAKE_SHARE * grace_s,
-            drain_timeout_s=END_SHARE * grace_s,
+            drain_wait_s=ACCEPT_SHARE * grace_s,
+            drain_timeout_s=EXIT_SHARE * grace_s,
             keys=key_rules(settings.bounds),
         ),
         PlatformStore(settings.provider.address),
@@ -110,7 +110,7 @@
     from waxwingglade.decisions.quota import QuotaRules  # noqa: PLC0415
     from waxwingglade.ledger.node import LedgerNode, LedgerSettings  # noqa: PLC0415
 
-    end_loading()
+    enable_garbage_collection()
     if settings.data_dir is None:
         raise SettingsError("a ledger process needs a data folder")
     bounds = settings.bounds
@@ -145,12 +145,14 @@
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     # Before the file is read: a change between the two would otherwise go unnoticed.
-    loop.add_signal_handler(signal.SIGHUP, lambda: run_detached(note_change(path, settings)))
+    loop.add_signal_handler(
+        signal.SIGHUP, lambda: run_detached(log_settings_change(path, settings))
+    )
     settings = load_node_settings(path)
     await RUNNERS[purpose](settings, stop)
 
 
-async def note_change(path: Path, settings: NodeSettings) -> None:
+async def log_settings_change(path: Path, settings: NodeSettings) -> None:
     """Log what a changed settings file means; the present settings stay in force till a restart.
 
     Addresses and folders can't change under a running process; a file that is wrong must not stop
@@ -199,7 +201,7 @@
         logger.error("settings: {}", error)
         raise SystemExit(EXIT_SETTINGS) from error
     finally:
-        logs.stop(LOG_PATIENCE_S)
+        logs.stop(LOG_FLUSH_TIMEOUT_S)
 
 
 __all__ = ["main"]
--- a/waxwingglade/platform/registry.py
+++ b/waxwingglade/platform/registry.py
@@ -41,8 +41,8 @@
 DEFAULT_TIMEOUT_MS = 30_000.0
 """Where a route states no time-out; well above any route seen."""
 
-LEAST_PATIENCE_S = 2.0
-PATIENCE_OBJECTIVES, PATIENCE_GAPS = 4.0, 8.0
+MIN_WAIT_LIMIT_S = 2.0
+WAIT_LIMIT_OBJECTIVES, WAIT_LIMIT_GAPS = 4.0, 8.0
 """Callers give a stream up after this many times its objective, or its longest pause that is still
 on time, whichever is longer, and not before the least."""
 
@@ -193,7 +193,7 @@
         shares=shares,
         timeout_s=wire.timeout_ms / 1000,
         target_latency_s=wire.target_latency_ms / 1000,
-        patience_s=_patience_s(wire),
+        patience_s=_wait_limit_s(wire),
         rank=wire.priority,
         max_attempts=max(1, wire.max_attempts),
         keeps_turns=wire.retain,
@@ -204,10 +204,10 @@
     )
 
 
-def _patience_s(wire: _Route) -> float:
+def _wait_limit_s(wire: _Route) -> float:
     """Return the seconds without an event after which callers give a stream up, by the pages."""
     objective_s, gap_s = wire.target_latency_ms / 1000, wire.target_gap_ms / 1000
-    return max(LEAST_PATIENCE_S, PATIENCE_OBJECTIVES * objective_s, PATIENCE_GAPS * gap_s)
+    return max(MIN_WAIT_LIMIT_S, WAIT_LIMIT_OBJECTIVES * objective_s, WAIT_LIMIT_GAPS * gap_s)
 
 
 def _service(wire: _Service) -> Service:
--- a/waxwingglade/platform/store.py
+++ b/waxwingglade/platform/store.py
@@ -12,7 +12,7 @@
 from waxwingglade.follow.model import Revision
 from waxwingglade.follow.store import (
     WATCH_MARGIN_S,
-    HistoryGone,
+    HistoryCompacted,
     Item,
     Listing,
     StoreUnavailable,
@@ -39,11 +39,11 @@
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
-_GONE = 410
+_COMPACTED = 410
 _CONFLICT = 412
 _NOT_FOUND = 404
 _OK = 200
-_DECIDED = (_OK, _GONE, _CONFLICT, _NOT_FOUND)
+_DECIDED = (_OK, _COMPACTED, _CONFLICT, _NOT_FOUND)
 _NOTHING_DONE = (429, 503)
 
 
@@ -134,14 +134,14 @@
         return Listing(tuple(items), revision or Revision(0))
 
     async def watch(self, prefix: str, after: Revision, wait_s: float) -> Listing:
-        """Return the events after a revision; `HistoryGone` if the store dropped them."""
+        """Return the events after a revision; `HistoryCompacted` if the store dropped them."""
         path = (
             f"/v1/kv-watch?path_prefix={quote(prefix, safe='')}"
             f"&after={after}&wait_ms={int(wait_s * 1000)}"
         )
         response = await self._call("watch", "GET", path, wait_s + WATCH_MARGIN_S)
-        if response.status == _GONE:
-            raise HistoryGone(f"{prefix} after {after}")
+        if response.status == _COMPACTED:
+            raise HistoryCompacted(f"{prefix} after {after}")
         events = _decoded(response, _Events)
         return Listing(tuple(_item(event) for event in events.events), Revision(events.current_rev))
 
--- a/waxwingglade/platform/tests/silent_store.py
+++ b/waxwingglade/platform/tests/silent_store.py
@@ -13,14 +13,14 @@
 CONFIGURATION_KEY = "op/config"
 
 
-class SilentStore:
+class UnresponsiveStore:
     """Items of the store, and the connections to it.
 
     Attributes
     ----------
-    silent : bool
+    unresponsive : bool
         Whether the store answers nothing; what is asked meanwhile is never answered.
-    opened_by : float
+    frozen_before : float
         Time up to which opened connections are silent for good, in seconds of the loop.
     """
 
@@ -29,8 +29,8 @@
         self.version = 1
         self.revision = 1
         self.changed = asyncio.Event()
-        self.silent = False
-        self.opened_by = float("-inf")
+        self.unresponsive = False
+        self.frozen_before = float("-inf")
         self.oldest = 0
 
     def configure(self, version: int) -> None:
@@ -40,19 +40,19 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def be_silent(self) -> None:
+    def stop_answering(self) -> None:
         """Begin not to answer, also not what was asked before."""
-        self.silent = True
-        self.opened_by = self.loop.time()
+        self.unresponsive = True
+        self.frozen_before = self.loop.time()
 
-    def return_(self) -> None:
+    def resume(self) -> None:
         """Answer what is asked from now on, on connections that are opened from now on."""
-        self.silent = False
-        self.opened_by = self.loop.time()
+        self.unresponsive = False
+        self.frozen_before = self.loop.time()
 
-    def silence_connections(self) -> None:
+    def freeze_connections(self) -> None:
         """Let all open connections fall silent for good."""
-        self.opened_by = self.loop.time()
+        self.frozen_before = self.loop.time()
 
     def item(self) -> dict[str, Any]:
         """Return the configuration's item as it goes over the wire."""
@@ -81,10 +81,10 @@
         return {"events": events, "current_rev": self.revision}
 
 
-class SilentConnection:
+class UnresponsiveConnection:
     """A connection to the store, as `Http1Connection` is used by its client."""
 
-    def __init__(self, store: SilentStore) -> None:
+    def __init__(self, store: UnresponsiveStore) -> None:
         self.store = store
         self.opened_at = store.loop.time()
         self.path = ""
@@ -98,15 +98,15 @@
 
     async def read_head(self, is_ours: Callable[[HttpResponse], bool]) -> HttpResponse:
         """Return the answer's head, if there is an answer."""
-        await self._speak()
+        await self._wait_while_unresponsive()
         answer = await self.store.answer(self.path)
-        await self._speak()
+        await self._wait_while_unresponsive()
         self.body = json.dumps(answer).encode()
         return HttpResponse(200, [])
 
-    async def _speak(self) -> None:
+    async def _wait_while_unresponsive(self) -> None:
         """Wait for ever if the connection is silent."""
-        if self.store.silent or self.opened_at <= self.store.opened_by:
+        if self.store.unresponsive or self.opened_at <= self.store.frozen_before:
             await asyncio.Event().wait()
 
     async def read_body(self, limit: int) -> bytes:
@@ -115,18 +115,18 @@
         return self.body
 
 
-class SilentPool:
+class UnresponsivePool:
     """Kept connections to the store, as the client's pool."""
 
-    def __init__(self, store: SilentStore) -> None:
+    def __init__(self, store: UnresponsiveStore) -> None:
         self.store = store
-        self.idle: list[SilentConnection] = []
+        self.idle: list[UnresponsiveConnection] = []
 
-    async def take(self, address: str) -> SilentConnection:
+    async def take(self, address: str) -> UnresponsiveConnection:
         """Return a kept connection or a new one."""
-        return self.idle.pop() if self.idle else SilentConnection(self.store)
+        return self.idle.pop() if self.idle else UnresponsiveConnection(self.store)
 
-    def give_back(self, address: str, connection: SilentConnection) -> None:
+    def give_back(self, address: str, connection: UnresponsiveConnection) -> None:
         """Keep a connection whose answer was read."""
         if connection.usable:
             self.idle.append(connection)
--- a/waxwingglade/platform/tests/test_store.py
+++ b/waxwingglade/platform/tests/test_store.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from waxwingglade.follow.store import HistoryGone, StoreUnavailable
+from waxwingglade.follow.store import HistoryCompacted, StoreUnavailable
 from waxwingglade.platform.store import PlatformStore
 from waxwingglade.standins.metadata_store import MetadataStore, StoreFault
 from waxwingglade.transport import HttpResponse
@@ -64,7 +64,7 @@
     async def test_a_watch_whose_history_is_gone(self) -> None:
         self.standin.put("servers/a", {})
         self.standin.compact()
-        with self.assertRaises(HistoryGone):
+        with self.assertRaises(HistoryCompacted):
             await self.store.watch("servers/", 0, 0.1)
 
     async def test_calls_are_counted_by_purpose(self) -> None:
--- a/waxwingglade/platform/tests/test_store_returns.py
+++ b/waxwingglade/platform/tests/test_store_returns.py
@@ -24,14 +24,14 @@
 from waxwingglade.follow.tests.builders import KEYS
 from waxwingglade.follow.watcher import Watcher
 from waxwingglade.platform.store import PlatformStore
-from waxwingglade.platform.tests.silent_store import SilentPool, SilentStore
+from waxwingglade.platform.tests.silent_store import UnresponsivePool, UnresponsiveStore
 from waxwingglade.process.tests.virtual_time import run_in_virtual_time
 
 IN_FORCE_S = 1.7
 """Seconds for a ledger process, of the two in which a version is in force; the rest is for the way
 from there to the entries, of which each has a question waiting."""
 
-SILENCE_S = 9.2
+UNRESPONSIVE_S = 9.2
 PHASES = 50
 PHASE_S = 0.05
 LONGEST_JITTER = 0.999
@@ -40,47 +40,47 @@
 class StoreReturns(unittest.TestCase):
     def test_a_version_is_in_force_soon_whatever_was_silent(self) -> None:
         with self.subTest("the store"):
-            run_in_virtual_time(self._check_silences(begin_in_silence=False))
+            run_in_virtual_time(self._check_outages(start_in_outage=False))
         with self.subTest("the store, and the process started meanwhile"):
-            run_in_virtual_time(self._check_silences(begin_in_silence=True))
+            run_in_virtual_time(self._check_outages(start_in_outage=True))
         with self.subTest("all open connections, while new ones work"):
             run_in_virtual_time(self._check_connections())
 
-    async def _check_silences(self, begin_in_silence: bool) -> None:
+    async def _check_outages(self, start_in_outage: bool) -> None:
         """Let the store be silent for a while, at many moments of a round of questions."""
         for phase in range(PHASES):
             store, watcher, _ = self._process()
-            if not begin_in_silence:
-                await self._know(watcher, store)
+            if not start_in_outage:
+                await self._follow_first_version(watcher, store)
                 await asyncio.sleep(phase * PHASE_S)
-            store.be_silent()
+            store.stop_answering()
             watcher.start()
-            await asyncio.sleep(SILENCE_S + phase * PHASE_S)
-            store.return_()
+            await asyncio.sleep(UNRESPONSIVE_S + phase * PHASE_S)
+            store.resume()
             await self._check_in_force(store, watcher, phase)
 
     async def _check_connections(self) -> None:
         for phase in range(PHASES):
             store, watcher, client = self._process()
-            await self._know(watcher, store)
+            await self._follow_first_version(watcher, store)
             await asyncio.gather(*(client.list("") for _ in range(3)))
             await asyncio.sleep(phase * PHASE_S)
-            store.silence_connections()
+            store.freeze_connections()
             await self._check_in_force(store, watcher, phase)
 
-    def _process(self) -> tuple[SilentStore, Watcher, PlatformStore]:
-        store = SilentStore()
+    def _process(self) -> tuple[UnresponsiveStore, Watcher, PlatformStore]:
+        store = UnresponsiveStore()
         client = PlatformStore("store:1")
-        client.pool = SilentPool(store)
+        client.pool = UnresponsivePool(store)
         return store, Watcher(client, KEYS, clock=store.loop.time), client
 
-    async def _know(self, watcher: Watcher, store: SilentStore) -> None:
+    async def _follow_first_version(self, watcher: Watcher, store: UnresponsiveStore) -> None:
         """Start to follow, and wait until the first version is known."""
         watcher.start()
         while watcher.view.version != store.version:
             await asyncio.sleep(PHASE_S)
 
-    async def _check_in_force(self, store: SilentStore, watcher: Watcher, phase: int) -> None:
+    async def _check_in_force(self, store: UnresponsiveStore, watcher: Watcher, phase: int) -> None:
         """Accept a version now; it is known in time, and no older view is vouched for longer."""
         accepted_at = store.loop.time()
         store.configure(9)
