--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -49,8 +49,8 @@
     cluster = Cluster()
     await cluster.start()
     for replica in cluster.replicas.values():
-        # What is cached of contents is bounded and not counted here.
-        replica._remember = lambda turn: None
+        # The cache of turns is bounded and not counted here.
+        replica._add_to_cache = lambda turn: None
     await serve(cluster, 0, TURNS)
     memory, processor = resident_bytes(), processor_s()
     await serve(cluster, TURNS, TURNS)
--- a/waxwingglade/ledger/catch_up.py
+++ b/waxwingglade/ledger/catch_up.py
@@ -1,4 +1,4 @@
-"""Read what other members hold, so that nothing acknowledged is missing in a replica."""
+"""Read the data of other members, so that a replica lacks nothing that was acknowledged."""
 
 import asyncio
 from collections import deque
@@ -21,47 +21,47 @@
 from waxwingglade.ledger.replica import Replica
 from waxwingglade.ledger.rounds import Ask
 
-SYNC_ANSWER_S = 2.0
-"""Seconds for an answer when catching up; one has up to a megabyte."""
+ANSWER_TIMEOUT_S = 2.0
+"""Timeout of a request while catching up, in seconds; an answer has up to a megabyte."""
 
-FETCH_NAMES = 100
-"""Turns or accounts asked for at once."""
+MAX_FETCH_NAMES = 100
+"""Most turns or accounts in one request."""
 
-STALLED_S = 1.0
+STALL_TIMEOUT_S = 1.0
 """Seconds without progress after which turns that are being read from another member are read from
-this one, too; some ten times what an answer and its flush take."""
+this one as well; about ten times the duration of an answer and its flush."""
 
-LOOK_S = 0.005
-"""Seconds between looks at what is read from other members."""
+CHECK_INTERVAL_S = 0.005
+"""Seconds between checks of the turns that are being read from other members."""
 
 
 async def catch_up(
     replica: Replica, replicas: ReplicaSet, ask: Ask, observe_replicas: Callable[[ReplicaSet], None]
 ) -> None:
-    """Read what enough members hold; from then on they refuse older sets of members.
+    """Read the data of enough members, which refuse older sets of members from then on.
 
     Parameters
     ----------
     replica : Replica
-        Where what is read goes.
+        Stores the data.
     replicas : ReplicaSet
-        The set of members; `replica` need not be one yet.
+        The set of members; `replica` need not be one of them yet.
     ask : callable
         Sends a request to a member.
     observe_replicas : callable
-        Called with a newer set that a member knows.
+        Called with the set of a member that knows a newer one.
 
     Raises
     ------
     WaxwinggladeError
         If too few members answer.
     """
-    # This replica counts as read, so it has to refuse older sets as durably as the others.
+    # This replica counts as read, so it must refuse older sets as durably as the others.
     await replica.adopt_members(replicas)
     read = {member.disk for member in replicas.members if member.disk == replica.disk}
-    reading = _Reading(replica, ask)
+    reader = _Reader(replica, ask)
     tasks = {
-        asyncio.ensure_future(reading.read_from(member, replicas, observe_replicas)): member.disk
+        asyncio.ensure_future(reader.read_from(member, replicas, observe_replicas)): member.disk
         for member in replicas.members
         if member.disk != replica.disk
     }
@@ -71,25 +71,25 @@
             ended, unread = await asyncio.wait(unread, return_when=asyncio.FIRST_COMPLETED)
             read |= {tasks[task] for task in ended if task.result()}
     finally:
-        # Members that are gone must not hold up the rest.
+        # Unreachable members must not delay the result.
         for task in tasks:
             task.cancel()
-    # What one member had of an account may still be on its way to the disk when the next one is
-    # read.
+    # An account that was read from one member may not be flushed yet when the next member is read,
+    # which then skips it.
     await replica.flush()
     if not replicas.intersects_earlier_majorities(read):
         raise WaxwinggladeError(f"only {len(read)} of {len(replicas.members)} members were read")
 
 
-class _Reading:
-    """Reads what several members hold into one replica, each turn from one of them.
+class _Reader:
+    """Reads the data of several members into one replica, each turn from only one of them.
 
-    Read from each, the content of a whole disk would go between zones once for each member.
+    Otherwise the content of a whole disk would be sent between zones once for each member.
 
     Parameters
     ----------
     replica : Replica
-        Where what is read goes.
+        Stores the data.
     ask : callable
         Sends a request to a member.
     """
@@ -97,28 +97,28 @@
     def __init__(self, replica: Replica, ask: Ask) -> None:
         self.replica = replica
         self.ask = ask
-        self.under_way: set[TurnId] = set()
+        self.in_progress: set[TurnId] = set()
 
     async def read_from(
         self, member: Member, replicas: ReplicaSet, observe_replicas: Callable[[ReplicaSet], None]
     ) -> bool:
-        """Return whether all that a member holds is here, whoever it was read from."""
+        """Return whether this replica now has all data of a member, from whichever source."""
         try:
-            held = await self.ask(member, ListHeld(replicas), SYNC_ANSWER_S)
+            held = await self.ask(member, ListHeld(replicas), ANSWER_TIMEOUT_S)
             if isinstance(held, OtherEpoch):
                 observe_replicas(held.replicas)
             if not isinstance(held, Held):
-                raise WaxwinggladeError(f"{member.vm} goes by another set of members")
-            turns = await self._take_turns(member, held.turns)
-            accounts = await self._take_accounts(member, held)
+                raise WaxwinggladeError(f"{member.vm} uses another set of members")
+            turns = await self._fetch_missing_turns(member, held.turns)
+            accounts = await self._fetch_newer_accounts(member, held)
         except WaxwinggladeError as error:
-            logger.bind(member=member.vm, reason=str(error)).debug("not read from")
+            logger.bind(member=member.vm, reason=str(error)).debug("member not read")
             return False
-        logger.bind(member=member.vm, turns=turns, accounts=accounts).info("read from")
+        logger.bind(member=member.vm, turns=turns, accounts=accounts).info("member read")
         return True
 
-    async def _take_turns(self, member: Member, names: tuple[TurnId, ...]) -> int:
-        """Read the turns that are not here; return how many came from this member."""
+    async def _fetch_missing_turns(self, member: Member, names: tuple[TurnId, ...]) -> int:
+        """Read the missing turns; return how many came from this member."""
         pending = deque(names)
         others: list[TurnId] = []
         taken = 0
@@ -130,7 +130,7 @@
                 taken += await self._fetch_turns(member, batch, pending)
             if not pending and others:
                 left = await self._wait_for_others(others)
-                stalled = all(name in self.under_way for name in left)
+                stalled = all(name in self.in_progress for name in left)
                 pending.extend(left)
                 others = []
         return taken
@@ -138,13 +138,13 @@
     def _next_batch(
         self, pending: deque[TurnId], others: list[TurnId], stalled: bool
     ) -> list[TurnId]:
-        """Return turns to ask for, and put aside those that are being read from other members."""
+        """Return turns to request; add those being read from other members to `others`."""
         batch: list[TurnId] = []
-        while pending and len(batch) < FETCH_NAMES:
+        while pending and len(batch) < MAX_FETCH_NAMES:
             name = pending.popleft()
             if name in self.replica.turns:
                 continue
-            if name in self.under_way and not stalled:
+            if name in self.in_progress and not stalled:
                 others.append(name)
                 continue
             batch.append(name)
@@ -153,15 +153,15 @@
     async def _fetch_turns(
         self, member: Member, batch: list[TurnId], pending: deque[TurnId]
     ) -> int:
-        """Ask for turns; what did not fit into the answer is pending again."""
-        claimed = set(batch) - self.under_way
-        self.under_way |= claimed
+        """Request turns; those that did not fit into the answer are pending again."""
+        claimed = set(batch) - self.in_progress
+        self.in_progress |= claimed
         try:
             turns = (await self._fetch(member, Fetch(turns=tuple(batch)))).turns
         finally:
-            self.under_way -= claimed
+            self.in_progress -= claimed
         if not turns:
-            # They have expired there in the meantime.
+            # They have expired at the member in the meantime.
             return 0
         got = {turn.turn for turn in turns}
         last = max(index for index, name in enumerate(batch) if name in got)
@@ -169,28 +169,28 @@
         return len(turns)
 
     async def _wait_for_others(self, names: list[TurnId]) -> list[TurnId]:
-        """Wait while turns are being read from other members, and return those not here then.
+        """Wait while turns are being read from other members; return those still missing.
 
-        A member that falls silent meanwhile must not hold up the others.
+        A member that becomes unresponsive meanwhile must not delay the others.
         """
-        end_at = monotonic() + STALLED_S
+        end_at = monotonic() + STALL_TIMEOUT_S
         while names and monotonic() < end_at:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             left = [name for name in names if name not in self.replica.turns]
-            if not all(name in self.under_way for name in left):
+            if not all(name in self.in_progress for name in left):
                 return left
             if len(left) < len(names):
-                end_at = monotonic() + STALLED_S
+                end_at = monotonic() + STALL_TIMEOUT_S
             names = left
         return names
 
-    async def _take_accounts(self, member: Member, held: Held) -> int:
-        """Read the accounts of which a member has accepted a newer state; return how many."""
-        await self.replica.take_promises(held.promised)
+    async def _fetch_newer_accounts(self, member: Member, held: Held) -> int:
+        """Read the accounts for which a member has accepted a newer state; return their number."""
+        await self.replica.adopt_promises(held.promised)
         names = deque(held.accounts)
         taken = 0
         while names:
-            some = [names.popleft() for _ in range(min(FETCH_NAMES, len(names)))]
+            some = [names.popleft() for _ in range(min(MAX_FETCH_NAMES, len(names)))]
             newer = tuple(name for name in some if self._is_newer(name, held.accounts[name]))
             if newer:
                 taken += len((await self._fetch(member, Fetch(programs=newer))).accounts)
@@ -201,11 +201,11 @@
         return slot is None or slot.accepted < accepted
 
     async def _fetch(self, member: Member, asked: Fetch) -> Fetched:
-        """Ask for turns or accounts and store them."""
-        answer = await self.ask(member, asked, SYNC_ANSWER_S)
+        """Request turns or accounts and store them."""
+        answer = await self.ask(member, asked, ANSWER_TIMEOUT_S)
         if not isinstance(answer, Fetched):
-            raise WaxwinggladeError(f"{member.vm} did not answer")
-        await self.replica.take_in(answer)
+            raise WaxwinggladeError(f"{member.vm} sent no turns or accounts")
+        await self.replica.store_fetched(answer)
         return answer
 
 
--- a/waxwingglade/ledger/coordinator.py
+++ b/waxwingglade/ledger/coordinator.py
@@ -1,4 +1,4 @@
-"""Coordinate the replicas: begin and end turns on behalf of entries."""
+"""Begins and ends turns on behalf of entries, by requests to the replicas."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,17 +34,18 @@
 from waxwingglade.ledger.turns import Turns
 from waxwingglade.ledger.unsettled import UnsettledEnds
 
-DECIDE_S = 0.9
-"""Seconds after which a change that found no majority is given up."""
+DECISION_TIMEOUT_S = 0.9
+"""Timeout in seconds of a change that finds no majority."""
 
-KEEP_S = 1.2
-"""Seconds for which copies of a turn are tried."""
+STORE_TIMEOUT_S = 1.2
+"""Timeout in seconds for storing a turn at a majority."""
 
-SETTLE_S = 0.1
-"""Seconds that the answer to a turn that is kept waits for its settlement, too."""
+RESOLVE_WAIT_S = 0.1
+"""Seconds for which the answer to the end of a stored turn waits until its reservation is
+resolved."""
 
-SLOW_S = 0.2
-"""Seconds from which on the end of a turn is logged with what held it up."""
+SLOW_END_S = 0.2
+"""Duration in seconds from which the end of a turn is logged as slow, with its steps."""
 
 
 class Coordinator:
@@ -53,19 +54,19 @@
     Parameters
     ----------
     own : Member
-        The replica in this process; asking it costs no message.
+        The replica in this process; a request to it needs no message.
     members : callable
-        The present set of members.
+        Returns the current set of members.
     ask : callable
-        Sends a request to a member and returns the answer; raises `WaxwinggladeError` if none.
+        Sends a request to a member and returns the answer; raises `WaxwinggladeError` without one.
     observe_replicas : callable
-        Called with a set of members that some replica knows.
+        Called with the set of members of a replica that refused a request under another one.
     wall_clock : Clock
         Calendar time in seconds.
     confirmations : Confirmations
-        Turns that this process has begun, those of its replica.
+        Turns that this process has begun; the object of its replica.
     unsettled : UnsettledEnds or None
-        Ends of turns that this process was told of, those of its replica; None for new ones.
+        Ends of turns reported to this process; the object of its replica, or None for a new one.
     """
 
     def __init__(
@@ -90,10 +91,10 @@
     # For entries
 
     async def begin(self, message: BeginTurn) -> TurnBegun | BudgetSpent | NoSuchTurn | Unavailable:
-        """Reserve a turn's tokens and look up the chain before it."""
+        """Reserve the tokens of a turn and find the chain that it continues."""
         chain: tuple[Turn, ...] = ()
         try:
-            async with asyncio.timeout(DECIDE_S):
+            async with asyncio.timeout(DECISION_TIMEOUT_S):
                 if message.previous is not None:
                     found = await self.turns.find(message.previous)
                     if found is None or not found[-1].belongs_to(message.client):
@@ -109,7 +110,7 @@
         return TurnBegun(chain, account.target, account.failed_at, disk_of(granter))
 
     async def _reserve(self, message: BeginTurn) -> Judgement | BudgetSpent | Unavailable:
-        """Reserve a turn's tokens, where it has a budget."""
+        """Reserve the tokens of a turn, if its program has a budget."""
         if message.program is None:
             return Judgement(Reservation.GRANTED, NEW_ACCOUNT, "")
         judgement = await self.reservations.reserve(message, message.program)
@@ -129,10 +130,10 @@
         return BudgetSpent(account.spent, committed(account) - account.spent)
 
     async def confirm(self, message: ConfirmTurn) -> TurnConfirmed | NoSuchTurn | Unavailable:
-        """Make a turn's reservation count until the turn ends, whatever becomes of its entry.
+        """Make the reservation of a turn count until the turn ends, even if its entry fails.
 
-        The process that began the turn writes that down; for another one, or after it has lapsed
-        there, the account has to show it.
+        The process that began the turn records the confirmation.  Another process, or the same one
+        after the reservation has expired there, must change the account.
         """
         if await self.confirmations.confirm(message.program, message.turn):
             return TurnConfirmed()
@@ -141,7 +142,7 @@
             return confirm(account, message.turn, self.wall_clock())
 
         try:
-            async with asyncio.timeout(DECIDE_S):
+            async with asyncio.timeout(DECISION_TIMEOUT_S):
                 confirmed = await self.accounts.change(message.program, change)
         except (NoMajority, TimeoutError) as error:
             self._log_failure("turn not confirmed", message, error)
@@ -149,36 +150,38 @@
         return TurnConfirmed() if confirmed else NoSuchTurn()
 
     async def end(self, message: EndTurn) -> TurnEnded:
-        """Keep a turn and settle its reservation, as far as majorities answer.
+        """Store a turn and resolve its reservation, as far as majorities answer.
 
-        A caller waits for its turn to be kept, and not for its program's account, which other
-        turns may hold up: the settlement then goes on after the answer.
+        A caller waits until its turn is stored, but only `RESOLVE_WAIT_S` for the account of its
+        program, which other turns may delay.  Resolving then continues after the answer.
         """
         began_at = monotonic()
-        settling = run_detached(self._settle(message))
-        kept = await self._keep(message)
-        kept_s = monotonic() - began_at
-        await asyncio.wait({settling}, timeout=SETTLE_S if message.kept is not None else None)
-        if message.kept is not None and not _is_settled(settling):
-            await self._have_noted(message)
-        settled = _is_settled(settling)
+        resolving = run_detached(self._resolve(message))
+        stored = await self._store(message)
+        stored_s = monotonic() - began_at
+        await asyncio.wait(
+            {resolving}, timeout=RESOLVE_WAIT_S if message.kept is not None else None
+        )
+        if message.kept is not None and not _is_resolved(resolving):
+            await self._record_at_majority(message)
+        resolved = _is_resolved(resolving)
         seconds = monotonic() - began_at
-        if message.kept is not None and (seconds >= SLOW_S or not settled):
+        if message.kept is not None and (seconds >= SLOW_END_S or not resolved):
             logger.bind(
                 turn=message.turn,
                 program=message.program,
-                kept=kept,
-                kept_s=round(kept_s, 3),
-                settled=settled,
+                kept=stored,
+                kept_s=round(stored_s, 3),
+                settled=resolved,
                 settled_s=round(seconds, 3),
             ).info("turn slow to end")
-        return TurnEnded(kept, settled)
+        return TurnEnded(stored, resolved)
 
-    async def _have_noted(self, message: EndTurn) -> None:
-        """Have a majority note the end of a turn that is told before it is settled.
+    async def _record_at_majority(self, message: EndTurn) -> None:
+        """Record at a majority the end of a turn that is answered before it is resolved.
 
-        The settlement would otherwise be lost with this process and the entry, and its tokens would
-        count as spent.
+        If this process and the entry fail, the end would otherwise be lost, and all reserved tokens
+        would count as spent.
         """
         members = list(self.rounds.members().members)
         note = NoteEnd(msgspec.structs.replace(message, kept=None))
@@ -186,30 +189,30 @@
             async with asyncio.timeout(HEDGE_S):
                 await self.rounds.majority(members, len(members), note, EndNoted)
         except (NoMajority, TimeoutError) as error:
-            self._log_failure("end of a turn not noted", message, error)
+            self._log_failure("end of a turn not recorded", message, error)
 
-    async def _keep(self, message: EndTurn) -> bool:
+    async def _store(self, message: EndTurn) -> bool:
         if message.kept is None:
             return True
         try:
-            async with asyncio.timeout(KEEP_S):
+            async with asyncio.timeout(STORE_TIMEOUT_S):
                 await self.turns.copy(message.kept)
         except (NoMajority, TimeoutError) as error:
             self._log_failure("turn not kept", message, error)
             return False
         return True
 
-    async def _settle(self, message: EndTurn) -> bool:
+    async def _resolve(self, message: EndTurn) -> bool:
         if message.program is None:
             return True
 
         def change(account: Account) -> tuple[Account, None]:
             return settle(account, message, self.wall_clock()), None
 
-        # Should this fail, whatever changes the account next settles the turn.
+        # If this fails, the next change of the account resolves the turn.
         self.unsettled.add(message)
         try:
-            async with asyncio.timeout(DECIDE_S):
+            async with asyncio.timeout(DECISION_TIMEOUT_S):
                 await self.accounts.change(message.program, change)
         except (NoMajority, TimeoutError) as error:
             self._log_failure("turn not settled", message, error)
@@ -224,23 +227,23 @@
         message: BeginTurn | ConfirmTurn | EndTurn,
         error: NoMajority | TimeoutError,
     ) -> None:
-        """Log a turn on which no majority agreed, and the members as they are known here."""
-        silent = error.unresponsive if isinstance(error, NoMajority) else ()
+        """Log a failure to reach a majority for a turn, with the set of members known here."""
+        unresponsive = error.unresponsive if isinstance(error, NoMajority) else ()
         replicas = self.rounds.members()
         logger.bind(
             turn=message.turn,
             program=message.program,
             reason=_reason(error),
-            silent=[member.vm for member in silent],
+            silent=[member.vm for member in unresponsive],
             epoch=replicas.epoch,
             settled=replicas.settled,
             joining=[member.vm for member in replicas.members if member.disk == replicas.joining],
         ).warning(event)
 
 
-def _is_settled(settling: asyncio.Task[bool]) -> bool:
-    """Return whether a settlement has come about by now."""
-    return settling.done() and settling.result()
+def _is_resolved(resolving: asyncio.Task[bool]) -> bool:
+    """Return whether the reservation is resolved by now."""
+    return resolving.done() and resolving.result()
 
 
 def _reason(error: NoMajority | TimeoutError) -> str:
--- a/waxwingglade/ledger/journal.py
+++ b/waxwingglade/ledger/journal.py
@@ -1,7 +1,8 @@
-"""The ledger's disk: segments of checked frames, flushed in groups by a thread of their own.
+"""The ledger's journal on disk: segments of frames with checksums, flushed in groups by a thread.
 
-A record counts only after its flush.  What a loss of power left after the last flush may be whole,
-torn or missing; reading stops at the first frame that is not whole, and cuts the rest off.
+A record is durable only after its flush.  After a loss of power, records written since the last
+flush may be complete, truncated or missing.  Reading stops at the first invalid frame and discards
+the rest of the segment.
 """
 
 import asyncio
@@ -22,13 +23,14 @@
 
 FORMAT = b"waxwingglade-ledger-1\n"
 SEGMENT_BYTES = 16 * 1024 * 1024
-"""Size at which a segment is followed by the next; a segment is removed as a whole."""
+"""Size at which the next segment is started; segments are only removed as a whole."""
 
-RETRY_S = 0.2
-"""Seconds before a write that the disk refused is tried again."""
+RETRY_DELAY_S = 0.2
+"""Seconds before a failed write is retried."""
 
 SLOW_FLUSH_S = 0.2
-"""Seconds from which on a flush is logged: by then a round of messages has gone on without it."""
+"""Duration in seconds from which a flush is logged; longer ones delay rounds of messages, which
+continue without this replica."""
 
 _FRAME = struct.Struct("<II")
 _IDENTITY = "identity"
@@ -36,7 +38,7 @@
 
 
 class Place(NamedTuple):
-    """Where a record's content lies on the disk: segment, offset and length in bytes."""
+    """Location of a record's content on the disk: segment, offset and length in bytes."""
 
     segment: int
     offset: int
@@ -44,21 +46,21 @@
 
 
 class Journal:
-    """The segments of one data folder.
+    """The journal in one data folder.
 
     Parameters
     ----------
     folder : Path
-        The data folder; it exists.
+        Existing data folder.
 
     Attributes
     ----------
     disk : str
-        Random name of the folder's content.
+        Random name of the content of the folder.
     flushed_bytes : int
         Bytes written since the start.
     longest_flush_s : float
-        Seconds that the slowest flush since the start took.
+        Duration of the slowest flush since the start, in seconds.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -81,36 +83,38 @@
     # Reading
 
     def replay(self) -> Iterator[tuple[Place, bytes]]:
-        """Yield every whole record, the oldest first, and open the last segment for writing."""
+        """Yield all valid records, oldest first; then open the last segment for writing."""
         numbers = sorted(int(path.stem) for path in self.folder.glob("*" + _SUFFIX))
         for number in numbers:
-            good = 0
+            end = 0
             for offset, content in self._read_segment(number):
-                good = offset + len(content)
+                end = offset + len(content)
                 yield Place(number, offset, len(content)), content
-            self.segments[number] = good
+            self.segments[number] = end
         self._open_segment(numbers[-1] if numbers else 1)
 
     def _read_segment(self, number: int) -> Iterator[tuple[int, bytes]]:
         data = self._path(number).read_bytes()
         if not data.startswith(FORMAT):
             if data:
-                logger.bind(segment=number).warning("segment without its head ignored")
+                logger.bind(segment=number).warning("segment without format header ignored")
             return
         offset = len(FORMAT)
         while offset + _FRAME.size <= len(data):
-            length, check = _FRAME.unpack_from(data, offset)
+            length, checksum = _FRAME.unpack_from(data, offset)
             start = offset + _FRAME.size
             content = data[start : start + length]
-            if len(content) != length or _check(number, start, content) != check:
+            if len(content) != length or _checksum(number, start, content) != checksum:
                 break
             yield start, content
             offset = start + length
         if offset < len(data):
-            logger.bind(segment=number, bytes=len(data) - offset).warning("unfinished write cut")
+            logger.bind(segment=number, bytes=len(data) - offset).warning(
+                "incomplete write discarded"
+            )
 
     def read(self, place: Place) -> bytes:
-        """Return the content of a record; blocks on the disk."""
+        """Return the content of a record; blocks while the disk is read."""
         file = os.open(self._path(place.segment), os.O_RDONLY)
         try:
             return os.pread(file, place.length, place.offset)
@@ -120,16 +124,17 @@
     # Writing
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start to write appended records."""
         self.writer = start_task(self._write_groups())
 
     def append(self, content: bytes, within_s: float = 0.0) -> "asyncio.Future[Place]":
-        """Write a record with the next group; the future is done once it is durable.
+        """Append a record to the next group; the future is done once the record is durable.
 
         Parameters
         ----------
         within_s : float
-            Seconds for which the record may wait for others: each group holds up the next one.
+            Seconds for which the record may wait for further records, since each group delays the
+            next one.
         """
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Place] = loop.create_future()
@@ -141,7 +146,7 @@
         return future
 
     async def stop(self) -> None:
-        """Write what is pending, as far as the disk allows, and close."""
+        """Write pending records, unless the disk fails, and close."""
         self.closed.set()
         if self.writer is not None:
             self.writer.cancel()
@@ -163,7 +168,7 @@
                     future.set_result(place)
 
     def _write_until_done(self, contents: list[bytes]) -> list[Place]:
-        """Write and flush a group; on an error cut the file back and try again."""
+        """Write and flush a group; after an error truncate the file and retry."""
         while True:
             try:
                 places = self._write(contents)
@@ -171,7 +176,7 @@
                 if not self.failing:
                     logger.bind(reason=str(error)).error("disk lost")
                 self.failing = True
-                if self.closed.wait(RETRY_S):
+                if self.closed.wait(RETRY_DELAY_S):
                     raise
                 continue
             if self.failing:
@@ -187,7 +192,7 @@
         offset = self.size
         for content in contents:
             start = offset + _FRAME.size
-            parts.append(_FRAME.pack(len(content), _check(self.active, start, content)))
+            parts.append(_FRAME.pack(len(content), _checksum(self.active, start, content)))
             parts.append(content)
             places.append(Place(self.active, start, len(content)))
             offset = start + len(content)
@@ -204,7 +209,7 @@
         return places
 
     def _flush(self, size: int) -> None:
-        """Make what was written durable, and note how long the disk took."""
+        """Make written bytes durable, and record the duration."""
         began_at = monotonic()
         os.fdatasync(self.file)
         seconds = monotonic() - began_at
@@ -213,7 +218,7 @@
             logger.bind(seconds=round(seconds, 3), bytes=size).warning("slow flush")
 
     def _open_segment(self, number: int) -> None:
-        """Open a segment for writing, with its head and its name durable."""
+        """Open a segment for writing; its header and its directory entry are durable."""
         if self.file >= 0:
             os.close(self.file)
             self.file = -1
@@ -236,9 +241,9 @@
         self.segments[number] = size
 
     async def drop(self, number: int) -> None:
-        """Remove the segments below a number."""
+        """Remove the segments with lower numbers."""
         loop = asyncio.get_running_loop()
-        # By the writing thread, which alone changes the list of segments.
+        # The writing thread does this, as only it changes the list of segments.
         await loop.run_in_executor(self.thread, self._drop_before, number)
 
     def _drop_before(self, number: int) -> None:
@@ -252,13 +257,13 @@
         return self.folder / f"{number:08d}{_SUFFIX}"
 
 
-def _check(segment: int, offset: int, content: bytes) -> int:
-    """Return a checksum that also covers where the content belongs."""
+def _checksum(segment: int, offset: int, content: bytes) -> int:
+    """Return a checksum of the content and its location."""
     return xxhash.xxh32_intdigest(content, seed=(segment * 1_000_003 + offset) & 0xFFFFFFFF)
 
 
 def _identity(folder: Path) -> str:
-    """Return the name of the folder's content, made up for an empty folder."""
+    """Return the name of the folder's content; create one for an empty folder."""
     path = folder / _IDENTITY
     try:
         name = path.read_text().strip()
@@ -267,7 +272,7 @@
     if name:
         return name
     for left in folder.glob("*" + _SUFFIX):
-        # Without its identity the folder cannot vouch for what it holds.
+        # Without its identity the content of the folder is not trustworthy.
         left.unlink()
     name = secrets.token_hex(8)
     temporary = folder / (_IDENTITY + ".new")
--- a/waxwingglade/ledger/membership.py
+++ b/waxwingglade/ledger/membership.py
@@ -1,12 +1,12 @@
-"""Who the members of the ledger are, agreed on through the platform's store.
+"""The set of members of the ledger, agreed on through the platform's store.
 
-The store holds one key with the set of members.  A set changes by one member at a time, by
-compare-and-swap, and only once it is settled: a majority of its members has read what the others
-hold, since when all refuse requests under older sets.  So every majority of a set meets everything
-that earlier sets acknowledged.
+The store holds the set of members under one key.  A set changes by one member at a time, by
+compare-and-swap, and only once it is settled.  A set is settled when a majority of its members has
+read the data of the others, which refuse requests under older sets from then on.  So every majority
+of a set includes a member that holds whatever earlier sets acknowledged.
 
-A disk that was wiped has another name and is another member.  It joins with what it has read from
-the others; then the one before it is removed.
+A wiped disk gets a new name and counts as a new member.  It reads the data of the others and joins;
+then the member with its old name is removed.
 """
 
 import asyncio
@@ -32,53 +32,55 @@
 from waxwingglade.ledger.replica import Replica
 from waxwingglade.ledger.rounds import Ask
 
-LOOK_S = 0.25
-"""Seconds between looks whether the set has to change."""
+CHECK_INTERVAL_S = 0.25
+"""Mean seconds between checks whether the set must change."""
 
-ELSEWHERE_S = 8.0
-"""Seconds of silence after which a member is replaced from another zone, too: longer than the cuts
-of a zone, which end by themselves."""
+REPLACE_FROM_OTHER_ZONE_S = 8.0
+"""Seconds after which an unresponsive member may also be replaced from another zone.  Longer than
+partitions of a zone last, which end by themselves."""
 
-BALANCE_S = 1.0
-"""Seconds after its start in which a replica leaves a place to one in a zone with fewer."""
+BALANCE_WAIT_S = 1.0
+"""Seconds after its start for which a replica does not join if its zone has its share of members,
+so that replicas in other zones come first."""
 
-SUCCEED_S = 1.5
-"""Seconds of silence after which a replica joins beside a member of its zone; which of the two
-stays is decided later, when both or only one is heard.  Members whose links fell silent are heard
-again sooner, and are sound meanwhile.  A replacement must count within
-four seconds, and further steps of the set take 1.5 s after this one."""
+JOIN_BESIDE_S = 1.5
+"""Seconds after which a replica joins beside an unresponsive member of its zone.  Which of the two
+stays is decided later, when both or only one of them answers.  Members whose links failed answer
+again sooner, and work in the meantime.  A replacement must be complete within four seconds, and the
+later changes of the set take 1.5 s."""
 
-STANDBY_S = 2.0
-"""Seconds for a replica on standby to join before a VM that is to be emptied leaves without."""
+STANDBY_JOIN_WAIT_S = 2.0
+"""Seconds for which a retiring VM waits for a standby replica to join before it is removed."""
 
-PING_S = 0.15
-STANDBY_PING_S = 0.5
-"""The same for a replica on standby, which tells nobody of a majority: three signs of life that are
-missed before it joins for a member."""
+PING_INTERVAL_S = 0.15
+STANDBY_PING_INTERVAL_S = 0.5
+"""`PING_INTERVAL_S` of a standby replica, which reports no majority to anyone.  A member misses
+three pings before such a replica joins for it."""
 
-PING_ANSWER_S = 0.25
+PING_TIMEOUT_S = 0.25
 QUORUM_S = 0.35
-"""Seconds of silence after which a member no longer counts as reached, for telling entries: two
-signs of life that were missed.  Callers in a zone that is cut off wait until all entries there have
-said twice, a second apart, that they are not ready, so each tenth counts."""
+"""Seconds after which an unresponsive member no longer counts towards the majority that is reported
+to entries: two missed pings.  Callers in a partitioned zone wait until all entries there have
+reported twice, a second apart, that they are not ready, so each tenth of a second counts."""
 
-SILENT_S = 2.0
-"""Seconds of silence after which a member that the set can spare is removed; longer than a restart
-of a process, and short of the five seconds within which a replacement must count."""
+REMOVE_AFTER_S = 2.0
+"""Seconds after which an unresponsive member is removed from a set that has more members than
+wanted.  Longer than a restart of a process, and shorter than the five seconds within which a
+replacement must be complete."""
 
-STORE_S = 2.0
-"""Seconds without an answer of the store after which a member leaves changes to the next one; its
-watch is answered every second."""
+STORE_UNREACHABLE_S = 2.0
+"""Seconds without an answer of the store after which a member leaves changes of the set to the next
+member; the store answers a watch every second."""
 
-STOOD_STILL_S = 0.1
-"""Seconds by which this process runs late that count as a standstill; after a shorter one answers
-are still read in time."""
+STALL_S = 0.1
+"""Shortest delay of the event loop in seconds that counts as a stall of this process; after shorter
+delays answers are still read in time."""
 
 RETIRING, RETIRED = "running", "completed"
 
 
 class Membership:
-    """Brings the set of members to what the machines are.
+    """Changes the set of members as machines join, fail and retire.
 
     Parameters
     ----------
@@ -87,20 +89,20 @@
     replica : Replica
         Its state.
     watcher : Watcher
-        What the store says.
+        Provides the sets of members and the retiring VMs in the store.
     store : Store
-        For changes.
+        Where changes are written.
     ask : callable
         Sends a request to a member.
     wanted : int
-        Members that are enough for the faults to be borne: a silent one is removed only while
-        more are left.
+        Members that are enough to tolerate the expected faults.  An unresponsive member is removed
+        only while the set has more.
     zones : int
         Availability zones over which the members are spread.
     replicas_key, status_prefix : str
-        Keys of the members, and of the state of orders to empty a VM.
+        Key of the set of members, and prefix of the keys for the states of retiring VMs.
     candidacy : Candidacy
-        Whether this replica is the one of its zone that may join.
+        Decides whether this replica is the one of its zone that may join.
     clock : Clock
         Monotonic seconds.
     """
@@ -130,116 +132,121 @@
         self.status_prefix = status_prefix
         self.candidacy = candidacy
         self.clock = clock
-        self.heard_at: dict[str, float] = {}
-        self.known_members: frozenset[str] = frozenset()
+        self.last_seen_at: dict[str, float] = {}
+        self.previous_disks: frozenset[str] = frozenset()
         self.synced: dict[str, int] = {}
-        self.turned_away: set[str] = set()
+        self.without_store: set[str] = set()
         self.synced_epoch = 0
         self.reported: dict[str, str] = {}
-        self.retire_seen: dict[str, float] = {}
+        self.retire_seen_at: dict[str, float] = {}
         self.last_reason = ""
         self.started_at = clock()
         self.observe_replicas: Callable[[ReplicaSet], None] = lambda _: None
 
     @property
     def replicas(self) -> ReplicaSet:
-        """The set of members that this replica goes by."""
+        """The newest set of members that this replica knows."""
         return self.replica.replicas
 
     def answer_ping(self, message: Ping) -> Pong:
-        """Answer another replica."""
-        self.heard_at[message.disk] = self.clock()
+        """Answer a ping of another replica."""
+        self.last_seen_at[message.disk] = self.clock()
         newer = self.replicas if self.replicas.epoch > message.epoch else None
         return Pong(self.own.disk, self.synced_epoch, newer, self.reaches_store)
 
     @property
     def stands_by(self) -> bool:
-        """Whether there are members and this replica is none of them, so that nobody follows it."""
+        """Whether a set exists without this replica, so that no entry follows this process."""
         members = self.replicas.members
         return bool(members) and all(member.disk != self.own.disk for member in members)
 
     @property
     def reaches_store(self) -> bool:
-        """Whether the store has answered this process lately."""
-        return self.clock() - self.watcher.store_confirmed_at < STORE_S
+        """Whether the store has answered this process recently."""
+        return self.clock() - self.watcher.store_confirmed_at < STORE_UNREACHABLE_S
 
-    # Signs of life
+    # Pings
 
     async def ping_forever(self) -> None:
-        """Ask the other members for a sign of life, again and again."""
+        """Ping the other members periodically."""
         while True:
-            # None waits for another, or one silent member would keep all others from being asked in
-            # time.
+            # The pings run concurrently, as one unresponsive member would delay the others.
             for member in self.replicas.members:
                 if member.disk != self.own.disk:
                     run_detached(self._ping(member))
-            await asyncio.sleep(STANDBY_PING_S if self.stands_by else PING_S)
+            await asyncio.sleep(STANDBY_PING_INTERVAL_S if self.stands_by else PING_INTERVAL_S)
 
     async def _ping(self, member: Member) -> None:
         try:
-            answer = await self.ask(member, Ping(self.replicas.epoch, self.own.disk), PING_ANSWER_S)
+            answer = await self.ask(
+                member, Ping(self.replicas.epoch, self.own.disk), PING_TIMEOUT_S
+            )
         except WaxwinggladeError:
             return
         if not isinstance(answer, Pong):
             return
         if answer.disk == member.disk:
-            self.heard_at[member.disk] = self.clock()
+            self.last_seen_at[member.disk] = self.clock()
             self.synced[member.disk] = answer.synced_epoch
-            change = self.turned_away.discard if answer.reaches_store else self.turned_away.add
+            change = self.without_store.discard if answer.reaches_store else self.without_store.add
             change(member.disk)
         if answer.replicas is not None:
             self.observe_replicas(answer.replicas)
 
     @property
     def quorum(self) -> bool:
-        """Whether a majority of the members was heard lately."""
+        """Whether a majority of the members has answered recently."""
         members = self.replicas.members
-        heard = [member for member in members if self.silent_s(member) < QUORUM_S]
-        return bool(members) and len(heard) >= self.replicas.majority
+        seen = [member for member in members if self.unresponsive_s(member) < QUORUM_S]
+        return bool(members) and len(seen) >= self.replicas.majority
 
-    def silent_s(self, member: Member) -> float:
-        """Return the seconds for which a member has given no sign of life."""
+    def unresponsive_s(self, member: Member) -> float:
+        """Return the seconds since a member was last seen."""
         if member.disk == self.own.disk:
             return 0.0
-        self._note_joined()
-        return self.clock() - max(self.heard_at.get(member.disk, 0.0), self.started_at)
+        self._record_joined()
+        return self.clock() - max(self.last_seen_at.get(member.disk, 0.0), self.started_at)
 
-    def _note_joined(self) -> None:
-        """Count it as a sign of life that a member has joined; nobody has asked it for one yet."""
+    def _record_joined(self) -> None:
+        """Count a member as seen when it joins, since it was not pinged before."""
         disks = frozenset(member.disk for member in self.replicas.members)
-        for disk in disks - self.known_members:
-            self.heard_at[disk] = self.clock()
-        self.known_members = disks
+        for disk in disks - self.previous_disks:
+            self.last_seen_at[disk] = self.clock()
+        self.previous_disks = disks
 
-    def leave_out(self, late_s: float) -> None:
-        """Leave a standstill of this process out of the silence of others, who were not heard."""
-        if late_s < STOOD_STILL_S:
+    def discount_stall(self, late_s: float) -> None:
+        """Subtract a stall of this process from the time since members were last seen."""
+        if late_s < STALL_S:
             return
         now = self.clock()
-        self.heard_at = {disk: min(now, at + late_s) for disk, at in self.heard_at.items()}
+        self.last_seen_at = {disk: min(now, at + late_s) for disk, at in self.last_seen_at.items()}
 
-    def _alive(self) -> list[Member]:
-        return [member for member in self.replicas.members if self.silent_s(member) < SILENT_S / 2]
+    def _responsive(self) -> list[Member]:
+        return [
+            member
+            for member in self.replicas.members
+            if self.unresponsive_s(member) < REMOVE_AFTER_S / 2
+        ]
 
     # Changes
 
     async def run(self) -> None:
-        """Look again and again whether the set has to change."""
+        """Check periodically whether the set must change."""
         while True:
             try:
-                await self._look()
+                await self._check()
                 self.last_reason = ""
             except WaxwinggladeError as error:
-                self._note_failure(str(error))
-            await asyncio.sleep(LOOK_S * (0.5 + random.random()))
+                self._log_failure(str(error))
+            await asyncio.sleep(CHECK_INTERVAL_S * (0.5 + random.random()))
 
-    def _note_failure(self, reason: str) -> None:
-        """Log why the set was not changed, once for each reason."""
+    def _log_failure(self, reason: str) -> None:
+        """Log why the set was not changed; repeated reasons are logged once."""
         if reason != self.last_reason:
             logger.bind(reason=reason).info("members not changed")
         self.last_reason = reason
 
-    async def _look(self) -> None:
+    async def _check(self) -> None:
         replicas = self.replicas
         if not replicas.epoch:
             if self.watcher.replicas_known.is_set() and not self.watcher.view.replicas.epoch:
@@ -258,53 +265,59 @@
             return
         if not self._is_needed(replicas):
             return
-        if not replicas.intersects_earlier_majorities({member.disk for member in self._alive()}):
-            raise WaxwinggladeError("too few members are heard to read from")
+        if not replicas.intersects_earlier_majorities(
+            {member.disk for member in self._responsive()}
+        ):
+            raise WaxwinggladeError("too few members are responsive to read from")
         if not await self.candidacy.claim(replicas):
             return
-        await self._read_all(replicas)
+        await self._read_from_members(replicas)
         members = (*replicas.members, self.own)
         joined = ReplicaSet(replicas.epoch + 1, members, False, self.own.disk)
         await self._change(joined, "joining")
 
-    async def _read_all(self, replicas: ReplicaSet) -> None:
-        """Read what the members hold, while others leave that to this replica."""
+    async def _read_from_members(self, replicas: ReplicaSet) -> None:
+        """Read the data of the members while a claim keeps other replicas from doing so."""
         renewing = start_task(self.candidacy.renew_forever())
         try:
             await catch_up(self.replica, replicas, self.ask, self.observe_replicas)
         except WaxwinggladeError:
-            self.candidacy.note_failure()
+            self.candidacy.record_failure()
             raise
         finally:
             renewing.cancel()
-        self.candidacy.note_read()
+        self.candidacy.record_success()
 
     def _is_needed(self, replicas: ReplicaSet) -> bool:
-        """Return whether the set is better with this replica.
+        """Return whether this replica should join the set.
 
-        A set of more members than wanted needs larger majorities, and two members in one zone may
-        leave both sides of a cut without one.
+        A set of more members than wanted needs larger majorities, and with two members in one zone
+        both sides of a partition may lack a majority.
         """
         members = replicas.members
         if any(member.vm == self.own.vm for member in members):
             return True
-        at_home = [member for member in members if member.zone == self.own.zone]
+        in_zone = [member for member in members if member.zone == self.own.zone]
         if len(members) < self.wanted:
-            patient = self.clock() - self.started_at > BALANCE_S
-            return patient or len(at_home) < self._fair_share()
-        # Members beyond those wanted have joined last, for others that are about to go.
+            has_waited = self.clock() - self.started_at > BALANCE_WAIT_S
+            return has_waited or len(in_zone) < self._fair_share()
+        # The members beyond the wanted number joined last, to succeed members that will be removed.
         successors = members[self.wanted :]
         retiring = [member for member in members if member.vm in self.watcher.retiring]
-        silent = [member for member in members if self.silent_s(member) > ELSEWHERE_S]
-        if max(len(retiring), len(silent)) > len(successors):
+        unresponsive = [
+            member for member in members if self.unresponsive_s(member) > REPLACE_FROM_OTHER_ZONE_S
+        ]
+        if max(len(retiring), len(unresponsive)) > len(successors):
             return True
-        silent_at_home = [member for member in at_home if self.silent_s(member) > SUCCEED_S]
-        if len(silent_at_home) > len([each for each in successors if each in at_home]):
+        unresponsive_in_zone = [
+            member for member in in_zone if self.unresponsive_s(member) > JOIN_BESIDE_S
+        ]
+        if len(unresponsive_in_zone) > len([each for each in successors if each in in_zone]):
             return True
-        return not at_home and _surplus(members) is not None
+        return not in_zone and _surplus(members) is not None
 
     def _fair_share(self) -> int:
-        """Return how many members a zone has where they are spread evenly."""
+        """Return how many members a zone has if they are spread evenly."""
         return -(-self.wanted // max(1, self.zones))
 
     async def _settle(self, replicas: ReplicaSet) -> None:
@@ -321,9 +334,9 @@
             await self._change(settled, "settled")
 
     async def _prune(self, replicas: ReplicaSet) -> None:
-        """Remove a member that is gone for good, is to be emptied, or can be spared."""
-        alive = self._alive()
-        if len(alive) < replicas.majority:
+        """Remove a member whose disk was wiped, whose VM retires, or that the set can spare."""
+        responsive = self._responsive()
+        if len(responsive) < replicas.majority:
             return
         for member in replicas.members:
             reason = self._why_remove(member, replicas)
@@ -332,7 +345,7 @@
             rest = tuple(other for other in replicas.members if other is not member)
             if (
                 not rest
-                or len([other for other in alive if other is not member]) < len(rest) // 2 + 1
+                or len([other for other in responsive if other is not member]) < len(rest) // 2 + 1
             ):
                 continue
             await self._change(ReplicaSet(replicas.epoch + 1, rest, False), reason)
@@ -343,34 +356,34 @@
             return "its disk was wiped"
         if not self._leads(without=member):
             return None
-        if member.vm in self.watcher.retiring and self._may_empty(member, replicas):
+        if member.vm in self.watcher.retiring and self._may_remove_retiring(member, replicas):
             return "to be emptied"
         if len(replicas.members) <= self.wanted:
             return None
-        return self._why_spare(member, replicas)
+        return self._why_dispensable(member, replicas)
 
-    def _why_spare(self, member: Member, replicas: ReplicaSet) -> str | None:
-        """Return why a set with more members than wanted can do without one of them."""
-        if self.silent_s(member) > SILENT_S:
-            return "silent"
-        if any(self.silent_s(other) >= SILENT_S / 2 for other in replicas.members):
+    def _why_dispensable(self, member: Member, replicas: ReplicaSet) -> str | None:
+        """Return why a member of a set with more than wanted can be removed, None if it can't."""
+        if self.unresponsive_s(member) > REMOVE_AFTER_S:
+            return "unresponsive"
+        if any(self.unresponsive_s(other) >= REMOVE_AFTER_S / 2 for other in replicas.members):
             return None
         return "to spread the members" if member is _surplus(replicas.members) else None
 
-    def _may_empty(self, member: Member, replicas: ReplicaSet) -> bool:
-        """Return whether a member may go now: another has joined for it, or none has come."""
-        asked_at = self.retire_seen.setdefault(member.vm, self.clock())
-        return len(replicas.members) > self.wanted or self.clock() - asked_at > STANDBY_S
+    def _may_remove_retiring(self, member: Member, replicas: ReplicaSet) -> bool:
+        """Return whether a member may be removed: a successor has joined, or none did in time."""
+        asked_at = self.retire_seen_at.setdefault(member.vm, self.clock())
+        return len(replicas.members) > self.wanted or self.clock() - asked_at > STANDBY_JOIN_WAIT_S
 
     def _leads(self, without: Member | None = None) -> bool:
-        """Return whether this is the first live member, so that not all of them call the store.
+        """Return whether this is the first responsive member, which alone writes to the store.
 
-        One that the store turns away is passed over, or nothing would be settled while it is.
+        A member that does not reach the store is skipped, as no set would be settled otherwise.
         """
         for member in self.replicas.members:
-            if member is without or self.silent_s(member) > SILENT_S / 2:
+            if member is without or self.unresponsive_s(member) > REMOVE_AFTER_S / 2:
                 continue
-            if member.disk in self.turned_away and member.disk != self.own.disk:
+            if member.disk in self.without_store and member.disk != self.own.disk:
                 continue
             return member.disk == self.own.disk
         return False
@@ -393,22 +406,22 @@
             if await self.store.compare_and_swap(key, revision, value) is not None:
                 return
         self.reported[vm] = state
-        logger.bind(vm=vm, state=state).info("emptying a VM")
+        logger.bind(vm=vm, state=state).info("state of a retiring VM")
 
     async def _change(self, replicas: ReplicaSet, reason: str) -> None:
-        """Write a set that follows the one known here."""
+        """Write a set that follows the one known here, unless another change came first."""
         revision = self.watcher.replicas_revision
         if self.watcher.view.replicas.epoch != self.replicas.epoch:
-            # Peers told of a newer set than the store's watch did; its revision is needed.
+            # Another replica reported a newer set than the watch of the store; read its revision.
             await self._read_again()
             return
         if self.watcher.view.replicas.settled != self.replicas.settled:
             await self._read_again()
             return
         if not replicas.follows(self.watcher.view.replicas):
-            # Another change came while this one was prepared.  Written over it, at its revision,
-            # one epoch would have two sets, whose majorities need not meet.
-            logger.bind(epoch=replicas.epoch, reason=reason).info("change of members given up")
+            # Another change came while this one was prepared.  Overwriting it at its revision would
+            # give one epoch two sets, whose majorities need not intersect.
+            logger.bind(epoch=replicas.epoch, reason=reason).info("change of members abandoned")
             return
         held = await self.store.compare_and_swap(
             self.replicas_key, revision, msgspec.json.encode(replicas)
@@ -431,7 +444,7 @@
 
 
 def _surplus(members: tuple[Member, ...]) -> Member | None:
-    """Return the last member of a zone that has more than another, if there is one."""
+    """Return the last member of the zone with the most members, if that has two or more."""
     counts = Counter(member.zone for member in members)
     zone, most = counts.most_common(1)[0]
     if most < 2:
--- a/waxwingglade/ledger/metrics.py
+++ b/waxwingglade/ledger/metrics.py
@@ -1,4 +1,4 @@
-"""What a ledger process counts and times, for Prometheus."""
+"""Prometheus metrics of a ledger process."""
 
 from typing import TYPE_CHECKING
 
@@ -13,7 +13,7 @@
 
 PREFIX = "waxwingglade_ledger_"
 SECONDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, float("inf"))
-"""Upper bounds in seconds; a round between zones takes 3 to 8 ms."""
+"""Upper bounds of the histogram in seconds; a round between zones takes 3 to 8 ms."""
 
 
 class LedgerMetrics:
@@ -34,7 +34,7 @@
             PREFIX + "state", "What the process holds and believes.", registry=self.registry
         )
 
-    def note(self, request: str, answer: str, seconds: float) -> None:
+    def record(self, request: str, answer: str, seconds: float) -> None:
         """Count one answer."""
         self.answers.add(request, answer)
         self.seconds.observe(seconds, request)
@@ -42,7 +42,7 @@
     def text(self, node: "LedgerNode") -> str:
         """Return all metrics in Prometheus's text format."""
         replica, journal = node.replica, node.replica.journal
-        facts = {
+        values = {
             "turns": len(replica.turns),
             "accounts": len(replica.slots),
             "unsettled_ends": len(replica.unsettled),
@@ -50,15 +50,15 @@
             "epoch": replica.replicas.epoch,
             "settled": replica.replicas.settled,
             "quorum": node.membership.quorum,
-            "view_age_seconds": min(node.beliefs.age_s, LONGEST_AGE_S),
-            "configuration_version": node.beliefs.view.version,
+            "view_age_seconds": min(node.cached_view.age_s, LONGEST_AGE_S),
+            "configuration_version": node.cached_view.view.version,
             "disk_bytes": sum(journal.segments.values()),
             "disk_flushes": journal.flushes,
             "disk_longest_flush_seconds": journal.longest_flush_s,
             "disk_failing": journal.failing,
             "loop_delay_seconds": node.loop_delay.longest_s,
         }
-        for name, value in facts.items():
+        for name, value in values.items():
             self.state.set({"name": name}, float(value))
         for purpose, calls in node.store.calls.items():
             self.state.set({"name": f"store_calls_{purpose}"}, float(calls))
--- a/waxwingglade/ledger/node.py
+++ b/waxwingglade/ledger/node.py
@@ -1,4 +1,4 @@
-"""A ledger process from start to stop."""
+"""The lifecycle of a ledger process."""
 
 import asyncio
 import sys
@@ -47,39 +47,39 @@
 from waxwingglade.transport.links import Codec, Links, LinkServer
 from waxwingglade.transport.page import serve_metrics
 
-CONFIRM_S = 0.1
-"""Seconds between looks at what followers should be told; short against the half second after which
-a lost majority is noticed."""
+UPDATE_INTERVAL_S = 0.1
+"""Seconds between updates of the view that followers receive.  Much shorter than the half second
+after which a lost majority is noticed."""
 
-MOST_BEGINNING = 24
-"""Turns that this process begins at once.  Beyond that callers give up before they are answered and
-ask again elsewhere, and the work done twice leaves no time for any."""
+MAX_BEGINNING = 24
+"""Turns that this process begins concurrently.  With more, callers time out before they are
+answered and retry elsewhere, and the duplicate work leaves no time to answer any."""
 
-MOST_ENDING = 4 * MOST_BEGINNING
-"""Turns that it ends at once: more, since a turn that ends takes load away."""
+MAX_ENDING = 4 * MAX_BEGINNING
+"""Turns that it ends concurrently; more, since ending turns reduces load."""
 
 REFUSALS_LOGGED_PER_S = 2.0
-"""Lines a second for turns that are refused; they must not add to the load."""
+"""Log lines per second for refused turns, so that logging does not add to the load."""
 
-MOST_AT_ONCE = {BeginTurn: MOST_BEGINNING, EndTurn: MOST_ENDING}
+MAX_CONCURRENT = {BeginTurn: MAX_BEGINNING, EndTurn: MAX_ENDING}
 
 STANDBY_WATCH_S = 2.0
-"""Seconds that a watch of a process on standby waits.  In a large fleet most ledger processes stand
-by, and their calls to the store would grow with it."""
+"""Seconds that a watch of a standby process waits.  In a large fleet most ledger processes are on
+standby, and their calls to the store would grow with the fleet."""
 
 STANDBY_FRESH_S = 2 * STANDBY_WATCH_S
-"""Age in seconds up to which a view is good enough for a process that nobody follows."""
+"""Age in seconds up to which the view of a standby process, which nobody follows, is fresh."""
 
-FINISH_S = 0.4
-"""Seconds for which a process that stops goes on with what it was asked before; entries wait no
-longer for one replica."""
+FINISH_TIMEOUT_S = 0.4
+"""Seconds for which a stopping process continues earlier requests; entries wait no longer for one
+replica."""
 
 LINK_IDLE_S = 30.0
 """Seconds after which a connection to a process that is no longer a member is closed."""
 
 
 class LedgerSettings(msgspec.Struct, frozen=True):
-    """What a ledger process is told.
+    """Settings of a ledger process.
 
     Parameters
     ----------
@@ -92,15 +92,15 @@
     folder : Path
         Data folder.
     wanted_members : int
-        Members that are enough for the faults to be borne.
+        Members that are enough to tolerate the expected faults.
     zones : int
-        Availability zones.
+        Number of availability zones.
     status_prefix : str
-        Where the state of orders to empty a VM is written.
+        Prefix of the keys for the states of retiring VMs.
     metrics : str
         ``IP:PORT`` of the metrics page; empty for none.
     quota : QuotaRules
-        How the limits of client accounts are counted.
+        Rules for the limits of client accounts.
     bootstrap : bool
         Whether the whole system starts for the first time.
     """
@@ -123,11 +123,11 @@
     Parameters
     ----------
     settings : LedgerSettings
-        Its settings.
+        Settings of the process.
     store : Store
         The platform's store.
     keys : Keys
-        Where things lie in it.
+        Keys in the store.
     """
 
     def __init__(self, settings: LedgerSettings, store: Store, keys: Keys) -> None:
@@ -137,7 +137,7 @@
         self.context = zmq.Context()
         self.server = LinkServer(self.context, self.codec, self.answer)
         self.links = Links(self.context, self.codec)
-        self.beliefs = CachedView()
+        self.cached_view = CachedView()
         self.watcher = Watcher(store, keys, self._store_changed, wait_s=self._watch_s)
         self.replica = Replica(settings.folder)
         self.own = Member(self.replica.disk, settings.vm, settings.endpoint, settings.zone)
@@ -163,12 +163,12 @@
         )
         self.membership.observe_replicas = self.observe_replicas
         self.follower = FeedFollower(
-            self.beliefs, self._sources, ask_over(self.links), self._needs_source
+            self.cached_view, self._sources, ask_over(self.links), self._needs_source
         )
         self.quotas = Quotas(
             settings.quota,
             settings.wanted_members,
-            self.beliefs,
+            self.cached_view,
             self.replica,
             settings.bootstrap,
         )
@@ -184,7 +184,7 @@
             ToReplica: self.to_replica,
         }
         self.stopping = False
-        self.working: Counter[type] = Counter()
+        self.in_progress: Counter[type] = Counter()
         self.refusals = Sampler(REFUSALS_LOGGED_PER_S)
         self.tasks: list[asyncio.Task] = []
         self.metrics = LedgerMetrics()
@@ -192,11 +192,11 @@
         self.pages: list[HTTPServer] = []
 
     async def start(self) -> None:
-        """Read the disk, and begin to answer and to follow."""
+        """Read the disk, and start to answer requests and to follow the store."""
         self.replica.open()
         self.quotas.open()
         if self.replica.replicas.epoch:
-            self.beliefs.merge(View(replicas=self.replica.replicas), float("-inf"))
+            self.cached_view.merge(View(replicas=self.replica.replicas), float("-inf"))
         self.server.start(self.settings.endpoint)
         self.pages = serve_metrics(self.settings.metrics, lambda: self.metrics.text(self))
         self.watcher.start()
@@ -205,20 +205,20 @@
             start_task(self.membership.ping_forever()),
             start_task(self.membership.run()),
             start_task(self.replica.sweep_forever()),
-            start_task(self._tidy_links()),
-            start_task(self._confirm_forever()),
+            start_task(self._close_idle_links()),
+            start_task(self._update_forever()),
         ]
         logger.bind(vm=self.own.vm, disk=self.own.disk, endpoint=self.own.address).info("started")
 
     async def stop(self) -> None:
-        """Stop answering, with everything durable that was acknowledged.
+        """Stop answering; all that was acknowledged is durable.
 
-        What is asked from now on is refused, so that whoever asks goes elsewhere at once.
+        New requests are refused from now on, so that their senders try another process at once.
         """
         self.stopping = True
-        # Followers wait for news for longer than a stop takes.
-        self.beliefs.notify()
-        await self.server.finish(FINISH_S)
+        # Followers wait longer for an update than a stop takes.
+        self.cached_view.notify()
+        await self.server.finish(FINISH_TIMEOUT_S)
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -231,7 +231,7 @@
         await self.replica.stop()
         self.context.term()
 
-    # What is believed
+    # Cached view
 
     def _store_changed(self) -> None:
         self._take_watched()
@@ -239,11 +239,11 @@
 
     def _take_watched(self) -> None:
         watcher = self.watcher
-        self.beliefs.merge(watcher.view, watcher.confirmed_at, watcher.complete_until)
+        self.cached_view.merge(watcher.view, watcher.confirmed_at, watcher.complete_until)
 
     def observe_replicas(self, replicas: ReplicaSet) -> None:
-        """Take in a set of members that a replica told of."""
-        self.beliefs.merge(View(replicas=replicas), float("-inf"))
+        """Record a set of members that another replica reported."""
+        self.cached_view.merge(View(replicas=replicas), float("-inf"))
         self._adopt_members(replicas)
 
     def _adopt_members(self, replicas: ReplicaSet) -> None:
@@ -251,92 +251,92 @@
         if (replicas.epoch, replicas.settled) > known:
             start_task(self.replica.adopt_members(replicas))
 
-    async def _confirm_forever(self) -> None:
-        """Carry over what this process tells others: the store's confirmations, and the quorum."""
-        told = False
+    async def _update_forever(self) -> None:
+        """Update the view and the quorum that followers receive, periodically."""
+        reported = False
         while True:
-            await self.loop_delay.sleep(CONFIRM_S)
-            self.membership.leave_out(self.loop_delay.delays[-1])
+            await self.loop_delay.sleep(UPDATE_INTERVAL_S)
+            self.membership.discount_stall(self.loop_delay.delays[-1])
             self._take_watched()
-            self._adopt_members(self.beliefs.view.replicas)
+            self._adopt_members(self.cached_view.view.replicas)
             self.quotas.learn()
-            if self.membership.quorum != told:
-                told = self.membership.quorum
-                self.beliefs.notify()
+            if self.membership.quorum != reported:
+                reported = self.membership.quorum
+                self.cached_view.notify()
 
     def _watch_s(self) -> float:
-        """Return how long the store may leave this process without news."""
+        """Return the seconds that a watch of the store waits for an update."""
         return STANDBY_WATCH_S if self.membership.stands_by else WAIT_S
 
     def _needs_source(self) -> bool:
-        """Return whether the store has not confirmed the view for longer than it usually takes."""
+        """Return whether the view is older than the store's confirmations usually let it become."""
         age_s = STANDBY_FRESH_S if self.membership.stands_by else FRESH_S
-        return self.beliefs.age_s > age_s
+        return self.cached_view.age_s > age_s
 
     def _sources(self) -> list[Member]:
         members = self.replica.replicas.members
         others = tuple(member for member in members if member.disk != self.own.disk)
         return nearest_first(others, self.own.zone, self.own.vm)
 
-    async def _tidy_links(self) -> None:
+    async def _close_idle_links(self) -> None:
         while True:
             await asyncio.sleep(LINK_IDLE_S / 2)
             self.links.keep_only(
                 {member.address for member in self.replica.replicas.members}, LINK_IDLE_S
             )
 
-    # Asking
+    # Requests to members
 
     def ask_member(self, member: Member, message: Any, timeout_s: float) -> Awaitable[Any]:
-        """Ask a member, or this process's own replica."""
+        """Send a request to a member, which may be the replica of this process."""
         if isinstance(message, Ping):
             return self.links.to(member.address).post(message, timeout_s)
         if member.disk == self.own.disk:
             return self.replica.handle(message)
         return self.links.to(member.address).post(ToReplica(member.disk, message), timeout_s)
 
-    # Answering
+    # Requests to this process
 
     async def answer(self, message: Any) -> Any:
         """Answer a request of an entry or another replica."""
         handler = self.handlers.get(type(message))
         if handler is None:
-            logger.warning("{} is no request", type(message).__name__)
+            logger.warning("{} is not a request", type(message).__name__)
             return None
         asked_at = monotonic()
         if self.stopping:
-            return self._note(message, Unavailable("the process stops"), asked_at)
+            return self._record(message, Unavailable("the process stops"), asked_at)
         kind = type(message)
-        if self.working[kind] >= MOST_AT_ONCE.get(kind, sys.maxsize):
+        if self.in_progress[kind] >= MAX_CONCURRENT.get(kind, sys.maxsize):
             self._log_busy(message)
-            return self._note(message, Busy(), asked_at)
-        self.working[kind] += 1
+            return self._record(message, Busy(), asked_at)
+        self.in_progress[kind] += 1
         try:
             answer = await handler(message)
         except WaxwinggladeError as error:
             answer = Unavailable(str(error))
         finally:
-            self.working[kind] -= 1
-        return self._note(message, answer, asked_at)
+            self.in_progress[kind] -= 1
+        return self._record(message, answer, asked_at)
 
     def _log_busy(self, message: BeginTurn | EndTurn) -> None:
-        """Log a refusal; the entry's own line has the rest of them."""
+        """Log a refusal at a limited rate; the entry logs every refused request itself."""
         if self.refusals.allows():
             logger.bind(
                 turn=message.turn,
-                beginning=self.working[BeginTurn],
-                ending=self.working[EndTurn],
+                beginning=self.in_progress[BeginTurn],
+                ending=self.in_progress[EndTurn],
                 left_out=self.refusals.take_left_out(),
             ).warning("too much to do")
 
-    def _note(self, message: Any, answer: Any, asked_at: float) -> Any:
+    def _record(self, message: Any, answer: Any, asked_at: float) -> Any:
         if not isinstance(message, Follow):
             kinds = type(message).__name__, type(answer).__name__
-            self.metrics.note(*kinds, monotonic() - asked_at)
+            self.metrics.record(*kinds, monotonic() - asked_at)
         return answer
 
     async def begin(self, message: BeginTurn) -> Any:
-        """Begin a turn, within the limit of its client account."""
+        """Begin a turn if the limit of its client account allows it."""
         client = message.client
         if client is None or message.is_counted:
             return await self.coordinator.begin(message)
@@ -351,16 +351,16 @@
         return answer
 
     async def follow(self, message: Follow) -> Followed:
-        """Tell what is known."""
-        answer = await self.beliefs.answer(message)
+        """Answer a follower with the view and the quorum, once there is an update."""
+        answer = await self.cached_view.answer(message)
         return msgspec.structs.replace(answer, quorum=self.membership.quorum)
 
     async def ping(self, message: Ping) -> Any:
-        """Give a sign of life."""
+        """Answer a ping of another replica."""
         return self.membership.answer_ping(message)
 
     async def to_replica(self, message: ToReplica) -> Any:
-        """Pass a request on to the replica here, if it is the one that is meant."""
+        """Pass a request on to the replica of this process, if it is the addressed one."""
         if message.disk != self.own.disk:
             return NotHere()
         return await self.replica.handle(message.body)
--- a/waxwingglade/ledger/replica.py
+++ b/waxwingglade/ledger/replica.py
@@ -1,4 +1,4 @@
-"""One replica of the ledger: accounts and turns, in memory and on its disk."""
+"""One replica of the ledger: accounts and turns, in memory and on disk."""
 
 import asyncio
 from collections import OrderedDict
@@ -58,33 +58,33 @@
 )
 from waxwingglade.ledger.unsettled import UnsettledEnds
 
-ACCOUNT_KEPT_S = 600.0
-"""Seconds for which the account of a program is kept after its last change; programs that were
-stopped return within the retention of their turns, a minute at the sites known."""
+ACCOUNT_RETENTION_S = 600.0
+"""Seconds for which the account of a program is retained after its last change.  Stopped programs
+resume within the retention of their turns, which is a minute at the known sites."""
 
 EXPIRY_MARGIN_S = 60.0
-"""Seconds for which a turn is kept beyond its time; clocks of VMs differ by seconds."""
+"""Seconds for which a turn is retained after it expires, as clocks of VMs differ by seconds."""
 
-GRANTS_KEPT_S = 60.0
-"""Seconds for which grants stay on the disk, longer than any span in which they are counted."""
+GRANT_RETENTION_S = 60.0
+"""Seconds for which grants stay on disk; longer than any period over which they are counted."""
 
-SWEEP_S = 5.0
-CACHED_BYTES = 16 * 1024 * 1024
-"""Turns kept in memory for reading, in bytes; older ones are read from the disk."""
+SWEEP_INTERVAL_S = 5.0
+MAX_CACHED_BYTES = 16 * 1024 * 1024
+"""Most bytes of turns that are cached in memory; other turns are read from the disk."""
 
-FETCH_BYTES = 1024 * 1024
-"""Most bytes of turns in one answer to a replica that catches up."""
+MAX_FETCH_BYTES = 1024 * 1024
+"""Bytes of turns after which an answer to a replica that catches up is complete."""
 
-CONFIRM_WITHIN_S = 0.01
-"""Seconds for which a confirmation may wait for other records to be flushed with; short against the
-time that a target takes to its first token."""
+CONFIRM_MAX_DELAY_S = 0.01
+"""Seconds for which a confirmation may wait to be flushed together with other records.  Much
+shorter than the time to the first token of a target."""
 
-CHAIN_LIMIT = 1000
-"""Turns of a chain, against a loop in damaged data."""
+MAX_CHAIN_LENGTH = 1000
+"""Most turns of a chain; guards against loops in damaged data."""
 
 
 class Slot(msgspec.Struct):
-    """A program's account as this replica has accepted it, and what it has promised."""
+    """The account of a program that this replica has accepted, and its ballots."""
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -92,7 +92,7 @@
 
 
 class TurnPlace(msgspec.Struct):
-    """Where a turn lies on the disk, what it continues, and until when it is kept."""
+    """Location of a turn on disk, the turn that it continues, and its expiry in calendar time."""
 
     place: Place
     previous: TurnId | None
@@ -100,7 +100,7 @@
 
 
 class Replica:
-    """Accounts and turns of one disk.
+    """Stores the accounts and turns of one disk.
 
     Parameters
     ----------
@@ -108,21 +108,23 @@
         Data folder.
     wall_clock : Clock
         Calendar time in seconds.
+    clock : Clock
+        Monotonic seconds.
 
     Attributes
     ----------
     replicas : ReplicaSet
-        The newest set of members that this replica knows; it refuses requests under older ones.
+        The newest set of members that this replica knows; requests under older ones are refused.
     unsettled : UnsettledEnds
-        What this process was told of turns that have ended.
+        Ends of turns that were reported to this process.
     confirmations : Confirmations
         Turns that this process has begun, and those that it has confirmed.
     grants : dict
-        What was granted to each client account lately.
+        Recent grants of each client account.
     counts : bool
-        Whether this member grants its part of the accounts' limits.
+        Whether this member grants its share of the limits of client accounts.
     largest_set : int
-        Members of the largest set that the disk held at the start.
+        Number of members of the largest set on disk at the start.
     """
 
     def __init__(self, folder: Path, wall_clock: Clock = wall, clock: Clock = monotonic) -> None:
@@ -137,8 +139,8 @@
         self.unsettled = UnsettledEnds()
         self.confirmations = Confirmations(self.disk, self._write_confirmed, clock)
         self.grants: dict[ClientAccountId, Grants] = {}
-        self.granted_before: list[GrantRecord] = []
-        self.granted_in: dict[int, float] = {}
+        self.replayed_grants: list[GrantRecord] = []
+        self.last_granted_at: dict[int, float] = {}
         self.counts = False
         self.largest_set = 0
         self.members_written: asyncio.Future[Place] | None = None
@@ -157,11 +159,11 @@
 
     @property
     def disk(self) -> str:
-        """Name of the disk's content."""
+        """Name of the content of the disk."""
         return self.journal.disk
 
     def open(self) -> None:
-        """Read the disk and begin to write."""
+        """Read the disk and start the journal."""
         for place, content in self.journal.replay():
             self._replay(place, content)
         self._restore_grants()
@@ -182,7 +184,7 @@
             self.replicas = record.replicas
             self.largest_set = max(self.largest_set, len(record.replicas.members))
         elif isinstance(record, GrantRecord):
-            self.granted_before.append(record)
+            self.replayed_grants.append(record)
         elif isinstance(record, CountingRecord):
             self.counts = record.counts
         elif isinstance(record, EndRecord):
@@ -196,12 +198,12 @@
                 slot.accepted, slot.account = record.accepted, record.account
 
     def _restore_grants(self) -> None:
-        """Count what was granted before the start, as far as it may be recent."""
+        """Count grants from before the start that may still be recent."""
         now = self.clock()
-        records, self.granted_before = self.granted_before, []
+        records, self.replayed_grants = self.replayed_grants, []
         moments = restore_times([record.at for record in records], now)
         for record, at in zip(records, moments, strict=True):
-            if at > now - GRANTS_KEPT_S:
+            if at > now - GRANT_RETENTION_S:
                 self.grants.setdefault(record.client, Grants()).record(at)
 
     async def stop(self) -> None:
@@ -209,28 +211,28 @@
         await self.journal.stop()
 
     async def adopt_members(self, replicas: ReplicaSet) -> None:
-        """Go over to a newer set of members, durably."""
+        """Switch to a set of members if it is newer, and wait until the switch is durable."""
         known = (self.replicas.epoch, self.replicas.settled)
         if (replicas.epoch, replicas.settled) > known:
             self.replicas = replicas
             self.members_written = self._write(MembersRecord(replicas))
         if self.members_written is not None:
-            # Others rely on the refusal of older sets, which must outlive a loss of power.
+            # Other replicas rely on the refusal of older sets, which must survive a loss of power.
             await asyncio.shield(self.members_written)
 
     async def handle(self, message: ReplicaRequest) -> Any:
-        """Answer a request of a coordinator, or of another replica."""
+        """Answer a request of a coordinator or of another replica."""
         return await self.handlers[type(message)](message)
 
     def _write(self, record: Any) -> "asyncio.Future[Place]":
         return self.journal.append(encode(record))
 
     async def flush(self) -> None:
-        """Wait until all that was written before is durable."""
+        """Wait until all earlier writes are durable."""
         await self._write(MembersRecord(self.replicas))
 
     def _refused(self, epoch: int) -> OtherEpoch | None:
-        """Refuse a request under another set of members than the one known here."""
+        """Return a refusal if a request is for another set of members than the current one."""
         if epoch == self.replicas.epoch:
             return None
         return OtherEpoch(self.replicas)
@@ -238,7 +240,7 @@
     # Accounts
 
     async def prepare(self, message: Prepare) -> Any:
-        """Promise to accept nothing below a ballot."""
+        """Promise to accept no proposal below a ballot."""
         if refusal := self._refused(message.epoch):
             return refusal
         slot = self.slots.setdefault(message.program, Slot())
@@ -250,15 +252,15 @@
         return answer
 
     async def accept(self, message: Accept) -> Any:
-        """Accept an account, unless something newer was promised."""
+        """Accept an account, unless a higher ballot was promised."""
         if refusal := self._refused(message.epoch):
             return refusal
         slot = self.slots.setdefault(message.program, Slot())
         if message.ballot < slot.promised or message.ballot <= slot.accepted:
             return Rejected(slot.promised)
-        # The proposer's next ballot is promised along with this one.  Without that, another's
-        # ballot of the same number could be promised elsewhere, and the one that sorts last would
-        # win, whether a majority had accepted it or not.
+        # The proposer's next ballot is promised along with this one.  Otherwise the ballot of
+        # another process with the same number could be promised elsewhere, and the one that sorts
+        # last would win, whether or not a majority had accepted it.
         slot.promised, slot.accepted = message.ballot.next(), message.ballot
         slot.account = message.account
         await self._write(
@@ -267,7 +269,7 @@
         return Accepted()
 
     async def look(self, message: Look) -> Any:
-        """Return what was promised and accepted last for a program's account."""
+        """Return the last promised ballot and the last accepted account of a program."""
         if refusal := self._refused(message.epoch):
             return refusal
         slot = self.slots.get(message.program) or Slot()
@@ -276,46 +278,46 @@
     # Ends of turns
 
     async def note_end(self, message: NoteEnd) -> EndNoted:
-        """Remember the end of a turn, also over a restart."""
-        # An account here that shows it may not be the one that a majority accepts.
+        """Record the end of a turn durably."""
+        # Even if the account here includes the end, the one that a majority accepts may not.
         self.unsettled.add(message.end)
         await self._write(EndRecord(message.end))
         return EndNoted()
 
     async def list_ends(self, message: ListEnds) -> Ends:
-        """Return the ends of a program's turns that were noted here."""
+        """Return the ends of a program's turns that are recorded here."""
         return Ends(self.unsettled.of(message.program))
 
     # Turns that were begun here
 
     async def judge_turns(self, message: JudgeTurns) -> Judged:
-        """Say which turns that this process began are confirmed, and which never will be."""
+        """Return which turns that this process began are confirmed, and which have expired."""
         return Judged(*self.confirmations.judge(message.program, message.turns))
 
     def _write_confirmed(self, program: ProgramId, turn: TurnId) -> "asyncio.Future[Place]":
-        return self.journal.append(encode(ConfirmRecord(program, turn)), CONFIRM_WITHIN_S)
+        return self.journal.append(encode(ConfirmRecord(program, turn)), CONFIRM_MAX_DELAY_S)
 
     # Limits of client accounts
 
     def record_grant(self, client: ClientAccountId, at: float) -> "asyncio.Future[Place]":
-        """Write down that a request was granted; the future is done once that is durable."""
-        self.granted_in[self.journal.active] = at
+        """Record the grant of a request; the future is done once it is durable."""
+        self.last_granted_at[self.journal.active] = at
         return self._write(GrantRecord(client, at))
 
     def record_counting(self, counts: bool) -> None:
-        """Write down whether this member grants its part of the limits."""
+        """Record whether this member grants its share of the limits."""
         self.counts = counts
         self._write(CountingRecord(counts))
 
     # Turns
 
     async def keep(self, message: Keep) -> Any:
-        """Keep a turn."""
+        """Store a turn durably."""
         if refusal := self._refused(message.epoch):
             return refusal
         await self._store_turn(message.turn)
-        # Whoever read this replica under a newer set, while the turn was being written, was not
-        # told of it: it must not count as kept under the older one.
+        # If another replica read this one under a newer set while the turn was being written, it
+        # did not receive the turn, which then must not count as stored under the older set.
         return self._refused(message.epoch) or Kept()
 
     async def _store_turn(self, turn: Turn) -> None:
@@ -323,13 +325,13 @@
             return
         place = await self._write(TurnRecord(turn))
         self._index(turn, place)
-        self._remember(turn)
+        self._add_to_cache(turn)
 
     def _index(self, turn: Turn, place: Place) -> None:
-        """Enter a turn, and keep those that it continues as long as it."""
+        """Add a turn to the index, and retain its ancestors at least as long."""
         self.turns[turn.turn] = TurnPlace(place, turn.previous, turn.expires_at)
         previous = turn.previous
-        for _ in range(CHAIN_LIMIT):
+        for _ in range(MAX_CHAIN_LENGTH):
             where = self.turns.get(previous) if previous is not None else None
             if where is None or where.expires_at >= turn.expires_at:
                 return
@@ -337,16 +339,16 @@
             previous = where.previous
 
     async def find(self, message: Find) -> Any:
-        """Return the chain up to a turn."""
+        """Return the chain up to a turn, or a refusal under another set of members."""
         if refusal := self._refused(message.epoch):
             return refusal
         return await self.chain(message.turn)
 
     async def chain(self, turn: TurnId) -> Found:
-        """Return the chain up to a turn, as far as it is here."""
+        """Return the part of the chain up to a turn that is stored here."""
         chain: list[Turn] = []
         wanted: TurnId | None = turn
-        while wanted is not None and len(chain) < CHAIN_LIMIT:
+        while wanted is not None and len(chain) < MAX_CHAIN_LENGTH:
             found = await self.turn(wanted)
             if found is None:
                 break
@@ -366,24 +368,24 @@
         content = await asyncio.to_thread(self.journal.read, where.place)
         record = decode(content)
         if not isinstance(record, TurnRecord) or record.turn.turn != turn:
-            logger.bind(turn=turn).error("turn not where the index says")
+            logger.bind(turn=turn).error("record at the indexed location is not the turn")
             return None
-        self._remember(record.turn)
+        self._add_to_cache(record.turn)
         return record.turn
 
-    def _remember(self, turn: Turn) -> None:
+    def _add_to_cache(self, turn: Turn) -> None:
         if turn.turn in self.cache:
             return
         self.cache[turn.turn] = turn
         self.cached_bytes += len(turn.asked) + len(turn.answered)
-        while self.cached_bytes > CACHED_BYTES:
+        while self.cached_bytes > MAX_CACHED_BYTES:
             _, old = self.cache.popitem(last=False)
             self.cached_bytes -= len(old.asked) + len(old.answered)
 
-    # Catching up
+    # Requests of replicas that catch up
 
     async def list_held(self, message: ListHeld) -> Any:
-        """Return what is held here, and from now on refuse older sets of members."""
+        """Return the names of the stored data, and refuse older sets of members from now on."""
         await self.adopt_members(message.replicas)
         if message.replicas.epoch < self.replicas.epoch:
             return OtherEpoch(self.replicas)
@@ -398,7 +400,7 @@
         return Held(tuple(self.turns), accounts, promised)
 
     async def fetch(self, message: Fetch) -> Any:
-        """Return turns and accounts by name, turns up to a size."""
+        """Return turns and accounts by name; turns up to a total size."""
         turns = []
         size = 0
         for name in message.turns:
@@ -407,7 +409,7 @@
                 continue
             turns.append(turn)
             size += len(turn.asked) + len(turn.answered)
-            if size > FETCH_BYTES:
+            if size > MAX_FETCH_BYTES:
                 break
         accounts = {}
         for program in message.programs:
@@ -416,24 +418,24 @@
                 accounts[program] = (slot.accepted, slot.account)
         return Fetched(tuple(turns), accounts)
 
-    async def take_in(self, fetched: Fetched) -> None:
-        """Store what another replica holds, as if its proposals had reached this one late."""
+    async def store_fetched(self, fetched: Fetched) -> None:
+        """Store data of another replica, as if the proposals had reached this one late."""
         writes = [self._store_turn(turn) for turn in fetched.turns]
         for program, (ballot, account) in fetched.accounts.items():
             slot = self.slots.setdefault(program, Slot())
             if ballot <= slot.accepted:
                 continue
-            # What was accepted elsewhere is taken even below a promise: it is no vote, and the next
-            # round of promises must find it.
+            # An account accepted elsewhere is stored even below a promise: storing it is no vote,
+            # and the next round of promises must find it.
             slot.promised, slot.accepted = max(slot.promised, ballot.next()), ballot
             slot.account = account
             writes.append(self._write(AcceptRecord(program, slot.promised, ballot, account)))
         await asyncio.gather(*writes)
 
-    async def take_promises(self, promised: dict[ProgramId, Ballot]) -> None:
-        """Promise what another replica has promised.
+    async def adopt_promises(self, promised: dict[ProgramId, Ballot]) -> None:
+        """Make the promises of another replica.
 
-        A round of promises that counted on a lost disk must not be forgotten with it.
+        A majority of promises that included a lost disk must not be lost with that disk.
         """
         writes = []
         for program, ballot in promised.items():
@@ -446,14 +448,14 @@
     # Expiry
 
     async def sweep_forever(self) -> None:
-        """Forget what has expired, and remove segments that hold nothing else."""
+        """Remove expired data, and segments without other data, periodically."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.forget_expired()
             await self._drop_segments()
 
     def forget_expired(self) -> None:
-        """Forget turns and accounts whose time is over."""
+        """Remove expired turns and accounts from memory."""
         now = self.wall_clock()
         for name, where in list(self.turns.items()):
             if where.expires_at + EXPIRY_MARGIN_S < now:
@@ -462,19 +464,19 @@
                 if cached is not None:
                     self.cached_bytes -= len(cached.asked) + len(cached.answered)
         for program, slot in list(self.slots.items()):
-            if slot.accepted.number and slot.account.touched_at + ACCOUNT_KEPT_S < now:
+            if slot.accepted.number and slot.account.touched_at + ACCOUNT_RETENTION_S < now:
                 del self.slots[program]
                 self.unsettled.programs.pop(program, None)
                 self.confirmations.forget(program)
 
     def _segments_with_grants(self) -> list[int]:
-        """Return the segments from which on grants lie that may still count."""
-        since = self.clock() - GRANTS_KEPT_S
-        self.granted_in = {each: at for each, at in self.granted_in.items() if at > since}
-        return list(self.granted_in)
+        """Return the segments with grants that may still count."""
+        since = self.clock() - GRANT_RETENTION_S
+        self.last_granted_at = {each: at for each, at in self.last_granted_at.items() if at > since}
+        return list(self.last_granted_at)
 
     async def _drop_segments(self) -> None:
-        """Copy what is still needed to the active segment, and remove the older ones."""
+        """Copy data that is still needed to the active segment, and remove older segments."""
         active = self.journal.active
         needed = [where.place.segment for where in self.turns.values()]
         needed += self._segments_with_grants()
--- a/waxwingglade/ledger/rounds.py
+++ b/waxwingglade/ledger/rounds.py
@@ -1,4 +1,4 @@
-"""Rounds of messages among the replicas: ask several the same until enough have answered."""
+"""Rounds of messages among the replicas: send one request to several until enough answer."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Iterable
@@ -14,36 +14,36 @@
 from waxwingglade.ledger.messages import Ballot, OtherEpoch, Rejected
 
 Ask = Callable[[Member, Any, float], Awaitable[Any]]
-"""Sends a request to a member and returns its answer within some seconds."""
+"""Sends a request to a member and returns its answer; the float is the timeout in seconds."""
 
-ROUND_S = 0.25
-"""Seconds for one round of messages; a round trip between zones takes some 3 ms and a flush 1 ms,
-so this is only reached by members that are gone or stalled."""
+ROUND_TIMEOUT_S = 0.25
+"""Timeout of one request in seconds.  A round trip between zones takes about 3 ms and a flush 1 ms,
+so only unreachable or stalled members exceed it."""
 
 HEDGE_S = 0.1
-"""Seconds after which the members that were not needed are asked, too.  A round takes 3 to 8 ms,
-and some 60 ms in a crowd; asking all of a ledger that is merely busy would make it busier."""
+"""Seconds after which the remaining members are asked as well.  A round takes 3 to 8 ms, and about
+60 ms under contention; a shorter delay would add load to a ledger that is merely busy."""
 
-AVOID_S = 5.0
-"""Seconds for which a member that gave no answer is asked last; each time it is tried again, what
-is under way waits for `HEDGE_S`."""
+AVOID_DURATION_S = 5.0
+"""Seconds for which a member that gave no answer is asked last.  Each retry of such a member delays
+the current round by `HEDGE_S`."""
 
 
 FIRST_PAUSE_S = 0.004
 LONGEST_PAUSE_S = 0.1
-"""Pause after rounds that came to nothing, as another's proposal or set of members came first; for
-proposals it is drawn at random up to a bound that doubles."""
+"""Bounds in seconds of the pause after a round that lost to another proposal or set of members; for
+proposals the pause is random, up to a bound that doubles."""
 
 
 class NoMajority(WaxwinggladeError):
-    """Too few members answered; whether a change holds is not known.
+    """Too few members answered; whether a change is committed is unknown.
 
     Parameters
     ----------
     message : str
         What happened.
     unresponsive : iterable of Member
-        Members that were asked and gave no answer.
+        Members that were asked and did not answer.
     """
 
     def __init__(self, message: str, unresponsive: Iterable[Member] = ()) -> None:
@@ -52,20 +52,20 @@
 
 
 class Rounds:
-    """Asks the members of the ledger on behalf of one process.
+    """Sends requests to the members of the ledger on behalf of one process.
 
     Parameters
     ----------
     own : Member
-        The replica in this process; asking it costs no message.
+        The replica in this process; a request to it needs no message.
     members : callable
-        The present set of members.
+        Returns the current set of members.
     ask : callable
-        Sends a request to a member and returns the answer; raises `WaxwinggladeError` if none.
+        Sends a request to a member and returns the answer; raises `WaxwinggladeError` without one.
     observe_replicas : callable
-        Called with a set of members that some replica knows.
+        Called with the set of members of a replica that refused a request under another one.
     rejected : callable
-        Called with a program and the ballot that stood in the way of its proposal.
+        Called with a program and the higher ballot for which its proposal was rejected.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self.avoided: dict[str, float] = {}
 
     def usable_members(self) -> ReplicaSet:
-        """Return the present set of members; `NoMajority` while none are known."""
+        """Return the current set of members; raise `NoMajority` while it is unknown."""
         replicas = self.members()
         if not replicas.members:
             raise NoMajority("no members known")
@@ -93,46 +93,46 @@
     async def majority(
         self, order: list[Member], first: int, message: Any, wanted: type
     ) -> list[Any]:
-        """Bring a majority to accept or promise something; return its answers.
+        """Send a request until a majority has accepted or promised; return its answers.
 
-        Accounts are changed at as many members as are needed, and at the others only once one of
-        these has refused or has not answered within `HEDGE_S`.  A member that was left out learns
-        of a change when its promise is asked for.
+        The first members are asked at once, and the others only when one of these refuses or does
+        not answer within `HEDGE_S`.  A member that was not asked is brought up to date by a later
+        proposal.
 
         Parameters
         ----------
         order : list of Member
             All members, in the order in which they are asked.
         first : int
-            How many of them are asked at once.
+            Number of members that are asked at once.
         message : ReplicaRequest
-            What they are asked.
+            The request.
         wanted : type
-            Type of a good answer.
+            Type of an answer that counts towards the majority.
 
         Returns
         -------
         list
-            The good answers; fewer than a majority if too many refused.
+            Answers of the wanted type; fewer than a majority if too many members refused.
 
         Raises
         ------
         NoMajority
-            If too few members answered at all.
+            If too few members answered and none refused.
         """
-        asking = _Asking(self.ask, message)
-        asking.add(order[:first])
+        request = _Request(self.ask, message)
+        request.add(order[:first])
         needed = len(order) // 2 + 1
         good = []
         refused = 0
-        # Whoever is silent is not waited for once it can't decide the round any more.  A zone that
-        # is cut off otherwise costs `ROUND_S` for each proposal that another has overtaken, and
-        # three of them the time in which a turn may begin.
-        while asking.open and len(good) + asking.left(order) >= needed:
-            answered = await asking.next(HEDGE_S if len(asking.asked) < len(order) else None)
+        # Unresponsive members that can no longer decide the round are not waited for.  Otherwise a
+        # partitioned zone costs `ROUND_TIMEOUT_S` for each overtaken proposal, and three of these
+        # exceed the time in which a turn must begin.
+        while request.open and len(good) + request.left(order) >= needed:
+            answered = await request.next(HEDGE_S if len(request.asked) < len(order) else None)
             if answered is None:
-                self._avoid(asking.open)
-                asking.add(order)
+                self._avoid(request.open)
+                request.add(order)
                 continue
             member, answer = answered
             if isinstance(answer, wanted):
@@ -140,14 +140,14 @@
                 if len(good) >= needed:
                     return good
                 continue
-            refused += self._is_refusal(member, message, answer)
-            asking.add(order)
+            refused += self._handle_refusal(member, message, answer)
+            request.add(order)
         if not refused:
-            raise NoMajority(f"{len(good)} of {len(order)} members answered", asking.unresponsive)
+            raise NoMajority(f"{len(good)} of {len(order)} members answered", request.unresponsive)
         return good
 
-    def _is_refusal(self, member: Member, message: Any, answer: Any) -> bool:
-        """Return whether a member refused, and note what it said; if not, it gave no answer."""
+    def _handle_refusal(self, member: Member, message: Any, answer: Any) -> bool:
+        """Return whether a member refused, and report why; otherwise avoid the member."""
         if isinstance(answer, Rejected):
             self.rejected(message.program, answer.promised)
             return True
@@ -158,7 +158,7 @@
         return False
 
     def nearest_first(self, replicas: ReplicaSet, program: ProgramId) -> list[Member]:
-        """Return the members in the order in which they are asked: those that answer, and near."""
+        """Return the members in the order in which to ask them: responsive and near ones first."""
         now = monotonic()
 
         def order(member: Member) -> tuple[bool, bool, bool, int]:
@@ -170,29 +170,29 @@
 
     def _avoid(self, members: Iterable[Member]) -> None:
         for member in members:
-            self.avoided[member.disk] = monotonic() + AVOID_S
+            self.avoided[member.disk] = monotonic() + AVOID_DURATION_S
 
     async def answers(
         self, replicas: ReplicaSet, message: Any
     ) -> AsyncIterator[tuple[Member, Any]]:
-        """Yield all members and their answers as they come, None for one that gives none."""
-        asking = _Asking(self.ask, message)
-        asking.add(replicas.members)
-        while asking.open:
-            answered = await asking.next(None)
+        """Yield each member with its answer as answers arrive; None if it gives none."""
+        request = _Request(self.ask, message)
+        request.add(replicas.members)
+        while request.open:
+            answered = await request.next(None)
             assert answered is not None
             yield answered
 
     async def ask_one(self, member: Member, message: Any) -> Any:
-        """Return one member's answer, None if it gives none."""
+        """Return the answer of one member; None if it gives none."""
         try:
-            return await self.ask(member, message, ROUND_S)
+            return await self.ask(member, message, ROUND_TIMEOUT_S)
         except WaxwinggladeError:
             return None
 
 
-class _Asking:
-    """A request under way to several members, each of which is asked once."""
+class _Request:
+    """A request in progress to several members; each is asked at most once."""
 
     def __init__(self, ask: Ask, message: Any) -> None:
         self.ask = ask
@@ -203,24 +203,24 @@
         self.answers: asyncio.Queue[tuple[Member, Any]] = asyncio.Queue()
 
     def add(self, members: Iterable[Member]) -> None:
-        """Ask further members."""
+        """Send the request to those of the members that were not asked yet."""
         for member in members:
             if member.disk in self.asked:
                 continue
             self.asked.add(member.disk)
             self.open.append(member)
-            asking = asyncio.ensure_future(self.ask(member, self.message, ROUND_S))
-            asking.add_done_callback(partial(self._answered, member))
+            request = asyncio.ensure_future(self.ask(member, self.message, ROUND_TIMEOUT_S))
+            request.add_done_callback(partial(self._answered, member))
 
     def _answered(self, member: Member, asked: asyncio.Future[Any]) -> None:
         self.answers.put_nowait((member, _outcome(asked)))
 
     def left(self, order: list[Member]) -> int:
-        """Return how many members of a round have not answered, asked or not."""
+        """Return how many members of a round have not answered, whether asked or not."""
         return len(self.open) + len(order) - len(self.asked)
 
     async def next(self, timeout_s: float | None) -> tuple[Member, Any] | None:
-        """Return the next member that has answered and its answer; None if none does in time."""
+        """Return the next member that answers and its answer; None if none does in time."""
         try:
             async with asyncio.timeout(timeout_s):
                 member, answer = await self.answers.get()
@@ -233,19 +233,19 @@
 
     @property
     def unresponsive(self) -> list[Member]:
-        """Members that were asked and have given no answer."""
+        """Members that were asked and did not answer."""
         return [*self.failed, *self.open]
 
 
 def _outcome(asked: asyncio.Future[Any]) -> Any:
-    """Return a member's answer, None if it gave none."""
+    """Return the answer of a member; None if it gave none."""
     if asked.cancelled():
         return None
     error = asked.exception()
     if error is None:
         return asked.result()
     if not isinstance(error, WaxwinggladeError):
-        logger.opt(exception=error).error("asking a member failed")
+        logger.opt(exception=error).error("unexpected error from a request to a member")
     return None
 
 
--- a/waxwingglade/ledger/tests/builders.py
+++ b/waxwingglade/ledger/tests/builders.py
@@ -16,11 +16,11 @@
 
 PROGRAM = ProgramId("program-1")
 FAR_FUTURE = 4e9
-CARRIED_KEPT = 100
+MAX_CARRIED = 100
 """Messages between replicas that are remembered, with sender and receiver."""
 
 
-class Silence(WaxwinggladeError):
+class MessageLost(WaxwinggladeError):
     """A request or its answer was lost."""
 
 
@@ -46,7 +46,7 @@
         self.replicas: dict[str, Replica] = {}
         self.members: dict[str, Member] = {}
         self.cut: set[tuple[str, str]] = set()
-        self.carried: deque[tuple[str, str, Any]] = deque(maxlen=CARRIED_KEPT)
+        self.carried: deque[tuple[str, str, Any]] = deque(maxlen=MAX_CARRIED)
         self.loss = 0.0
         self.delays: dict[str, float] = {}
         for number in range(size):
@@ -119,7 +119,7 @@
         await asyncio.sleep(self.random.random() * 0.002 + self.delays.get(member.vm, 0.0))
         replica = self.replicas.get(member.vm)
         if replica is None or replica.disk != member.disk:
-            raise Silence("gone or wiped")
+            raise MessageLost("gone or wiped")
         answer = await replica.handle(message)
         self._lose(member.vm, sender)
         return answer
@@ -128,7 +128,7 @@
         if sender == receiver:
             return
         if (sender, receiver) in self.cut or self.random.random() < self.loss:
-            raise Silence(f"{sender} to {receiver}")
+            raise MessageLost(f"{sender} to {receiver}")
 
     def isolate(self, vm: str) -> None:
         """Cut a replica off from all others, both ways."""
--- a/waxwingglade/ledger/tests/crowds.py
+++ b/waxwingglade/ledger/tests/crowds.py
@@ -31,7 +31,7 @@
 from waxwingglade.transport.links import LinkFailed
 
 MEMBERS = 5
-WAY_S = 0.0014
+ONE_WAY_S = 0.0014
 """One way between two zones, in seconds."""
 
 FLUSH_S = 0.012
@@ -40,10 +40,10 @@
 TURN_S = 0.4
 """Seconds that an engine works on a turn."""
 
-AGAIN_S = 0.25
+RETRY_S = 0.25
 """Mean seconds after which a refused turn is sent again."""
 
-TRIES = 3
+MAX_ATTEMPTS = 3
 
 
 class MemoryJournal:
@@ -97,7 +97,7 @@
         replica = super().add(vm)
         replica.journal = MemoryJournal(f"disk-{vm}")  # type: ignore[assignment]
         self.members[vm] = msgspec.structs.replace(self.members[vm], disk=replica.disk)
-        self.delays[vm] = WAY_S
+        self.delays[vm] = ONE_WAY_S
         return replica
 
     def coordinator(self, vm: str) -> Coordinator:
@@ -133,7 +133,7 @@
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
         self.coordinators = {vm: cluster.coordinator(vm) for vm in cluster.replicas}
-        self.working: set[asyncio.Task[Any]] = set()
+        self.in_progress: set[asyncio.Task[Any]] = set()
 
     def to(self, address: str) -> "_Link":
         """Return the link to a process."""
@@ -151,9 +151,9 @@
 
     async def stop(self) -> None:
         """End what is still being worked on."""
-        for task in self.working:
+        for task in self.in_progress:
             task.cancel()
-        await asyncio.gather(*self.working, return_exceptions=True)
+        await asyncio.gather(*self.in_progress, return_exceptions=True)
 
 
 class _Link:
@@ -164,8 +164,8 @@
     async def request(self, message: Any, timeout_s: float) -> Any:
         """Ask, and give up after some seconds."""
         task = asyncio.ensure_future(self.links.answer(self.vm, message))
-        self.links.working.add(task)
-        task.add_done_callback(self.links.working.discard)
+        self.links.in_progress.add(task)
+        task.add_done_callback(self.links.in_progress.discard)
         await asyncio.wait({task}, timeout=timeout_s)
         if not task.done():
             raise LinkFailed(f"{self.vm} gave no answer", sent=True)
@@ -226,7 +226,7 @@
     async def _agent(self, number: int) -> None:
         client = self.random.choice(self.clients)
         await asyncio.sleep(self.random.random() * 0.05)
-        for attempt in range(TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             turn = TurnId(f"turn-{number}-{attempt}")
             answer = await client.begin(
                 BeginTurn(turn, PROGRAM, self.most_tokens, self.budget), timeout_s=5.0
@@ -239,7 +239,7 @@
             if not isinstance(answer, BudgetSpent):
                 self.undecided += 1
                 client.settle_refused(EndTurn(turn, PROGRAM))
-            await asyncio.sleep(AGAIN_S * (0.5 + self.random.random()))
+            await asyncio.sleep(RETRY_S * (0.5 + self.random.random()))
 
     async def _end(self, client: LedgerClient, turn: TurnId) -> None:
         kept = Turn(turn, None, b"asked", b"answered\n", FAR_FUTURE)
--- a/waxwingglade/ledger/tests/logged.py
+++ b/waxwingglade/ledger/tests/logged.py
@@ -12,11 +12,11 @@
     """Collect the fields of all lines of one kind."""
     lines: list[dict[str, Any]] = []
 
-    def note(message: Any) -> None:
+    def collect(message: Any) -> None:
         if message.record["message"] == event:
             lines.append(message.record["extra"])
 
-    sink = logger.add(note)
+    sink = logger.add(collect)
     try:
         yield lines
     finally:
--- a/waxwingglade/ledger/tests/machines.py
+++ b/waxwingglade/ledger/tests/machines.py
@@ -17,16 +17,16 @@
 from waxwingglade.ledger.candidacy import Candidacy
 from waxwingglade.ledger.membership import Membership
 from waxwingglade.ledger.messages import Ping
-from waxwingglade.ledger.tests.builders import Cluster, Silence
+from waxwingglade.ledger.tests.builders import Cluster, MessageLost
 
 QUICK = {
-    "LOOK_S": 0.01,
-    "PING_S": 0.02,
-    "SILENT_S": 0.3,
-    "ELSEWHERE_S": 1.2,
-    "STANDBY_S": 0.3,
-    "SUCCEED_S": 0.2,
-    "BALANCE_S": 0.1,
+    "CHECK_INTERVAL_S": 0.01,
+    "PING_INTERVAL_S": 0.02,
+    "REMOVE_AFTER_S": 0.3,
+    "REPLACE_FROM_OTHER_ZONE_S": 1.2,
+    "STANDBY_JOIN_WAIT_S": 0.3,
+    "JOIN_BESIDE_S": 0.2,
+    "BALANCE_WAIT_S": 0.1,
 }
 
 SWITCH_S = 0.0002
@@ -40,8 +40,8 @@
         for name, value in QUICK.items():
             patches.enter_context(mock.patch(f"waxwingglade.ledger.membership.{name}", value))
         patches.enter_context(mock.patch("waxwingglade.follow.watcher.WATCH_INTERVAL_S", 0.01))
-        patches.enter_context(mock.patch("waxwingglade.ledger.candidacy.VALID_S", 0.2))
-        patches.enter_context(mock.patch("waxwingglade.ledger.candidacy.RENEW_S", 0.05))
+        patches.enter_context(mock.patch("waxwingglade.ledger.candidacy.CLAIM_VALID_S", 0.2))
+        patches.enter_context(mock.patch("waxwingglade.ledger.candidacy.RENEW_INTERVAL_S", 0.05))
         yield
 
 
@@ -113,11 +113,11 @@
         self.cluster._lose(self.vm, member.vm)
         other = self.cluster.machines.get(member.vm)
         if other is None:
-            raise Silence("down")
+            raise MessageLost("down")
         return other.membership.answer_ping(message)
 
 
-class StoreForNobody(MemoryStore):
+class RejectingStore(MemoryStore):
     """The same store, for a machine that it turns away."""
 
     def __init__(self, store: MemoryStore) -> None:
@@ -135,14 +135,14 @@
         self.store = MemoryStore()
         self.machines: dict[str, Machine] = {}
 
-    async def begin_on(self, vm: str) -> Machine:
+    async def add_machine(self, vm: str) -> Machine:
         """Add a machine with an empty disk."""
         self.add(vm)
         machine = self.machines[vm] = Machine(self, vm)
         machine.start()
         return machine
 
-    async def take_away(self, vm: str) -> None:
+    async def remove_machine(self, vm: str) -> None:
         """Stop a machine for good."""
         await self.machines.pop(vm).stop()
         del self.replicas[vm]
@@ -150,16 +150,16 @@
     async def ask(self, sender: str, member: Member, message: Any) -> Any:
         """Carry a request, unless the receiver is down."""
         if member.vm not in self.replicas:
-            raise Silence("down")
+            raise MessageLost("down")
         return await super().ask(sender, member, message)
 
-    def turn_away(self, vm: str) -> None:
+    def reject_store_calls(self, vm: str) -> None:
         """Let the store refuse all calls of a machine."""
         machine = self.machines[vm]
-        machine.watcher.store = machine.membership.store = StoreForNobody(self.store)
+        machine.watcher.store = machine.membership.store = RejectingStore(self.store)
 
     @property
-    def set_now(self) -> ReplicaSet:
+    def current_set(self) -> ReplicaSet:
         """The set of members in the store."""
         watcher = Watcher(self.store, KEYS)
         if KEYS.replicas in self.store.items:
@@ -168,7 +168,7 @@
 
     def vms(self) -> set[str]:
         """Return the VMs of a settled set, or nothing."""
-        replicas = self.set_now
+        replicas = self.current_set
         return {member.vm for member in replicas.members} if replicas.settled else set()
 
     async def stop_all(self) -> None:
--- a/waxwingglade/ledger/tests/random_sets.py
+++ b/waxwingglade/ledger/tests/random_sets.py
@@ -20,7 +20,7 @@
     TurnId,
 )
 from waxwingglade.ledger.replica import Replica
-from waxwingglade.ledger.tests.builders import FAR_FUTURE, Silence
+from waxwingglade.ledger.tests.builders import FAR_FUTURE, MessageLost
 from waxwingglade.ledger.tests.machines import Machine, Machines
 
 CALLERS = 16
@@ -31,16 +31,16 @@
 LOSS = 0.01
 """Share of messages that are lost, and again of answers."""
 
-LATE_S = 0.03
+MAX_ANSWER_DELAY_S = 0.03
 """Most seconds by which the answers of a machine come late, drawn anew for each change."""
 
-LEARNT_LATE_S = 0.1
+MAX_NOTICE_DELAY_S = 0.1
 """Most seconds after which a machine learns of a new set; on VMs its watch decides that."""
 
 SETTLED_S = 10.0
 """Seconds within which the set has its three members again after a change."""
 
-LOOKED_FOR = 40
+MAX_VERIFIED = 40
 """Kept turns that are continued once more at the end, through every replica."""
 
 THINK_S = 0.01
@@ -53,13 +53,13 @@
 
     def _changed(self) -> None:
         replicas = self.watcher.view.replicas
-        delay_s = self.cluster.random.random() * LEARNT_LATE_S
+        delay_s = self.cluster.random.random() * MAX_NOTICE_DELAY_S
 
-        async def learn() -> None:
+        async def adopt() -> None:
             await asyncio.sleep(delay_s)
             await self.replica.adopt_members(replicas)
 
-        self.tasks.append(asyncio.ensure_future(learn()))
+        self.tasks.append(asyncio.ensure_future(adopt()))
 
 
 class RandomSets:
@@ -86,7 +86,7 @@
         self.machines = Machines()
         self.machines.random = random.Random(seed)
         self.coordinators: dict[str, Coordinator] = {}
-        self.working: defaultdict[str, set[asyncio.Task]] = defaultdict(set)
+        self.in_progress: defaultdict[str, set[asyncio.Task]] = defaultdict(set)
         self.numbers = itertools.count(1)
         self.spares = itertools.count(10)
         self.turns: dict[TurnId, Turn] = {}
@@ -99,21 +99,21 @@
     async def run(self, seconds: float) -> None:
         """Let callers work while the set changes for some seconds; then look for all turns."""
         for number in range(3):
-            self._begin_on(f"vm-{number}")
+            self._add_machine(f"vm-{number}")
         await self._until_settled()
         self.machines.loss = LOSS
         callers = [asyncio.create_task(self._caller(number)) for number in range(CALLERS)]
         end_at = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end_at:
-            actions = [*3 * [self._empty], *2 * [self._succeed], self._wipe, self._restart]
+            actions = [*3 * [self._retire], *2 * [self._succeed], self._wipe, self._restart]
             await self._change(self.draw.choice(actions))
         for caller in callers:
             caller.cancel()
         ends = await asyncio.gather(*callers, return_exceptions=True)
         self.broken += [repr(each) for each in ends if not isinstance(each, asyncio.CancelledError)]
         self.machines.loss = 0.0
-        looked_for = self.draw.sample(self.kept, min(LOOKED_FOR, len(self.kept)))
-        await asyncio.gather(*(self._look_for(name) for name in looked_for))
+        verified = self.draw.sample(self.kept, min(MAX_VERIFIED, len(self.kept)))
+        await asyncio.gather(*(self._verify_kept(name) for name in verified))
         for program, tokens in self.handed_out.items():
             if tokens > BUDGET:
                 self.broken.append(f"{program}: {tokens} tokens of {BUDGET}")
@@ -121,7 +121,7 @@
     async def stop(self) -> None:
         """Stop all machines."""
         for vm in list(self.machines.machines):
-            self._end_work(vm)
+            self._cancel_requests(vm)
         await self.machines.stop_all()
 
     # Callers
@@ -177,14 +177,14 @@
             await asyncio.sleep(THINK_S)
             return None
         task = asyncio.ensure_future(request(self.coordinators[vm]))
-        self.working[vm].add(task)
+        self.in_progress[vm].add(task)
         try:
             await asyncio.wait([task])
         finally:
-            self.working[vm].discard(task)
+            self.in_progress[vm].discard(task)
         return None if task.cancelled() else task.result()
 
-    async def _look_for(self, name: TurnId) -> None:
+    async def _verify_kept(self, name: TurnId) -> None:
         """Continue a kept turn through every replica."""
         for vm, coordinator in self.coordinators.items():
             async with asyncio.timeout(SETTLED_S):
@@ -200,27 +200,29 @@
 
     async def _change(self, action: Callable[[], Coroutine[Any, Any, None]]) -> None:
         for vm in self.machines.replicas:
-            self.machines.delays[vm] = self.draw.choice([0.0, self.draw.random() * LATE_S])
+            self.machines.delays[vm] = self.draw.choice(
+                [0.0, self.draw.random() * MAX_ANSWER_DELAY_S]
+            )
         try:
             async with asyncio.timeout(SETTLED_S):
                 await action()
                 await self._until_settled()
-                await self._take_spares_away()
+                await self._remove_spares()
                 await self._until_settled()
         except TimeoutError:
-            self.broken.append(f"{action.__name__}: the members are {self.machines.set_now}")
+            self.broken.append(f"{action.__name__}: the members are {self.machines.current_set}")
             raise
         self.changes += 1
 
-    async def _take_spares_away(self) -> None:
+    async def _remove_spares(self) -> None:
         members = self.machines.vms()
         for vm in [vm for vm in self.machines.machines if members and vm not in members]:
-            await self._take_away(vm)
+            await self._remove_machine(vm)
 
-    async def _empty(self) -> None:
+    async def _retire(self) -> None:
         """Empty a machine for which another stands by."""
         leaving = self._any_member()
-        self._begin_on(self._spare_name())
+        self._add_machine(self._spare_name())
         self.machines.store.put(f"op/retire/{leaving}", b"{}")
         await self._until(lambda: self.machines.vms() and leaving not in self.machines.vms())
         self.machines.store.put(f"op/retire/{leaving}", None)
@@ -228,15 +230,15 @@
     async def _wipe(self) -> None:
         """Lose a disk; the machine starts again with an empty one."""
         vm = self._any_member()
-        await self._take_away(vm)
-        self._begin_on(vm)
+        await self._remove_machine(vm)
+        self._add_machine(vm)
         await self._until(lambda: self._holds_place(vm))
 
     async def _succeed(self) -> None:
         """Cut a member off until another of its zone stands in, or has not for a while."""
         vm = self._any_member()
         spare = self._spare_name(vm)
-        self._begin_on(spare)
+        self._add_machine(spare)
         self.machines.isolate(vm)
         await asyncio.sleep(0.15 + self.draw.random() * 0.3)
         self.machines.heal()
@@ -245,7 +247,7 @@
         """Kill a machine and start it again."""
         vm = self._any_member()
         folder = self.machines.replicas[vm].journal.folder
-        await self._take_away(vm)
+        await self._remove_machine(vm)
         await asyncio.sleep(self.draw.random() * 0.1)
         self.machines.replicas[vm] = Replica(folder)
         self._start(vm)
@@ -259,14 +261,16 @@
         return f"vm-{next(self.spares)}-{zone}"
 
     def _holds_place(self, vm: str) -> bool:
-        return any(m.disk == self.machines.replicas[vm].disk for m in self.machines.set_now.members)
+        return any(
+            m.disk == self.machines.replicas[vm].disk for m in self.machines.current_set.members
+        )
 
     async def _until_settled(self) -> None:
         await self._until(lambda: len(self.machines.vms()) == 3 and self._all_up())
 
     def _all_up(self) -> bool:
         disks = {replica.disk for replica in self.machines.replicas.values()}
-        return disks >= {member.disk for member in self.machines.set_now.members}
+        return disks >= {member.disk for member in self.machines.current_set.members}
 
     async def _until(self, condition: Callable[[], object]) -> None:
         while not condition():
@@ -274,7 +278,7 @@
 
     # Machines
 
-    def _begin_on(self, vm: str) -> None:
+    def _add_machine(self, vm: str) -> None:
         self.machines.add(vm)
         self._start(vm)
 
@@ -289,7 +293,7 @@
                 async with asyncio.timeout(timeout_s):
                     return await self.machines.ask(machine.vm, member, message)
             except TimeoutError as error:
-                raise Silence("late") from error
+                raise MessageLost("late") from error
 
         def observe_replicas(replicas: Any) -> None:
             machine.tasks.append(asyncio.ensure_future(machine.replica.adopt_members(replicas)))
@@ -299,15 +303,15 @@
             machine.member, lambda: replica.replicas, ask, observe_replicas, replica.confirmations
         )
 
-    def _end_work(self, vm: str) -> None:
+    def _cancel_requests(self, vm: str) -> None:
         """End the requests under way at a machine: nobody hears of them."""
         self.coordinators.pop(vm, None)
-        for task in list(self.working[vm]):
+        for task in list(self.in_progress[vm]):
             task.cancel()
 
-    async def _take_away(self, vm: str) -> None:
-        self._end_work(vm)
-        await self.machines.take_away(vm)
+    async def _remove_machine(self, vm: str) -> None:
+        self._cancel_requests(vm)
+        await self.machines.remove_machine(vm)
 
 
 __all__ = ["RandomSets"]
--- a/waxwingglade/ledger/tests/test_catch_up.py
+++ b/waxwingglade/ledger/tests/test_catch_up.py
@@ -14,7 +14,7 @@
 from waxwingglade.follow.model import Replica as Member
 from waxwingglade.ledger.catch_up import catch_up
 from waxwingglade.ledger.messages import Fetch, Fetched, ListHeld, Turn, TurnId
-from waxwingglade.ledger.tests.builders import FAR_FUTURE, Cluster, Silence
+from waxwingglade.ledger.tests.builders import FAR_FUTURE, Cluster, MessageLost
 
 MEMBERS = 5
 TURNS = 1200
@@ -34,13 +34,13 @@
         """Let some replicas hold turns."""
         for vm in vms:
             turns = [Turn(TurnId(f"t{name}"), None, asked, b"", FAR_FUTURE) for name in names]
-            await self.cluster.replicas[vm].take_in(Fetched(tuple(turns)))
+            await self.cluster.replicas[vm].store_fetched(Fetched(tuple(turns)))
 
     async def ask(self, member: Member, message: Any, timeout_s: float) -> Any:
         """Ask a member, and count what it answers."""
         if isinstance(message, Fetch) and member.vm in self.failing:
             if self.fail_after <= 0:
-                raise Silence("failing")
+                raise MessageLost("failing")
             self.fail_after -= 1
         answer = await self.cluster.ask("vm-9", member, message)
         if isinstance(answer, Fetched):
--- a/waxwingglade/ledger/tests/test_coordinator.py
+++ b/waxwingglade/ledger/tests/test_coordinator.py
@@ -113,7 +113,7 @@
         promise = Ballot(5, "x")
         await replica.prepare(Prepare(self.cluster.set.epoch, PROGRAM, promise))
         account = Account(spent=7)
-        await replica.take_in(Fetched((), {PROGRAM: (Ballot(2, "a"), account)}))
+        await replica.store_fetched(Fetched((), {PROGRAM: (Ballot(2, "a"), account)}))
         replica = await self.cluster.restart("vm-0")
         slot = replica.slots[PROGRAM]
         self.assertEqual((slot.promised, slot.account), (promise, account))
--- a/waxwingglade/ledger/tests/test_journal.py
+++ b/waxwingglade/ledger/tests/test_journal.py
@@ -120,7 +120,7 @@
 
         with (
             mock.patch("waxwingglade.ledger.journal.os.fdatasync", refuse),
-            mock.patch("waxwingglade.ledger.journal.RETRY_S", 0.01),
+            mock.patch("waxwingglade.ledger.journal.RETRY_DELAY_S", 0.01),
         ):
             await journal.append(b"late but whole")
         await journal.stop()
--- a/waxwingglade/ledger/tests/test_ledger_logs.py
+++ b/waxwingglade/ledger/tests/test_ledger_logs.py
@@ -13,21 +13,21 @@
 from waxwingglade.ledger.tests.logged import logged_lines
 from waxwingglade.transport.links import LinkFailed
 
-PATIENCE_S = 5.0
+WAIT_LIMIT_S = 5.0
 
 
-class OneSilentLink:
+class OneUnresponsiveLink:
     """Links of which the first that is used gives no answer."""
 
     def __init__(self) -> None:
-        self.silent = ""
+        self.unresponsive = ""
 
     def to(self, address: str) -> mock.Mock:
         """Return the link to a replica."""
 
         async def request(_message: Any, timeout_s: float) -> TurnEnded:
-            self.silent = self.silent or address
-            if address != self.silent:
+            self.unresponsive = self.unresponsive or address
+            if address != self.unresponsive:
                 return TurnEnded(True, True)
             await asyncio.sleep(timeout_s)
             raise LinkFailed("gave no answer", sent=True)
@@ -38,7 +38,7 @@
 class EntryLogsTest(unittest.IsolatedAsyncioTestCase):
     async def test_whom_a_turn_was_sent_to_and_what_each_answered(self) -> None:
         replicas = [Replica(f"d{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(3)]
-        client = LedgerClient(OneSilentLink(), lambda: replicas, ZoneId("zone"))
+        client = LedgerClient(OneUnresponsiveLink(), lambda: replicas, ZoneId("zone"))
         with logged_lines("ledger slow to answer") as lines:
             await client.end(end(1), 20.0)
         (line,) = lines
@@ -65,14 +65,14 @@
         self.assertIn("of 3 members answered", line["reason"])
 
     async def test_an_account_that_held_up_the_end_of_a_kept_turn(self) -> None:
-        async def held_up(_message: Any) -> None:
+        async def never_in_time(_message: Any) -> None:
             await asyncio.sleep(20.0)
 
         for replica in self.cluster.replicas.values():
-            replica.handlers[Prepare] = replica.handlers[Accept] = held_up
+            replica.handlers[Prepare] = replica.handlers[Accept] = never_in_time
         with logged_lines("turn slow to end") as ends, logged_lines("account held up") as accounts:
             await self.coordinator.end(end(1))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 while not accounts:
                     await asyncio.sleep(0.01)
         self.assertTrue(ends[0]["kept"])
--- a/waxwingglade/ledger/tests/test_lost_promise.py
+++ b/waxwingglade/ledger/tests/test_lost_promise.py
@@ -17,7 +17,7 @@
     TurnBegun,
     TurnId,
 )
-from waxwingglade.ledger.tests.builders import FAR_FUTURE, PROGRAM, Cluster, Silence, begin
+from waxwingglade.ledger.tests.builders import FAR_FUTURE, PROGRAM, Cluster, MessageLost, begin
 
 BUDGET = 1000
 LOST, SPARE, LATE = "vm-4", "vm-5", "vm-2"
@@ -74,7 +74,7 @@
 
             async def ask(member: Member, message: Any, _timeout_s: float, vm: str = vm) -> Any:
                 if member.vm == LATE:
-                    raise Silence("late")
+                    raise MessageLost("late")
                 return await self.cluster.ask(vm, member, message)
 
             await catch_up(self.cluster.replicas[vm], replicas, ask, lambda _: None)
--- a/waxwingglade/ledger/tests/test_membership.py
+++ b/waxwingglade/ledger/tests/test_membership.py
@@ -11,10 +11,10 @@
 from waxwingglade.follow.model import blocking_size_of
 from waxwingglade.ledger.catch_up import catch_up
 from waxwingglade.ledger.messages import NoSuchTurn, TurnBegun
-from waxwingglade.ledger.tests.builders import PROGRAM, Cluster, Silence, begin, end, turn
+from waxwingglade.ledger.tests.builders import PROGRAM, Cluster, MessageLost, begin, end, turn
 from waxwingglade.ledger.tests.machines import Machines, quick_times
 
-PATIENCE_S = 20.0
+WAIT_LIMIT_S = 20.0
 
 
 class MembershipTest(unittest.IsolatedAsyncioTestCase):
@@ -23,26 +23,26 @@
         self.machines = Machines()
         self.addAsyncCleanup(self.machines.stop_all)
         for vm in ("vm-0", "vm-1", "vm-2"):
-            await self.machines.begin_on(vm)
+            await self.machines.add_machine(vm)
         await self.until(lambda: self.machines.vms() == {"vm-0", "vm-1", "vm-2"})
 
     async def until(self, condition: Callable[[], bool]) -> None:
         """Wait until a condition holds."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while not condition():
                 await asyncio.sleep(0.01)
 
     async def keep(self, vm: str, number: int) -> None:
         """Keep a turn through a coordinator, trying until it is kept."""
         coordinator = self.machines.coordinator(vm)
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while not (await coordinator.end(end(number))).kept:
                 await asyncio.sleep(0.01)
 
     async def find(self, vm: str, number: int) -> None:
         """Check that a turn is found through a coordinator."""
         coordinator = self.machines.coordinator(vm)
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while True:
                 try:
                     answer = await coordinator.begin(begin(900, previous=f"turn-{number}"))
@@ -63,33 +63,33 @@
         await self.keep("vm-0", 1)
         self.machines.heal()
         old = self.disk("vm-0")
-        await self.machines.take_away("vm-0")
-        await self.machines.begin_on("vm-0")
+        await self.machines.remove_machine("vm-0")
+        await self.machines.add_machine("vm-0")
         await self.until(
-            lambda: self.machines.set_now.settled
-            and {m.disk for m in self.machines.set_now.members}
+            lambda: self.machines.current_set.settled
+            and {m.disk for m in self.machines.current_set.members}
             == {self.disk(vm) for vm in ("vm-0", "vm-1", "vm-2")}
         )
         self.assertNotEqual(self.disk("vm-0"), old)
-        await self.machines.take_away("vm-1")
+        await self.machines.remove_machine("vm-1")
         await self.find("vm-0", 1)
 
     async def test_a_machine_that_is_added_stands_by(self) -> None:
-        await self.machines.begin_on("vm-9")
+        await self.machines.add_machine("vm-9")
         await asyncio.sleep(0.2)
         self.assertEqual(self.machines.vms(), {"vm-0", "vm-1", "vm-2"})
 
     async def test_a_machine_replaced_elsewhere_is_removed(self) -> None:
         await self.keep("vm-0", 1)
-        await self.machines.take_away("vm-0")
-        await self.machines.begin_on("vm-10")
+        await self.machines.remove_machine("vm-0")
+        await self.machines.add_machine("vm-10")
         await self.until(lambda: self.machines.vms() == {"vm-1", "vm-2", "vm-10"})
-        await self.machines.take_away("vm-1")
+        await self.machines.remove_machine("vm-1")
         await self.find("vm-10", 1)
 
     async def test_a_standby_joins_before_a_machine_is_emptied(self) -> None:
         await self.keep("vm-0", 1)
-        await self.machines.begin_on("vm-9")
+        await self.machines.add_machine("vm-9")
         await asyncio.sleep(0.1)
         self.machines.store.put("op/retire/vm-1", b"{}")
         await self.until(lambda: "status/vm-1" in self.machines.store.items)
@@ -101,24 +101,24 @@
         await self.keep("vm-0", 1)
         self.machines.store.put("op/retire/vm-1", b"{}")
         await self.until(lambda: self.machines.vms() == {"vm-0", "vm-2"})
-        await self.machines.take_away("vm-0")
-        await self.machines.begin_on("vm-9")
+        await self.machines.remove_machine("vm-0")
+        await self.machines.add_machine("vm-9")
         await self.until(lambda: {"vm-2", "vm-9"} <= self.machines.vms())
         await self.find("vm-9", 1)
-        await self.machines.begin_on("vm-0")
+        await self.machines.add_machine("vm-0")
         await self.until(
-            lambda: self.disk("vm-0") in {m.disk for m in self.machines.set_now.members}
+            lambda: self.disk("vm-0") in {m.disk for m in self.machines.current_set.members}
             and self.machines.vms() == {"vm-0", "vm-2", "vm-9"}
         )
 
     async def test_a_set_that_is_too_small_grows_at_once(self) -> None:
         """A member is replaced in its zone while the set has one member fewer than wanted."""
-        with mock.patch("waxwingglade.ledger.membership.ELSEWHERE_S", 1000.0):
+        with mock.patch("waxwingglade.ledger.membership.REPLACE_FROM_OTHER_ZONE_S", 1000.0):
             self.machines.store.put("op/retire/vm-1", b"{}")
             await self.until(lambda: self.machines.vms() == {"vm-0", "vm-2"})
             await self.keep("vm-0", 1)
-            await self.machines.take_away("vm-0")
-            await self.machines.begin_on("vm-10")
+            await self.machines.remove_machine("vm-0")
+            await self.machines.add_machine("vm-10")
             await self.until(lambda: {"vm-2", "vm-10"} <= self.machines.vms())
             await self.find("vm-10", 1)
 
@@ -131,8 +131,8 @@
 
     async def test_no_set_changes_while_the_store_is_away(self) -> None:
         self.machines.store.unavailable = True
-        await self.machines.take_away("vm-0")
-        await self.machines.begin_on("vm-10")
+        await self.machines.remove_machine("vm-0")
+        await self.machines.add_machine("vm-10")
         await asyncio.sleep(0.5)
         self.assertEqual(self.machines.vms(), {"vm-0", "vm-1", "vm-2"})
         await self.keep("vm-1", 1)
@@ -149,10 +149,10 @@
         """
         self.machines.store.put("op/retire/vm-1", b"{}")
         await self.until(lambda: self.machines.vms() == {"vm-0", "vm-2"})
-        await self.machines.take_away("vm-1")
+        await self.machines.remove_machine("vm-1")
         await self.until(lambda: self.machines.machines["vm-2"].membership.replicas.settled)
-        self.machines.turn_away("vm-2")
-        await self.machines.begin_on("vm-9")
+        self.machines.reject_store_calls("vm-2")
+        await self.machines.add_machine("vm-9")
         self.machines.isolate("vm-2")
         await self.until(lambda: self.machines.vms() == {"vm-0", "vm-2", "vm-9"})
         await self.keep("vm-0", 1)
@@ -161,12 +161,12 @@
 
     async def test_a_set_is_settled_though_the_store_turns_its_first_member_away(self) -> None:
         """By signs of life that member leads, and a wiped disk needed all others for long."""
-        first, other, _ = (member.vm for member in self.machines.set_now.members)
-        self.machines.turn_away(first)
-        await self.machines.take_away(other)
-        await self.machines.begin_on(other)
-        await self.until(lambda: self.machines.set_now.joining == self.disk(other))
-        await self.until(lambda: self.machines.set_now.settled)
+        first, other, _ = (member.vm for member in self.machines.current_set.members)
+        self.machines.reject_store_calls(first)
+        await self.machines.remove_machine(other)
+        await self.machines.add_machine(other)
+        await self.until(lambda: self.machines.current_set.joining == self.disk(other))
+        await self.until(lambda: self.machines.current_set.settled)
         await self.until(lambda: len(self.machines.vms()) == 3)
 
     async def test_members_are_asked_for_a_sign_of_life_though_one_is_silent(self) -> None:
@@ -177,7 +177,7 @@
             asked.append(member.vm)
             if member.vm == "vm-1":
                 await asyncio.sleep(timeout_s)
-            raise Silence(member.vm)
+            raise MessageLost(member.vm)
 
         membership.ask = ask
         await asyncio.sleep(0.2)
@@ -222,7 +222,7 @@
                 await asyncio.Event().wait()
             return await cluster.replicas[member.vm].handle(message)
 
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             await catch_up(joiner, cluster.set, ask, lambda _: None)
         self.assertIn("turn-1", joiner.turns)
         with self.assertRaises(WaxwinggladeError):
@@ -230,7 +230,7 @@
 
 
 async def _refuse(member: Member, message: Any, timeout_s: float) -> Any:
-    raise Silence("down")
+    raise MessageLost("down")
 
 
 class WitnessesTest(unittest.TestCase):
--- a/waxwingglade/ledger/tests/test_node.py
+++ b/waxwingglade/ledger/tests/test_node.py
@@ -23,14 +23,20 @@
     TurnId,
     Unavailable,
 )
-from waxwingglade.ledger.node import CONFIRM_S, FINISH_S, MOST_BEGINNING, LedgerNode, LedgerSettings
+from waxwingglade.ledger.node import (
+    FINISH_TIMEOUT_S,
+    MAX_BEGINNING,
+    UPDATE_INTERVAL_S,
+    LedgerNode,
+    LedgerSettings,
+)
 from waxwingglade.transport.links import Link, Links
 
 BEGIN = BeginTurn(TurnId("t"), ProgramId("p"), 40, 100)
 LATE_S = 2.0
 """Seconds by which a busy machine may be late."""
 
-ASK_S = 10.0
+ANSWER_TIMEOUT_S = 10.0
 """Seconds for an answer; nothing here takes as long unless it never comes."""
 
 
@@ -60,13 +66,13 @@
 
 class SheddingTest(NodeTest):
     async def test_turns_beyond_a_bound_are_refused_at_once_and_others_still_end(self) -> None:
-        begun = [asyncio.create_task(self.node.answer(BEGIN)) for _ in range(MOST_BEGINNING)]
+        begun = [asyncio.create_task(self.node.answer(BEGIN)) for _ in range(MAX_BEGINNING)]
         await asyncio.sleep(0)
         self.assertEqual(await self.node.answer(BEGIN), Busy())
         end = EndTurn(TurnId("t"), ProgramId("p"), 40)
         self.assertEqual(await self.node.answer(end), TurnEnded(True, True))
         self.go_on.set()
-        self.assertEqual(await asyncio.gather(*begun), [TurnBegun()] * MOST_BEGINNING)
+        self.assertEqual(await asyncio.gather(*begun), [TurnBegun()] * MAX_BEGINNING)
         self.assertEqual(await self.node.answer(BEGIN), TurnBegun())
 
 
@@ -104,51 +110,51 @@
 
     async def under_way(self, message: Any) -> "asyncio.Future[Any]":
         """Send a request, and return the future of its answer once the process works on it."""
-        asking = self.link.post(message, ASK_S)
-        async with asyncio.timeout(ASK_S):
+        asking = self.link.post(message, ANSWER_TIMEOUT_S)
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             while not self.node.server.running:
                 await asyncio.sleep(0.005)
         return asking
 
     async def test_what_is_under_way_is_answered_and_what_comes_is_refused(self) -> None:
         begun = await self.under_way(BEGIN)
-        with mock.patch("waxwingglade.ledger.node.FINISH_S", 2 * ASK_S):
+        with mock.patch("waxwingglade.ledger.node.FINISH_TIMEOUT_S", 2 * ANSWER_TIMEOUT_S):
             stopped = self.stop()
             await asyncio.sleep(0.05)
-            self.assertIsInstance(await self.link.request(BEGIN, ASK_S), Unavailable)
+            self.assertIsInstance(await self.link.request(BEGIN, ANSWER_TIMEOUT_S), Unavailable)
             self.go_on.set()
             self.assertEqual(await begun, TurnBegun())
-            async with asyncio.timeout(ASK_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await stopped
 
     async def test_what_does_not_end_holds_up_no_stop(self) -> None:
         begun = await self.under_way(BEGIN)
         began_at = time.monotonic()
         await self.stop()
-        self.assertLess(time.monotonic() - began_at, FINISH_S + LATE_S)
+        self.assertLess(time.monotonic() - began_at, FINISH_TIMEOUT_S + LATE_S)
         begun.cancel()
 
-    async def until_no_news(self) -> None:
-        """Wait until the process has told its followers all that the store holds."""
-        async with asyncio.timeout(ASK_S):
+    async def until_up_to_date(self) -> None:
+        """Wait until the process has reported its followers all that the store holds."""
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             while not (
-                self.node.replica.replicas.settled and self.node.beliefs.view.targets.revision
+                self.node.replica.replicas.settled and self.node.cached_view.view.targets.revision
             ):
                 await asyncio.sleep(0.005)
-        await asyncio.sleep(3 * CONFIRM_S)
+        await asyncio.sleep(3 * UPDATE_INTERVAL_S)
 
     async def test_a_follower_is_answered_at_once_and_sent_elsewhere(self) -> None:
-        await self.until_no_news()
-        view = self.node.beliefs.view
-        follow = Follow(view.version, view.targets.revision, view.replicas.epoch, ASK_S)
-        told = await self.under_way(follow)
-        await asyncio.sleep(3 * CONFIRM_S)
-        self.assertFalse(told.done(), "there was news")
+        await self.until_up_to_date()
+        view = self.node.cached_view.view
+        follow = Follow(view.version, view.targets.revision, view.replicas.epoch, ANSWER_TIMEOUT_S)
+        reported = await self.under_way(follow)
+        await asyncio.sleep(3 * UPDATE_INTERVAL_S)
+        self.assertFalse(reported.done(), "there was news")
         # An answer at the end of its wait, or of the time for what is under way, would be too late.
-        with mock.patch("waxwingglade.ledger.node.FINISH_S", 2 * ASK_S):
+        with mock.patch("waxwingglade.ledger.node.FINISH_TIMEOUT_S", 2 * ANSWER_TIMEOUT_S):
             stopped = self.stop()
             async with asyncio.timeout(LATE_S):
-                self.assertIsInstance(await told, Followed)
+                self.assertIsInstance(await reported, Followed)
                 await stopped
 
 
--- a/waxwingglade/ledger/tests/test_one_set.py
+++ b/waxwingglade/ledger/tests/test_one_set.py
@@ -29,7 +29,7 @@
         self.addAsyncCleanup(self.machines.stop_all)
 
     async def open(self, vms: list[str]) -> None:
-        """Add machines whose replicas run, and that look and hear only when told."""
+        """Add machines whose replicas run, and that look and deliver only when told."""
         for vm in vms:
             self.machines.add(vm)
             machine = self.machines.machines[vm] = Machine(self.machines, vm)
@@ -43,7 +43,7 @@
         """Put a set into the store."""
         self.machines.store.put(KEYS.replicas, msgspec.json.encode(replicas))
 
-    async def hear(self, vms: list[str]) -> None:
+    async def deliver(self, vms: list[str]) -> None:
         """Let watches bring what the store holds."""
         for vm in vms:
             machine = self.machines.machines[vm]
@@ -69,26 +69,26 @@
         """Let two replicas join a set of two at once."""
         await self.open(["vm-0", "vm-1", "vm-2", "vm-3"])
         self.write(ReplicaSet(1, self.members(["vm-0", "vm-1"]), True))
-        await self.hear(["vm-0", "vm-1", "vm-2", "vm-3"])
+        await self.deliver(["vm-0", "vm-1", "vm-2", "vm-3"])
         self.assertTrue((await self.machines.coordinator("vm-0").end(end(9))).kept)
         stalled, go_on = self.stall_fetches("vm-3")
-        joining = asyncio.create_task(self.machines.machines["vm-3"].membership._look())
+        joining = asyncio.create_task(self.machines.machines["vm-3"].membership._check())
         await stalled.wait()
-        await self.machines.machines["vm-2"].membership._look()
-        self.assertEqual(self.machines.set_now.epoch, 2)
-        await self.hear(["vm-0", "vm-3"])
+        await self.machines.machines["vm-2"].membership._check()
+        self.assertEqual(self.machines.current_set.epoch, 2)
+        await self.deliver(["vm-0", "vm-3"])
         go_on.set()
         await joining
 
     async def test_two_that_join_at_once_do_not_write_one_epoch_twice(self) -> None:
         await self.two_join()
         self.assertEqual(
-            [member.vm for member in self.machines.set_now.members], ["vm-0", "vm-1", "vm-2"]
+            [member.vm for member in self.machines.current_set.members], ["vm-0", "vm-1", "vm-2"]
         )
 
     async def test_two_that_join_at_once_do_not_spend_a_budget_twice(self) -> None:
         await self.two_join()
-        await self.hear(["vm-1", "vm-2", "vm-3"])
+        await self.deliver(["vm-1", "vm-2", "vm-3"])
         self.machines.cut |= {("vm-0", "vm-1"), ("vm-1", "vm-0")}
         whole = {"tokens": 940, "budget": 1000}
         granted = []
@@ -102,23 +102,23 @@
         await self.open(vms)
         four = ReplicaSet(2, self.members(vms), False, self.machines.members["vm-3"].disk)
         self.write(ReplicaSet(1, self.members(vms[:3]), True))
-        await self.hear(vms)
+        await self.deliver(vms)
         self.machines.isolate("vm-0")
         self.assertTrue((await self.machines.coordinator("vm-1").end(end(9))).kept)
         self.machines.heal()
         self.write(four)
-        await self.hear(vms)
+        await self.deliver(vms)
         stalled, go_on = self.stall_fetches("vm-0")
         membership = self.machines.machines["vm-0"].membership
-        settling = asyncio.create_task(membership._look())
+        settling = asyncio.create_task(membership._check())
         await stalled.wait()
         # Meanwhile the others, which took vm-0 for silent, settle the set and remove a member.
         for vm in vms[1:]:
             membership.synced[self.machines.members[vm].disk] = 2
-            membership.heard_at[self.machines.members[vm].disk] = membership.clock()
+            membership.last_seen_at[self.machines.members[vm].disk] = membership.clock()
         self.write(msgspec.structs.replace(four, settled=True))
         self.write(ReplicaSet(3, self.members(vms[:2] + vms[3:]), False))
-        await self.hear(["vm-0"])
+        await self.deliver(["vm-0"])
         go_on.set()
         await settling
-        self.assertEqual(self.machines.set_now.epoch, 3)
+        self.assertEqual(self.machines.current_set.epoch, 3)
--- a/waxwingglade/ledger/tests/test_rounds.py
+++ b/waxwingglade/ledger/tests/test_rounds.py
@@ -17,7 +17,7 @@
 from waxwingglade.ledger.rounds import Rounds
 
 MESSAGE = Accept(1, ProgramId("p"), Ballot(1, "a"), NEW_ACCOUNT)
-SILENT = None
+NO_ANSWER = None
 SOON_S = 2.0
 """Seconds for an outcome that waits for nobody, on a busy machine; the silent never answer."""
 
@@ -32,7 +32,7 @@
 
         async def ask(member: Member, _message: Any, _timeout_s: float) -> Any:
             answer = by_disk[member.disk]
-            if answer is SILENT:
+            if answer is NO_ANSWER:
                 await asyncio.Event().wait()
             return answer
 
@@ -47,15 +47,19 @@
         up, and turns that waited so filled the processes.
         """
         refusal = Rejected(Ballot(2, "b"))
-        good = await self.outcome([Accepted(), refusal, refusal, refusal, SILENT])
+        good = await self.outcome([Accepted(), refusal, refusal, refusal, NO_ANSWER])
         self.assertEqual([Accepted()], good)
 
     async def test_a_silent_member_that_may_decide_it_is_waited_for(self) -> None:
         with self.assertRaises(TimeoutError):
-            await self.outcome([Accepted(), Accepted(), Rejected(Ballot(2, "b")), SILENT, SILENT])
+            await self.outcome(
+                [Accepted(), Accepted(), Rejected(Ballot(2, "b")), NO_ANSWER, NO_ANSWER]
+            )
 
     async def test_a_majority_is_enough(self) -> None:
-        good = await self.outcome([Accepted(), SILENT, Accepted(), Accepted(), SILENT], first=5)
+        good = await self.outcome(
+            [Accepted(), NO_ANSWER, Accepted(), Accepted(), NO_ANSWER], first=5
+        )
         self.assertEqual(3 * [Accepted()], good)
 
 
--- a/waxwingglade/ledger/tests/test_signs_of_life.py
+++ b/waxwingglade/ledger/tests/test_signs_of_life.py
@@ -8,7 +8,7 @@
 from waxwingglade.base import ZoneId
 from waxwingglade.follow.model import Replica as Member
 from waxwingglade.follow.model import ReplicaSet
-from waxwingglade.ledger.membership import SILENT_S, SUCCEED_S, Membership
+from waxwingglade.ledger.membership import JOIN_BESIDE_S, REMOVE_AFTER_S, Membership
 
 
 def member(name: str) -> Member:
@@ -50,17 +50,17 @@
             candidacy=None,
             clock=self.clock,
         )
-        self.hear(*MEMBERS)
+        self.mark_seen(*MEMBERS)
 
     async def never_answer(self, *_: Any) -> None:
         """Answer no ping while the test runs."""
         await asyncio.Event().wait()
 
-    def hear(self, *members: Member) -> None:
+    def mark_seen(self, *members: Member) -> None:
         """Let members give a sign of life now."""
         for each in members:
-            self.membership.silent_s(each)
-            self.membership.heard_at[each.disk] = self.clock()
+            self.membership.unresponsive_s(each)
+            self.membership.last_seen_at[each.disk] = self.clock()
 
     def is_needed(self) -> bool:
         """Return whether the replica would join."""
@@ -68,30 +68,30 @@
 
     async def test_a_member_that_has_just_joined_is_not_silent(self) -> None:
         """Guards against a second replica that joins beside the first for one lost member."""
-        self.clock.now += SUCCEED_S + 0.1
-        self.hear(MEMBERS[0], MEMBERS[2])
+        self.clock.now += JOIN_BESIDE_S + 0.1
+        self.mark_seen(MEMBERS[0], MEMBERS[2])
         self.assertTrue(self.is_needed())
         self.replica.replicas = ReplicaSet(4, (*MEMBERS, JOINED), True)
         self.assertFalse(self.is_needed())
-        self.clock.now += SILENT_S
+        self.clock.now += REMOVE_AFTER_S
         self.assertTrue(self.is_needed())
 
     async def test_a_standstill_is_not_the_silence_of_others(self) -> None:
         """Guards against joining for a member that answered while this process stood still."""
-        self.hear(*MEMBERS)
-        self.clock.now += SUCCEED_S + 0.1
-        self.membership.leave_out(SUCCEED_S)
+        self.mark_seen(*MEMBERS)
+        self.clock.now += JOIN_BESIDE_S + 0.1
+        self.membership.discount_stall(JOIN_BESIDE_S)
         self.assertFalse(self.is_needed())
-        self.clock.now += SUCCEED_S
+        self.clock.now += JOIN_BESIDE_S
         self.assertTrue(self.is_needed())
 
     async def test_a_member_that_joins_again_is_not_silent(self) -> None:
         """Guards against counting the time in which it was no member and nobody asked it."""
         for members in ((*MEMBERS, JOINED), MEMBERS, (*MEMBERS, JOINED)):
-            self.clock.now += SILENT_S
+            self.clock.now += REMOVE_AFTER_S
             self.replica.replicas = ReplicaSet(self.replica.replicas.epoch + 1, members, True)
-            self.hear(*MEMBERS)
-        self.assertEqual(self.membership.silent_s(JOINED), 0.0)
+            self.mark_seen(*MEMBERS)
+        self.assertEqual(self.membership.unresponsive_s(JOINED), 0.0)
 
 
 if __name__ == "__main__":
--- a/waxwingglade/ledger/tests/test_standby.py
+++ b/waxwingglade/ledger/tests/test_standby.py
@@ -25,10 +25,10 @@
 
 ZONES = ("a", "b", "c")
 WANTED = 3
-LOOK_S = 0.01
+CHECK_INTERVAL_S = 0.01
 TURNS = 400
-WATCHED_S = 4.0
-MOST_WATCHES = 4
+OBSERVED_S = 4.0
+MAX_WATCHES = 4
 """Watches of a process on standby in that time."""
 
 REPLACED_S = 4.0
@@ -37,7 +37,7 @@
 EMPTIED_S = 9.0
 """Seconds of an operator's order to empty a VM, the least that are given."""
 
-PATIENCE_S = 20.0
+WAIT_LIMIT_S = 20.0
 
 
 class WaitingStore(MemoryStore):
@@ -62,7 +62,7 @@
         try:
             async with asyncio.timeout(wait_s):
                 while self.revision <= after:
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(CHECK_INTERVAL_S)
         except TimeoutError:
             pass
         return await super().watch(prefix, after, wait_s)
@@ -113,11 +113,13 @@
         replicas = node.watcher.view.replicas
         return {member.vm for member in replicas.members} if replicas.settled else set()
 
-    async def until(self, condition: Callable[[], bool], patience_s: float = PATIENCE_S) -> None:
+    async def until(
+        self, condition: Callable[[], bool], wait_limit_s: float = WAIT_LIMIT_S
+    ) -> None:
         """Wait until a condition holds."""
-        async with asyncio.timeout(patience_s):
+        async with asyncio.timeout(wait_limit_s):
             while not condition():
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
 
     def standbys(self) -> list[LedgerNode]:
         """Return the processes that are no members."""
@@ -127,9 +129,9 @@
         await asyncio.sleep(1.0)
         standbys = self.standbys()
         before = [node.store.watches for node in standbys]
-        await asyncio.sleep(WATCHED_S)
+        await asyncio.sleep(OBSERVED_S)
         for node, count in zip(standbys, before, strict=True):
-            self.assertLessEqual(node.store.watches - count, MOST_WATCHES)
+            self.assertLessEqual(node.store.watches - count, MAX_WATCHES)
 
     async def test_it_joins_in_time_for_a_member_that_has_gone(self) -> None:
         await asyncio.sleep(1.0)
@@ -148,7 +150,7 @@
         names = [TurnId(f"t{number}") for number in range(TURNS)]
         kept = tuple(Turn(name, None, b"x" * 1000, b"", FAR_FUTURE) for name in names)
         for vm in self.members():
-            await self.nodes[vm].replica.take_in(Fetched(kept))
+            await self.nodes[vm].replica.store_fetched(Fetched(kept))
 
     def readers(self) -> set[str]:
         """Return the processes that have read what the members hold, and are no members."""
@@ -163,10 +165,10 @@
         lost = self.nodes["vm-b-1"].own.disk
         await self.stop("vm-b-1")
         await self.until(lambda: len(self.members() - {"vm-b-1"}) == WANTED, REPLACED_S)
-        await self.until(lambda: self.has_gone(lost))
+        await self.until(lambda: self.is_replaced(lost))
         self.assertEqual(self.readers(), set())
 
-    def has_gone(self, lost: str) -> bool:
+    def is_replaced(self, lost: str) -> bool:
         """Return whether the set is settled without a disk, and as large as wanted."""
         replicas = self.nodes["vm-a-1"].watcher.view.replicas
         disks = {member.disk for member in replicas.members}
@@ -201,7 +203,7 @@
         await asyncio.sleep(1.0)
         standby = self.nodes["vm-b-2"]
         before = self.candidate_of("b")
-        standby.membership.heard_at = dict.fromkeys(standby.membership.heard_at, 0.0)
+        standby.membership.last_seen_at = dict.fromkeys(standby.membership.last_seen_at, 0.0)
         standby.membership.started_at = 0.0
         with self.assertRaises(WaxwinggladeError):
             await standby.membership._join(standby.replica.replicas)
@@ -212,12 +214,14 @@
         await asyncio.sleep(1.0)
         standby = self.nodes["vm-b-2"]
         await standby.membership.candidacy.claim(standby.replica.replicas)
-        alive, silent = self.nodes["vm-a-1"].own, self.nodes["vm-b-1"].own
-        standby.replica.replicas = ReplicaSet(9, (alive, silent), True)
-        standby.membership.heard_at[silent.disk] = 0.0
+        responsive, unresponsive = self.nodes["vm-a-1"].own, self.nodes["vm-b-1"].own
+        standby.replica.replicas = ReplicaSet(9, (responsive, unresponsive), True)
+        standby.membership.last_seen_at[unresponsive.disk] = 0.0
         standby.membership.started_at = 0.0
         with (
-            mock.patch.object(standby.membership, "_read_all", side_effect=LinkFailed("", True)),
+            mock.patch.object(
+                standby.membership, "_read_from_members", side_effect=LinkFailed("", True)
+            ),
             self.assertRaises(LinkFailed),
         ):
             await standby.membership._join(standby.replica.replicas)
@@ -226,7 +230,7 @@
         await asyncio.sleep(1.0)
         self.shared.put(KEYS.configuration, b'{"version": 2}')
         await self.until(
-            lambda: all(node.beliefs.view.version == 2 for node in self.nodes.values()), 2.0
+            lambda: all(node.cached_view.view.version == 2 for node in self.nodes.values()), 2.0
         )
 
 
