--- a/waxwingglade/decisions/__init__.py
+++ b/waxwingglade/decisions/__init__.py
@@ -1,8 +1,8 @@
 """Decisions under load: which call goes next, to which target, and what is refused.
 
-What is named here is imported when it is first used.  A process of the platform needs some small
-modules of this package; with all of it an entry takes 0.41 s of processor time to import, without
-0.355 s (medians of 14 each).
+The names below are imported on first use.  A platform process needs only a few small modules of
+this package: importing an entry takes 0.355 s of processor time without the rest, and 0.41 s with
+it.
 """
 
 from importlib import import_module
--- a/waxwingglade/decisions/admission.py
+++ b/waxwingglade/decisions/admission.py
@@ -1,11 +1,11 @@
-"""Whether a turn is refused at once, since engines have more waiting than they can run in time.
+"""Admission control: refuse a turn at once if no engine can begin it in time.
 
-This answers bursts beyond what all engines together carry.  A turn that waits in an engine's queue
-can't be taken back, and holds up what comes after it; one that is refused may come back when there
-is room, or to another entry that knows of some.  A program that has not begun loses least by that,
-so its first turn goes last: those that have begun end, and make room.
+This handles bursts beyond the capacity of all engines together.  A turn in an engine's queue can't
+be withdrawn and delays all later turns.  A refused turn can be sent again when there are free
+slots, or to another entry that has information on them.  The first turn of a program is refused
+first, since a program that has not begun loses least; running programs end and free their slots.
 
-An urgent turn overtakes the others at an engine, so what they wait for is no reason to refuse it.
+An urgent turn overtakes less urgent turns at an engine, so these do not count against it.
 """
 
 from collections.abc import Iterable
@@ -15,28 +15,29 @@
 from waxwingglade.decisions.engine_speed import EngineSpeed
 from waxwingglade.decisions.placement import Engine, queue_wait_s
 
-FIRST_TURN_WAIT = 0.25
-"""Usual turns' times that a program's first turn may have to wait: the load of an engine is known
-to about a quarter of its slots, so less would refuse where there is room."""
+FIRST_TURN_WAIT_FACTOR = 0.25
+"""Wait limit of a program's first turn, as a multiple of an average turn's generation time.  An
+engine's load is known to about a quarter of its slots; a lower limit would refuse turns although
+slots are free."""
 
-SHORTEST_RETRY_S = 0.2
-LONGEST_RETRY_S = 1.5
-"""Bounds of the time to come back, in seconds: the first event of a usual turn takes about as long
-as the first, and a load is not known for longer ahead than the second."""
+MIN_RETRY_S = 0.2
+MAX_RETRY_S = 1.5
+"""Bounds of the retry delay, in seconds.  The lower bound is about the time to the first event of
+an average turn; the load can't be predicted for longer than the upper bound."""
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True):
-    """How long a turn may wait for an engine to begin it.
+    """A turn for which admission is requested, and how long it may wait for an engine.
 
     Parameters
     ----------
     wait_limit_s : float
-        Seconds without a first event after which its caller gives it up, or its time is over; what
-        would begin later is run for nobody, and holds up the others.
+        Seconds without a first event after which its caller abandons it, or its deadline passes.  A
+        turn that begins later delays other turns, and no caller receives its answer.
     is_first : bool
-        Whether its program begins with it.
+        Whether it is the first turn of its program.
     rank_share : float
-        Share of the turns at engines that are at least as urgent; the others it overtakes.
+        Share of the turns at engines that are at least as urgent; it overtakes the others.
     """
 
     wait_limit_s: float
@@ -45,31 +46,31 @@
 
 
 def retry_after_s(
-    pace: EngineSpeed, engines: Iterable[Engine], waiting: AdmissionRequest
+    speed: EngineSpeed, engines: Iterable[Engine], request: AdmissionRequest
 ) -> float | None:
-    """Return after how many seconds a turn should come back, or None if it is to be sent.
+    """Return the retry delay of a turn that is refused, in seconds, or None if it is admitted.
 
     Parameters
     ----------
-    pace : EngineSpeed
-        Pace of the service's engines.
+    speed : EngineSpeed
+        Estimated speed of the service's engines.
     engines : iterable of Engine
-        Those that could take the turn.
-    waiting : AdmissionRequest
-        How long the turn may wait.
+        Engines that could run the turn.
+    request : AdmissionRequest
+        The turn, and how long it may wait.
     """
-    ahead = (_ahead(engine, waiting.rank_share) for engine in engines)
-    wait_s = min((queue_wait_s(pace, engine) for engine in ahead), default=0.0)
-    longest_s = waiting.wait_limit_s
-    if waiting.is_first:
-        longest_s = min(longest_s, FIRST_TURN_WAIT * pace.generation_s(1.0))
+    ahead = (_without_overtaken(engine, request.rank_share) for engine in engines)
+    wait_s = min((queue_wait_s(speed, engine) for engine in ahead), default=0.0)
+    longest_s = request.wait_limit_s
+    if request.is_first:
+        longest_s = min(longest_s, FIRST_TURN_WAIT_FACTOR * speed.generation_s(1.0))
     if wait_s <= longest_s:
         return None
-    return min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, wait_s))
+    return min(MAX_RETRY_S, max(MIN_RETRY_S, wait_s))
 
 
-def _ahead(engine: Engine, share: float) -> Engine:
-    """Return an engine as a turn finds it that overtakes all but a share of what is there."""
+def _without_overtaken(engine: Engine, share: float) -> Engine:
+    """Return an engine with only the share of its load that the turn can't overtake."""
     return Engine(share * engine.load, engine.slots, engine.slowness)
 
 
--- a/waxwingglade/decisions/cache_index.py
+++ b/waxwingglade/decisions/cache_index.py
@@ -1,7 +1,7 @@
-"""Which targets are believed to hold which prompt blocks.
+"""Estimate of which targets have cached which prompt blocks.
 
-Beliefs come from cache events, which are late and have gaps, and from what this entry itself
-sent.  The index is bounded: the blocks used longest ago are forgotten first.
+The sources are cache events, which are delayed and may have gaps, and the calls of this entry.  The
+index is bounded and evicts the least recently used blocks first.
 """
 
 from collections import OrderedDict
@@ -11,12 +11,12 @@
 
 
 class CacheIndex:
-    """Holders of blocks; a holder is a small number, and a set of them is the bits of an int.
+    """Holders of cached blocks.  A holder is a small number; a set of holders is a bit mask.
 
     Parameters
     ----------
     max_blocks : int
-        Blocks remembered at most.
+        Greatest number of blocks in the index.
     """
 
     def __init__(self, max_blocks: int) -> None:
@@ -25,7 +25,7 @@
         self.held: dict[int, set[BlockHash]] = {}
 
     def add(self, holder: int, blocks: Iterable[BlockHash]) -> None:
-        """Believe that `holder` has `blocks`."""
+        """Record that `holder` has `blocks`."""
         held = self.held.setdefault(holder, set())
         bit = 1 << holder
         for block in blocks:
@@ -36,7 +36,7 @@
             self._forget_oldest()
 
     def remove(self, holder: int, blocks: Iterable[BlockHash]) -> None:
-        """Believe that `holder` no longer has `blocks`."""
+        """Record that `holder` no longer has `blocks`."""
         held = self.held.get(holder)
         if not held:
             return
@@ -46,20 +46,20 @@
                 self._clear(holder, block)
 
     def replace(self, holder: int, blocks: Iterable[BlockHash]) -> None:
-        """Believe that `holder` has exactly `blocks`."""
+        """Record that `holder` has exactly `blocks`."""
         wanted = set(blocks)
         self.remove(holder, [block for block in self.held.get(holder, ()) if block not in wanted])
         self.add(holder, wanted)
 
     def drop(self, holder: int) -> None:
-        """Forget all that `holder` has."""
+        """Delete all blocks of `holder`."""
         self.replace(holder, ())
         self.held.pop(holder, None)
 
     def deepest(self, blocks: tuple[BlockHash, ...]) -> tuple[int, int]:
-        """Return how many leading blocks some holder has, and the bits of those holders.
+        """Return the longest cached prefix's length in blocks, and the bit mask of its holders.
 
-        Cached prefixes have no holes but for late events, so the depth is found by bisection.
+        Cached prefixes have no gaps except due to delayed events, so bisection finds the length.
         """
         low, high = 0, len(blocks)
         while low < high:
@@ -98,7 +98,7 @@
 
 
 def numbers(bits: int) -> Iterator[int]:
-    """Return the numbers of the bits that are set, in rising order."""
+    """Return the positions of the bits that are set, in ascending order."""
     while bits:
         lowest = bits & -bits
         yield lowest.bit_length() - 1
--- a/waxwingglade/decisions/dispatch.py
+++ b/waxwingglade/decisions/dispatch.py
@@ -1,4 +1,4 @@
-"""Give each call a target: at once, or when its turn has come."""
+"""Dispatcher of one entry: assigns calls to targets, at once or from a queue."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -48,18 +48,18 @@
 
 
 class Grant:
-    """Leave to send one call to `target`; ended exactly once by `finished` or `failed`.
+    """Permission to send one call to `target`; `finished` or `failed` ends it exactly once.
 
     Attributes
     ----------
     target : TargetId
         Where to send the call.
     priority : int
-        For the engine's own queue; lower goes first.
+        Priority in the engine's own queue; lower values are served first.
     source : TargetId or None
-        Target from which `target` should first import the prompt's cache.
+        Target from which `target` first imports the prompt's cache.
     cached_tokens : int
-        Prompt tokens believed to be held by `target`.
+        Estimated prompt tokens in the cache of `target`.
     """
 
     def __init__(self, dispatcher: "Dispatcher", work: Work, choice: Choice, now: float) -> None:
@@ -75,20 +75,20 @@
         self.ended = False
 
     def first_token(self) -> None:
-        """Report that the answer has begun."""
+        """Report the first token of the answer."""
         if self.first_token_at is None:
             self.first_token_at = self.dispatcher.clock()
             self.dispatcher.record_cached(self)
 
     def finished(self, usage: Usage) -> None:
-        """Report that the call ran to its end."""
+        """Report that the call has completed."""
         if self.ended:
             return
         self.ended = True
         self.dispatcher.record_finished(self, usage)
 
     def failed(self, failure: Failure) -> None:
-        """Report that the call failed, or was cancelled."""
+        """Report that the call has failed or was cancelled."""
         if self.ended:
             return
         self.ended = True
@@ -101,7 +101,7 @@
     Parameters
     ----------
     table : TargetTable
-        Targets as this entry sees them.
+        Targets, as estimated by this entry.
     clock : Clock
         Monotonic seconds; the same time base as `Work.created_at`.
     chooser : callable
@@ -134,7 +134,7 @@
         Returns
         -------
         Outcome[Grant]
-            The grant, or a `NOT_RUN` failure with a time to come back.
+            The grant, or a `NOT_RUN` failure with a retry delay.
         """
         self._readmit()
         self.outputs.fill_in_expected_output(work)
@@ -148,55 +148,55 @@
         return await self._wait(work, choice)
 
     def report_load(self, target: TargetId, report: LoadReport) -> None:
-        """Take in a target's load, and use the room it shows."""
+        """Apply a target's load report, and grant waiting calls if it has capacity."""
         self._readmit()
         view = self.table.report_load(target, report)
         if view is not None:
             self.grant_waiting(view)
 
     def apply_cache_events(self, target: TargetId, events: CacheEvents) -> bool:
-        """Take in cache events; return whether the target should be asked for its whole state."""
+        """Apply cache events; return whether the target's complete state should be requested."""
         return self.table.apply_cache_events(target, events)
 
     def resync(self, target: TargetId, sequence: int, blocks: Iterable[BlockHash]) -> None:
-        """Take in the whole cache state of a target."""
+        """Apply the complete cache state of a target."""
         self.table.resync(target, sequence, blocks)
 
     def set_leaving(self, target: TargetId, leaving: bool = True) -> None:
-        """Give a target no new work, or end that state."""
+        """Exclude a target from new work because it is leaving, or end this state."""
         self.table.set_leaving(target, leaving)
         view = self.table.targets.get(target)
         if view is not None and not leaving:
             self.grant_waiting(view)
 
     def set_models(self, target: TargetId, models: Iterable[str]) -> None:
-        """Give a target only calls of the models named, and of its tools."""
+        """Restrict a target to calls of the given models and its own tools."""
         view = self.table.set_models(target, models)
         if view is not None:
             self.grant_waiting(view)
 
     def program_ended(self, program: ProgramId) -> list[Holding]:
-        """Return the releases to send; call `releases.acknowledge` as targets answer."""
+        """Return the releases to send; call `releases.acknowledge` for each acknowledged one."""
         self.pauses.forget(program)
         return self.releases.release(program)
 
     def program_paused(self, program: ProgramId, tool: ToolName) -> list[Holding]:
-        """Note that `program` waits for `tool`; return the releases to send meanwhile."""
+        """Record that `program` waits for `tool`; return the releases to send."""
         if self.pauses.begin(program, tool) is PauseDecision.KEEP:
             return []
         return self.releases.release(program)
 
     def program_resumed(self, program: ProgramId) -> None:
-        """Note that the tool has answered."""
+        """Record that the tool has answered."""
         self.pauses.end(program)
 
     def record_cached(self, grant: Grant) -> None:
-        """Take in that the target has read the whole prompt."""
+        """Record that the target has the complete prompt in its cache."""
         if self.table.targets.get(grant.target) is grant.view:
             self.table.cache.add(grant.view.number, grant.work.blocks)
 
     def record_finished(self, grant: Grant, usage: Usage) -> None:
-        """Take in the end of a call: its speed, and the place it leaves."""
+        """Update speeds with a completed call, and release its slot."""
         view, work, now = grant.view, grant.work, self.clock()
         view.observe_service(now - grant.granted_at)
         if grant.first_token_at is not None and work.prompt_tokens:
@@ -210,22 +210,22 @@
         self._release_slot(view)
 
     def record_failed(self, grant: Grant, failure: Failure) -> None:
-        """Take in a failed call, and the place it leaves."""
+        """Record a failed call, and release its slot."""
         health.record_failure(self.table, grant.view, failure)
         self._release_slot(grant.view)
 
     def grant_waiting(self, view: TargetView) -> None:
-        """Grant waiting calls while `view` has room that they accept."""
+        """Grant waiting calls while `view` has capacity and calls accept it."""
         while self.table.has_capacity(view, Urgency.URGENT):
             if not self._grant_next(view):
                 return
 
     def _grant_next(self, view: TargetView) -> bool:
-        """Grant the best waiting call that may and wants to go to `view`."""
+        """Grant the best waiting call that is eligible for `view` and accepts it."""
         for ticket in self._candidates(view):
             urgency = ticket.work.policy.urgency
             if ticket.queue.is_claimant(ticket):
-                # Lasting urgent load keeps targets beyond what lower urgencies may fill.
+                # Under lasting urgent load, targets always exceed the limits of lower urgencies.
                 urgency = Urgency.URGENT
             if not self.table.has_capacity(view, urgency) or not is_eligible(
                 self.table, view, ticket.work
@@ -238,7 +238,7 @@
         return False
 
     def _candidates(self, view: TargetView) -> Iterable[Ticket]:
-        """Return the waiting calls to look at for a place at `view`, best first."""
+        """Return the waiting calls to consider for a free slot of `view`, best first."""
         queues = [self.queues[pool] for pool in view.pools if pool in self.queues]
         queues = [queue for queue in queues if len(queue)]
         if len(queues) == 1:
@@ -250,7 +250,7 @@
         )
 
     def _accepted(self, ticket: Ticket, view: TargetView) -> Choice | None:
-        """Return the choice of `view` unless the call does better to wait for its preferred one."""
+        """Return the choice of `view`, or None if the call should wait for its preferred target."""
         choice = assess(self.table, view, ticket.work, find_cached_prefix(self.table, ticket.work))
         preferred = ticket.preferred
         if preferred is None or preferred is view or not self.table.usable(preferred):
@@ -280,7 +280,7 @@
     async def _await_answer(
         self, ticket: Ticket, answer: "asyncio.Future[Outcome[Grant]]"
     ) -> Outcome[Grant]:
-        """Wait for the grant or refusal; lose patience once, and refuse at the deadline."""
+        """Wait for the outcome; choose again after the wait limit, refuse at the deadline."""
         work = ticket.work
         if ticket.preferred is not None:
             await self._wait_until(answer, ticket.prefer_until)
@@ -296,13 +296,13 @@
             await asyncio.wait([answer], timeout=max(0.0, time - self.clock()))
 
     def _choose_again(self, ticket: Ticket) -> None:
-        """Send a call that has lost patience with its preferred target to another with room."""
+        """Grant another target with capacity after the wait limit for the preferred target."""
         choice = self.chooser(self.table, ticket.work)
         if choice is not None and choice.is_open:
             self._grant_ticket(ticket, choice)
 
     async def _watch(self) -> None:
-        """While calls wait, use room that opens without an event, such as by time alone."""
+        """While calls wait, use capacity that appears without an event, for example by expiry."""
         while any(len(queue) for queue in self.queues.values()):
             await asyncio.sleep(RECHECK_S)
             self._readmit()
@@ -338,7 +338,7 @@
             ticket.answer.set_result(Ok(grant))
 
     def _withdraw(self, ticket: Ticket) -> None:
-        """Take a call out that nobody waits for; give back a grant that came too late."""
+        """Remove an abandoned call from the queue, or release a grant that came too late."""
         if ticket.queue.cancel(ticket) or ticket.answer is None or not ticket.answer.done():
             return
         outcome = ticket.answer.result()
@@ -352,6 +352,6 @@
         self.grant_waiting(view)
 
     def _readmit(self) -> None:
-        """Use the room of targets that have come back or whose reports are too old."""
+        """Use the capacity of readmitted targets and of targets with expired reports."""
         for view in (*health.readmit(self.table), *self.table.expire_reports()):
             self.grant_waiting(view)
--- a/waxwingglade/decisions/ejection.py
+++ b/waxwingglade/decisions/ejection.py
@@ -1,17 +1,18 @@
-"""Which targets get no work for a while because they failed."""
+"""Temporary exclusion of failed targets from new work."""
 
 from waxwingglade.base import Clock
 
 FAILURES_TO_EJECT = 2
-"""Failures in a row; a single one may be the connection's."""
+"""Consecutive failures after which a target is ejected; one may be due to the connection."""
 
 FIRST_EJECTION_S = 0.5
-LONGEST_EJECTION_S = 4.0
-"""Seconds for which a target that failed gets no work while others are left; doubled."""
+MAX_EJECTION_S = 4.0
+"""Seconds for which an ejected target gets no work while other targets are available; the duration
+doubles with each further failure up to the maximum."""
 
 
 class Ejection:
-    """Whether one target is left out."""
+    """Ejection state of one target."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -20,19 +21,20 @@
 
     @property
     def active(self) -> bool:
-        """Whether the target gets no work now."""
+        """Whether the target is currently ejected."""
         return self.until > self.clock()
 
     def record_success(self) -> None:
-        """Note a whole answer."""
+        """Record a complete answer."""
         self.failures = 0
         self.until = float("-inf")
 
     def record_failure(self, is_error: bool = False) -> None:
-        """Note that the target broke off, could not be reached, or answered an error itself.
+        """Record that the target broke off, was unreachable, or returned an error itself.
 
-        A single error is enough: what fails at once has no load, and draws everybody's calls.
-        Where three of thirty engines answered 500 for 5.4 s, 94 of 3,157 programs failed by it.
+        A single error is enough to eject it: a target that fails immediately has no load, and so
+        attracts the calls of all entries.  When three of thirty engines returned status 500 for
+        5.4 s, 94 of 3,157 programs failed because of this.
         """
         self.failures += 1
         if is_error:
@@ -40,7 +42,7 @@
         if self.failures < FAILURES_TO_EJECT:
             return
         doublings = self.failures - FAILURES_TO_EJECT
-        self.until = self.clock() + min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**doublings)
+        self.until = self.clock() + min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**doublings)
 
 
 __all__ = ["Ejection"]
--- a/waxwingglade/decisions/health.py
+++ b/waxwingglade/decisions/health.py
@@ -1,4 +1,4 @@
-"""Which targets are fit for new work: circuit breaking, ejection and slow start."""
+"""Health of targets: circuit breaking, ejection and slow start."""
 
 import statistics
 
@@ -9,22 +9,22 @@
 TARGET_FAULTS = frozenset({ErrorCode.UNAVAILABLE, ErrorCode.TIMEOUT, ErrorCode.TARGET_FAILED})
 MIN_SAMPLES = 5
 CHECK_EVERY = 5
-COMPARED = 15
+COMPARED_PEERS = 15
 MIN_COMPARED = 3
 
 
 def record_success(view: TargetView) -> None:
-    """Take in a call that ran to its end."""
+    """Record a completed call."""
     view.failures = 0
     if view.started_at is None:
         view.ejections = 0
 
 
 def record_failure(table: TargetTable, view: TargetView, failure: Failure) -> None:
-    """Take in a failed call; eject the target after several in a row.
+    """Record a failed call; eject the target after several consecutive failures.
 
-    A target that says that it is draining is leaving.  Failures that are not the target's fault,
-    such as a cancelled call, say nothing about it.
+    A target that reports that it is draining is marked as leaving.  Failures that the target has
+    not caused, such as a cancelled call, are ignored.
     """
     if failure.code is ErrorCode.DRAINING:
         table.set_leaving(view.target)
@@ -39,7 +39,8 @@
 def check_speed(table: TargetTable, view: TargetView) -> None:
     """Eject `view` if its tokens take several times as long as the median target's.
 
-    It is compared, now and then, with some others whose speed has been measured as well.
+    Every `CHECK_EVERY` samples, it is compared with a random sample of targets whose speed is
+    known.
     """
     if view.samples < MIN_SAMPLES or view.samples % CHECK_EVERY or not table.usable(view):
         return
@@ -55,7 +56,7 @@
 
 
 def eject(table: TargetTable, view: TargetView) -> bool:
-    """Give `view` no new work for a while, unless too many are ejected already.
+    """Exclude `view` from new work temporarily, unless too many targets are already ejected.
 
     Returns
     -------
@@ -77,12 +78,12 @@
 
 
 def may_eject(table: TargetTable, view: TargetView) -> bool:
-    """Return whether every pool of `view` keeps its least share of targets without it."""
+    """Return whether each pool of `view` stays within its maximum share of ejected targets."""
     return all(_ejected_in(table, pool) + 1 <= _floor(table, pool) for pool in view.pools)
 
 
 def readmit(table: TargetTable) -> list[TargetView]:
-    """End the ejections whose time is up; the targets then start slowly."""
+    """End the ejections that have expired, and begin the slow start of their targets."""
     if not table.ejected:
         return []
     now = table.clock()
@@ -99,12 +100,12 @@
 def some_peers(table: TargetTable, view: TargetView) -> list[TargetView]:
     """Return other targets of the first pool of `view`, chosen at random."""
     if not view.pools:
-        # All of its models were taken; there is nothing to compare it with.
+        # All models of the target were removed, so there is no other target to compare it with.
         return []
     others = [other for other in table.pools[view.pools[0]].values() if other is not view]
-    if len(others) <= COMPARED:
+    if len(others) <= COMPARED_PEERS:
         return others
-    return table.rng.sample(others, COMPARED)
+    return table.rng.sample(others, COMPARED_PEERS)
 
 
 def _ejected_in(table: TargetTable, pool: Pool) -> int:
@@ -116,7 +117,7 @@
 
 
 def _forget_speed(table: TargetTable, view: TargetView) -> None:
-    """Assume the usual speed of a returned target, or it would never be tried again."""
+    """Reset the speed of a readmitted target to the median; otherwise it would get no calls."""
     others = [other.decode_s_per_token for other in some_peers(table, view)]
     if others:
         view.decode_s_per_token = statistics.median(others)
--- a/waxwingglade/decisions/linear_fit.py
+++ b/waxwingglade/decisions/linear_fit.py
@@ -1,29 +1,29 @@
-"""A straight line through what was observed lately, drawn to a prior while little was."""
+"""Linear regression over recent observations, regularised by a prior."""
 
 import msgspec
 
-FORGETTING = 0.98
-"""Weight that an observation keeps with each later one: the last 50 make up two thirds of the line,
-a second or two of an entry's turns under load."""
+DECAY = 0.98
+"""Factor by which each new observation reduces the weight of the earlier ones.  The last 50, one to
+two seconds of an entry's turns under load, have about two thirds of the total weight."""
 
 PRIOR_WEIGHT = 1.0
-"""Observations that each end of the prior counts as; it never fades, so that where all observations
-lie at one place the line still has a slope."""
+"""Weight of each end of the prior, in observations.  It is constant, so that the slope is defined
+even if all observations have the same x."""
 
-OUTLIER = 3.0
-"""How many times what the line says an observation may count as; a connection that hung for seconds
-says nothing of an engine's pace."""
+MAX_DEVIATION_FACTOR = 3.0
+"""Limit of an observation, as a multiple of the predicted value.  A connection that stalls for
+seconds carries no information on an engine's speed."""
 
 
 class Prior(msgspec.Struct, frozen=True):
-    """What is assumed before anything was observed.
+    """Line that is assumed before the first observation.
 
     Parameters
     ----------
     at_0, at_1 : float
-        Values of the line at 0 and 1, in the unit of what is observed.
+        Values of the line at 0 and 1, in the unit of the observations.
     min_slope, max_slope : float
-        Bounds of the line's rise from 0 to 1.
+        Bounds of the line's slope.
     """
 
     at_0: float
@@ -33,12 +33,12 @@
 
 
 class FadingLinearFit:
-    """A line fitted by least squares, in which observations fade with each later one.
+    """Least-squares line with exponentially decaying weights of the observations.
 
     Parameters
     ----------
     prior : Prior
-        What it begins with.
+        Line before the first observation.
     """
 
     def __init__(self, prior: Prior) -> None:
@@ -48,17 +48,17 @@
         self.intercept, self.slope = prior.at_0, prior.at_1 - prior.at_0
 
     def predict(self, x: float) -> float:
-        """Return the line's value at a place."""
+        """Return the value of the line at `x`."""
         return self.intercept + self.slope * x
 
     def observe(self, x: float, y: float) -> None:
-        """Take in an observation."""
-        y = min(y, OUTLIER * self.predict(x))
-        self.weight = FORGETTING * self.weight + 1
-        self.x = FORGETTING * self.x + x
-        self.y = FORGETTING * self.y + y
-        self.xx = FORGETTING * self.xx + x * x
-        self.xy = FORGETTING * self.xy + x * y
+        """Update the line with an observation."""
+        y = min(y, MAX_DEVIATION_FACTOR * self.predict(x))
+        self.weight = DECAY * self.weight + 1
+        self.x = DECAY * self.x + x
+        self.y = DECAY * self.y + y
+        self.xx = DECAY * self.xx + x * x
+        self.xy = DECAY * self.xy + x * y
         self._fit()
 
     def _fit(self) -> None:
--- a/waxwingglade/decisions/pause.py
+++ b/waxwingglade/decisions/pause.py
@@ -1,9 +1,9 @@
-"""Whether a program keeps its cache on a target while it waits for a tool.
+"""Decides whether a program retains its cache on a target while it waits for a tool.
 
-How long a tool pauses a program is learned from the pauses that ended.  Cache is kept through any
-pause up to the bound on idle cache, since targets evict what was used longest ago by themselves;
-docs/decisions.md gives the measurement of a rule that let go sooner.  A tool that usually takes
-longer than the bound has no use for the cache, which is then let go at once.
+The expected duration of a tool's pauses is estimated from its past pauses.  Cache is retained for
+any pause up to the bound on idle cache, since targets themselves evict the least recently used
+blocks; docs/decisions.md gives the measurement of a rule that released cache sooner.  If a tool
+usually takes longer than the bound, the cache would expire unused, so it is released at once.
 """
 
 import statistics
@@ -20,9 +20,9 @@
 
 
 class PauseDecision(Enum):
-    """What becomes of a paused program's cache.
+    """Whether the cache of a paused program is retained.
 
-    Kept cache still moves to another target, by import, when the program goes on there.
+    Another target can still import retained cache if the program continues there.
     """
 
     KEEP = "keep"
@@ -30,43 +30,43 @@
 
 
 class Pause(msgspec.Struct):
-    """A pause under way."""
+    """A pause that has not ended."""
 
     tool: ToolName
     began_at: float
 
 
 class PauseTracker:
-    """Lengths of pauses by tool, in bounded memory, and the pauses under way."""
+    """Recent pause lengths of each tool, in bounded memory, and the current pauses."""
 
     def __init__(self, settings: DecisionSettings, clock: Clock) -> None:
         self.settings = settings
         self.clock = clock
         self.lengths: dict[ToolName, deque[float]] = {}
-        self.under_way: dict[ProgramId, Pause] = {}
+        self.current: dict[ProgramId, Pause] = {}
 
     def begin(self, program: ProgramId, tool: ToolName) -> PauseDecision:
-        """Note that `program` waits for `tool`; return what becomes of its cache."""
-        self.under_way[program] = Pause(tool, self.clock())
+        """Record that `program` waits for `tool`; return whether its cache is retained."""
+        self.current[program] = Pause(tool, self.clock())
         expected_s = self.expected_s(tool)
         if expected_s is None or expected_s <= self.settings.hold_max_s:
             return PauseDecision.KEEP
         return PauseDecision.RELEASE
 
     def end(self, program: ProgramId) -> None:
-        """Note that the program goes on, and learn the length of its pause."""
-        pause = self.under_way.pop(program, None)
+        """Record that the program continues, and the length of its pause."""
+        pause = self.current.pop(program, None)
         if pause is None:
             return
         lengths = self.lengths.setdefault(pause.tool, deque(maxlen=MAX_SAMPLES))
         lengths.append(self.clock() - pause.began_at)
 
     def forget(self, program: ProgramId) -> None:
-        """Drop the pause of a program that ended."""
-        self.under_way.pop(program, None)
+        """Delete the current pause of a program that has ended."""
+        self.current.pop(program, None)
 
     def expected_s(self, tool: ToolName) -> float | None:
-        """Return the median pause of `tool`, or None while too few are known."""
+        """Return the median pause of `tool` in seconds, or None if there are too few samples."""
         lengths = self.lengths.get(tool)
         if lengths is None or len(lengths) < MIN_PAUSES:
             return None
--- a/waxwingglade/decisions/placement.py
+++ b/waxwingglade/decisions/placement.py
@@ -1,10 +1,10 @@
-"""What a turn costs at an engine, in seconds of everybody's time.
+"""Cost of a turn at an engine, in seconds summed over all turns that it affects.
 
-This answers the load of programs whose turns come faster than engines read prompts.  A turn that
-moves to a less busy engine has its whole history read again there, and an engine that reads stands
-still for every other turn that it runs.  Weighed by the turn's own time alone, most turns moved:
-four fifths of all prompt tokens read were histories read again, the engines were busy with that
-long after a burst had ended, and a day's worth was 0.47; see docs/placement.md.
+This handles programs whose turns arrive faster than engines can prefill their prompts.  A turn that
+moves to a less busy engine needs a prefill of its whole history there, and the prefill blocks all
+other turns of that engine.  If the cost is only the turn's own time, most turns move: four fifths
+of all prefill tokens are then histories that another engine has cached, the engines are busy with
+prefill long after a burst has ended, and the score of a day is 0.47; see docs/placement.md.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -17,14 +17,14 @@
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """An engine as one entry sees it at the moment of a decision.
+    """State of an engine, as estimated by one entry for one decision.
 
     Parameters
     ----------
     load : float
-        Requests believed to be there, running and waiting.
+        Estimated number of requests at the engine, running and waiting.
     slots : int
-        Requests that it runs at once.
+        Requests that it runs concurrently.
     slowness : float
         How many times slower than usual it is.
     """
@@ -34,67 +34,68 @@
     slowness: float = 1.0
 
 
-def turn_cost_s(pace: EngineSpeed, engine: Engine, read_tokens: float) -> float:
-    """Return the seconds that a turn takes at an engine, and takes from the others there.
+def turn_cost_s(speed: EngineSpeed, engine: Engine, prefill_tokens: float) -> float:
+    """Return the seconds that a turn takes, plus the delay that it causes to other turns.
 
     Parameters
     ----------
-    pace : EngineSpeed
-        Pace of the service's engines.
+    speed : EngineSpeed
+        Estimated speed of the service's engines.
     engine : Engine
         The engine.
-    read_tokens : float
-        Prompt tokens that it would have to read.
+    prefill_tokens : float
+        Prompt tokens that are not in the engine's cache.
 
     Notes
     -----
-    Prompts are read between the tokens of those that run, so each of them waits for as long as the
-    reading takes.
+    An engine interleaves prefill with the generation of its running turns, so a prefill delays each
+    of them by its whole duration.
     """
     running = min(engine.load, engine.slots)
     share = min(1.0, (engine.load + 1) / engine.slots)
-    read_s = pace.prefill_s(read_tokens)
-    own_s = queue_wait_s(pace, engine) + read_s + pace.generation_s(share)
-    others_s = running * (read_s + pace.disturbance_s(engine.slots))
+    prefill_s = speed.prefill_s(prefill_tokens)
+    own_s = queue_wait_s(speed, engine) + prefill_s + speed.generation_s(share)
+    others_s = running * (prefill_s + speed.disturbance_s(engine.slots))
     return (own_s + others_s) * engine.slowness
 
 
-def queue_wait_s(pace: EngineSpeed, engine: Engine) -> float:
-    """Return the seconds that a turn waits at an engine before it is run."""
+def queue_wait_s(speed: EngineSpeed, engine: Engine) -> float:
+    """Return the seconds that a turn waits in the queue of an engine."""
     if engine.load < engine.slots:
         return 0.0
-    return pace.generation_s(1.0) * (engine.load - engine.slots + 1) / engine.slots
+    return speed.generation_s(1.0) * (engine.load - engine.slots + 1) / engine.slots
 
 
 def uncached_tokens(
-    parts: Sequence[tuple[str, int]], held: Mapping[str, int], assumed: str | None = None
+    parts: Sequence[tuple[str, int]], cached: Mapping[str, int], assumed_cached: str | None = None
 ) -> int:
-    """Return the tokens of a prompt that are not held.
+    """Return the number of prompt tokens that are not cached.
 
     Parameters
     ----------
     parts : sequence of (str, int)
         Names and tokens of the prompt's parts, in order.
-    held : mapping
-        Tokens held of each part.
-    assumed : str or None
-        A part that counts as held whole.
+    cached : mapping
+        Cached tokens of each part.
+    assumed_cached : str or None
+        A part that counts as completely cached.
 
     Notes
     -----
-    What follows a part that is not held whole has to be read, be it held or not.
+    All tokens after a part that is not completely cached count as not cached.
     """
     for index, (name, tokens) in enumerate(parts):
-        missing = tokens - held.get(name, 0)
-        if missing > 0 and name != assumed:
+        missing = tokens - cached.get(name, 0)
+        if missing > 0 and name != assumed_cached:
             return missing + sum(later for _, later in parts[index + 1 :])
     return 0
 
 
 def home_targets(part: str, targets: Iterable[tuple[TargetId, ZoneId]]) -> set[TargetId]:
-    """Return the targets where a shared part is read: half of those of each zone.
+    """Return the targets that cache a shared part: half of the targets of each zone.
 
-    Entries agree on them without talking, so that a part is not read at every target.
+    All entries compute the same targets without communication, so that not every target caches the
+    part.
     """
     zones: dict[ZoneId, list[TargetId]] = {}
     for target, zone in targets:
--- a/waxwingglade/decisions/program_starts.py
+++ b/waxwingglade/decisions/program_starts.py
@@ -1,84 +1,84 @@
-"""Whether a client account may begin one more program within its limit.
+"""Limits how many programs a client account begins within its quota.
 
-Only whole programs are worth anything to callers.  This answers an account that begins more
-programs than its limit carries to their ends: served in order of arrival, all of them are refused
-somewhere on their way.
+Only complete programs are useful to callers.  This handles an account that begins more programs
+than its limit allows to complete.  If requests are served in order of arrival, each of these
+programs has a request refused before it completes.
 """
 
 from collections import deque
 
 from waxwingglade.decisions.quota import GRANTED, RECENT_S, QuotaDecision, QuotaRules, discard_until
 
-USUAL_REQUESTS = 16.0
-"""Requests of a program, before any was counted."""
+DEFAULT_REQUESTS = 16.0
+"""Prior for the number of requests of a program."""
 
-FORGETTING = 0.99
-"""Weight that what was counted of programs keeps with each later one."""
+DECAY = 0.99
+"""Factor by which each new program reduces the weight of the earlier ones."""
 
 MARGIN_PER_REFUSED = 2.0
-"""By how much more a program is taken to need, as a multiple of the share of the limit that was
-refused to programs under way lately."""
+"""Increase of the requests that a program is assumed to need, as a multiple of the share of the
+limit that was recently refused to running programs."""
 
-MOST_MARGIN = 0.4
-"""Most by which it is."""
+MAX_MARGIN = 0.4
+"""Upper bound of this increase."""
 
 
 class ProgramLength:
-    """How many requests a program makes, over all accounts that are refused nothing.
+    """Mean number of requests of a program, over all accounts without recent refusals.
 
     Attributes
     ----------
     requests, programs : float
-        Requests and programs that were counted, the later ones with more weight.
+        Weighted numbers of requests and programs; recent ones have more weight.
     """
 
     def __init__(self) -> None:
-        self.requests = USUAL_REQUESTS
+        self.requests = DEFAULT_REQUESTS
         self.programs = 1.0
 
     def record(self, is_first: bool) -> None:
-        """Count a request, with which a program may begin."""
+        """Count a request, and its program if the request is the first one."""
         if is_first:
-            self.requests *= FORGETTING
-            self.programs = self.programs * FORGETTING + 1
+            self.requests *= DECAY
+            self.programs = self.programs * DECAY + 1
         self.requests += 1
 
     @property
     def mean_requests(self) -> float:
-        """Requests of a usual program."""
+        """Mean number of requests of a program."""
         return self.requests / self.programs
 
 
 class ProgramStarts:
-    """Programs that an account has begun lately, and what it was refused; monotonic seconds."""
+    """Recent program starts and refused requests of an account, in monotonic seconds."""
 
     def __init__(self) -> None:
         self.started_at: deque[float] = deque()
         self.refused_at: deque[float] = deque()
 
     def record_refused(self, requests: int, now: float) -> None:
-        """Take in that requests of programs under way were refused."""
+        """Record refused requests of running programs."""
         self.refused_at.extend([now] * requests)
 
 
 def may_begin(
-    starts: ProgramStarts, most: int, rules: QuotaRules, now: float, program_size: float
+    starts: ProgramStarts, most: int, rules: QuotaRules, now: float, program_length: float
 ) -> QuotaDecision:
-    """Judge whether an account may begin one more program, and count it if so.
+    """Decide whether an account may begin another program, and count the program if so.
 
     Parameters
     ----------
     starts : ProgramStarts
-        What the account has begun and was refused.
+        Recent program starts and refused requests of the account.
     most : int
-        Requests that it may send in a window, over all counters.
-    program_size : float
-        Requests of a usual program.
+        Requests that the account may send in a window, over all counters.
+    program_length : float
+        Mean number of requests of a program.
     """
     discard_until(starts.started_at, now - rules.window_s)
     discard_until(starts.refused_at, now - RECENT_S)
     refused = len(starts.refused_at) / most if most > 0 else 1.0
-    needed = program_size * (1 + min(MOST_MARGIN, MARGIN_PER_REFUSED * refused))
+    needed = program_length * (1 + min(MAX_MARGIN, MARGIN_PER_REFUSED * refused))
     if not starts.started_at or len(starts.started_at) * needed < most:
         starts.started_at.append(now)
         return GRANTED
--- a/waxwingglade/decisions/queue.py
+++ b/waxwingglade/decisions/queue.py
@@ -1,8 +1,8 @@
-"""Waiting calls, in the order in which they should be served.
+"""Queue of waiting calls.
 
-Calls wait in three lanes by urgency.  Within a lane the tenants take turns by weighted service
-received, and within a tenant the calls whose program is due first go first.  Calls of any lane
-that have waited long have a claim to a small share of the grants.
+There is one lane for each of the three urgencies.  Within a lane, weighted fair queuing selects the
+tenant, and the tenant's call with the earliest program deadline is served first.  Calls below the
+urgent lane that have waited long are guaranteed a small share of the grants.
 """
 
 import asyncio
@@ -27,12 +27,12 @@
 
 
 def due_first(work: Work) -> float:
-    """Rank a call by the time its program should end; the least goes first."""
+    """Rank a call by the deadline of its program; the lowest rank is served first."""
     return work.deadline_at
 
 
 class TicketState(Enum):
-    """What became of a waiting call."""
+    """State of a call in the queue."""
 
     WAITING = "waiting"
     GRANTED = "granted"
@@ -69,12 +69,12 @@
 class Lane:
     """Waiting calls of one urgency.
 
-    `interval_s` is the time between grants while calls waited, from which waits are predicted.
+    `interval_s` is the smoothed time between grants while calls wait; it serves to predict waits.
     """
 
     def __init__(self) -> None:
         self.tenants: dict[TenantId, TenantLane] = {}
-        self.turns: SortedList = SortedList()
+        self.order: SortedList = SortedList()
         self.arrivals: deque[Ticket] = deque()
         self.virtual_s = 0.0
         self.count = 0
@@ -82,12 +82,12 @@
         self.busy_since = 0.0
 
     def add(self, ticket: Ticket, now: float) -> None:
-        """Put a call in."""
+        """Add a call."""
         tenant = ticket.work.tenant
         lane = self.tenants.setdefault(tenant, TenantLane())
         if not lane.tickets:
             lane.virtual_s = max(lane.virtual_s, self.virtual_s)
-            self.turns.add((lane.virtual_s, tenant))
+            self.order.add((lane.virtual_s, tenant))
         lane.tickets.add(ticket)
         self.arrivals.append(ticket)
         if not self.count:
@@ -95,37 +95,37 @@
         self.count += 1
 
     def discard(self, ticket: Ticket) -> None:
-        """Take a call out, without charge."""
+        """Remove a call without a charge to its tenant."""
         tenant = ticket.work.tenant
         lane = self.tenants[tenant]
         lane.tickets.remove(ticket)
         self.count -= 1
         if not lane.tickets:
-            self.turns.remove((lane.virtual_s, tenant))
+            self.order.remove((lane.virtual_s, tenant))
         if len(self.arrivals) > 2 * self.count + 16:
             self.arrivals = deque(
                 waiting for waiting in self.arrivals if waiting.state is TicketState.WAITING
             )
 
     def charge(self, tenant: TenantId, seconds: float) -> None:
-        """Count service against a tenant, which moves its turn back."""
+        """Charge service time to a tenant, which moves it back in the order of tenants."""
         lane = self.tenants[tenant]
         self.virtual_s = max(self.virtual_s, lane.virtual_s)
         if lane.tickets:
-            self.turns.remove((lane.virtual_s, tenant))
+            self.order.remove((lane.virtual_s, tenant))
         lane.virtual_s += seconds
         if lane.tickets:
-            self.turns.add((lane.virtual_s, tenant))
+            self.order.add((lane.virtual_s, tenant))
 
     def observe_grant(self, now: float) -> None:
-        """Take in the time since the last grant, or since calls began to wait."""
+        """Update `interval_s` with the time since the last grant, or since calls began to wait."""
         sample = max(0.0, now - self.busy_since)
         self.busy_since = now
         self.interval_s += SMOOTHING * (sample - self.interval_s)
 
     def heads(self, limit: int) -> Iterator[Ticket]:
-        """Return the next calls: the tenants' first ones in turn, then their second ones."""
-        tenants = [self.tenants[tenant].tickets for _, tenant in self.turns[:limit]]
+        """Return the next calls: the first call of each tenant in order, then the second calls."""
+        tenants = [self.tenants[tenant].tickets for _, tenant in self.order[:limit]]
         found = 0
         for place in itertools.count():
             column = [tickets[place] for tickets in tenants if place < len(tickets)]
@@ -150,7 +150,7 @@
     Parameters
     ----------
     settings : DecisionSettings
-        Constants.
+        Constants of the decisions.
     clock : Clock
         Monotonic seconds.
     rank : callable
@@ -170,20 +170,20 @@
         return sum(lane.count for lane in self.lanes)
 
     def offer(self, work: Work, service_s: float = 0.0) -> Outcome[Ticket]:
-        """Let a call wait, or refuse it at once.
+        """Add a call to the queue, or refuse it at once.
 
         Parameters
         ----------
         work : Work
             The call.
         service_s : float
-            Least seconds it takes once it is granted.
+            Least seconds that the call takes after its grant.
 
         Returns
         -------
         Outcome[Ticket]
-            The place in the queue; `NOT_RUN` with a time to come back if the program's deadline
-            cannot be met or the tenant has too many calls waiting.
+            The ticket of the waiting call; `NOT_RUN` with a retry delay if the program's deadline
+            can't be met or the tenant has too many calls waiting.
         """
         now = self.clock()
         wait_s = self.expected_wait_s(work)
@@ -200,14 +200,14 @@
         return Ok(ticket)
 
     def expected_wait_s(self, work: Work) -> float:
-        """Return the seconds a call would wait behind those of its urgency."""
+        """Return the expected wait of a call behind those of the same urgency, in seconds."""
         lane = self.lanes[LANE_OF[work.policy.urgency]]
         if not lane.count:
             return 0.0
         return max(lane.count * lane.interval_s, self.clock() - lane.busy_since)
 
     def candidates(self) -> Iterator[Ticket]:
-        """Return the calls that should be looked at for a place, best first."""
+        """Return the calls to consider for a free slot, best first."""
         claimant = self.claimant()
         if claimant is not None:
             yield claimant
@@ -219,17 +219,17 @@
                     yield ticket
 
     def claimant(self) -> Ticket | None:
-        """Return the call that is due a grant because it has waited long, if its share is up."""
+        """Return the aged call that gets the next grant, if the share of such grants allows it."""
         if self.lower_credit < 1:
             return None
         return self._aged()
 
     def is_claimant(self, ticket: Ticket) -> bool:
-        """Return whether `ticket` is due a grant because it has waited long."""
+        """Return whether `ticket` is the aged call that gets the next grant."""
         return ticket is self.claimant()
 
     def take(self, ticket: Ticket, service_s: float) -> None:
-        """Take a call out because it is granted, and charge its tenant for `service_s`."""
+        """Remove a granted call, and charge `service_s` to its tenant."""
         lane = self.lanes[ticket.lane]
         if self.is_claimant(ticket):
             self.lower_credit -= 1
@@ -240,13 +240,13 @@
         lane.observe_grant(self.clock())
 
     def refuse(self, ticket: Ticket, failure: Failure) -> None:
-        """Take a call out and give its waiter the final answer."""
+        """Remove a call and return the refusal to its waiter."""
         self._leave(ticket, TicketState.REFUSED)
         if ticket.answer is not None and not ticket.answer.done():
             ticket.answer.set_result(Err(failure))
 
     def cancel(self, ticket: Ticket) -> bool:
-        """Take a call out because nobody waits for it; return whether it was still waiting."""
+        """Remove a call that its caller has abandoned; return whether it was still waiting."""
         if ticket.state is not TicketState.WAITING:
             return False
         self._leave(ticket, TicketState.CANCELLED)
@@ -262,7 +262,7 @@
             del self.waiting_of[ticket.work.tenant]
 
     def _aged(self) -> Ticket | None:
-        """Return the call below the urgent lane that has waited longest, if that is long."""
+        """Return the call below the urgent lane that has waited longest, if at least `ageing_s`."""
         before = self.clock() - self.settings.ageing_s
         found = [lane.oldest() for lane in self.lanes[1:]]
         aged = [ticket for ticket in found if ticket is not None and ticket.offered_at <= before]
@@ -278,12 +278,12 @@
 
 
 def too_late(wait_s: float) -> Failure:
-    """Return the refusal of a call whose program cannot end in time."""
+    """Return the refusal of a call whose program can't meet its deadline."""
     text = "the program's deadline cannot be met"
     return Failure(Verdict.NOT_RUN, ErrorCode.DEADLINE, text, max(MIN_RETRY_S, wait_s))
 
 
 def overloaded(wait_s: float) -> Failure:
-    """Return the refusal of a call whose tenant has too many waiting."""
+    """Return the refusal of a call whose tenant has too many waiting calls."""
     text = "too many calls of this tenant are waiting"
     return Failure(Verdict.NOT_RUN, ErrorCode.OVERLOADED, text, max(MIN_RETRY_S, wait_s))
--- a/waxwingglade/decisions/quota.py
+++ b/waxwingglade/decisions/quota.py
@@ -1,8 +1,8 @@
-"""How many requests of a client account may still go to targets, as one of many counters sees it.
+"""Quota of a client account's requests, as enforced by one of several counters.
 
-An account's limit holds over all entries and in every span of the window's length.  Several
-processes count, and none waits for another: each may grant a part of the limit, and the parts never
-add up to more than the whole, whoever is cut off from whom.
+An account's limit applies to all entries together, in every time window of a fixed length.  Several
+processes count independently.  Each may grant a share of the limit, and the sum of the shares never
+exceeds the limit, also in a network partition.
 """
 
 from collections import deque
@@ -11,18 +11,19 @@
 import msgspec
 
 RECENT_S = 10.0
-"""Seconds for which an account counts as refused after a request of it was."""
+"""Seconds for which an account counts as recently refused after a refused request."""
 
 
 class QuotaRules(msgspec.Struct, frozen=True):
-    """How limits are counted.
+    """Rules by which limits are enforced.
 
     Parameters
     ----------
     window_s : float
-        Length in seconds of the spans in which requests are counted.
+        Length in seconds of the window in which requests are counted.
     excess, slack : float
-        What may pass beyond a limit since many processes count: a share of it, and requests.
+        Tolerated excess over a limit, because several processes count: as a share of the limit, and
+        as a number of requests.
     """
 
     window_s: float
@@ -30,20 +31,20 @@
     slack: float = 0.0
 
     def most(self, rate_per_s: float, burst: float) -> int:
-        """Return the requests that may pass in a window, over all counters."""
+        """Return the number of requests that all counters together may grant in a window."""
         limit = rate_per_s * self.window_s + burst
         return int(limit * (1 + self.excess) + self.slack)
 
 
 class QuotaDecision(msgspec.Struct, frozen=True):
-    """What is said of one request.
+    """Decision on one request.
 
     Parameters
     ----------
     granted : bool
         Whether it may go to a target.
     retry_s : float
-        Otherwise, seconds after which there is room again.
+        If it is not granted, seconds until the limit allows a request again.
     """
 
     granted: bool
@@ -54,20 +55,20 @@
 
 
 def discard_until(times: deque[float], until: float) -> None:
-    """Remove the moments up to one from a sequence of them in order."""
+    """Remove all times up to and including `until` from an ascending sequence."""
     while times and times[0] <= until:
         times.popleft()
 
 
 class Grants:
-    """What one counter has granted to one account lately; times are monotonic seconds.
+    """Recent grants of one counter to one account; times are monotonic seconds.
 
     Attributes
     ----------
     times : deque of float
-        When requests were granted, in order.
+        When requests were granted, in ascending order.
     refused_at : float
-        When one was refused last.
+        When a request was last refused.
     """
 
     def __init__(self) -> None:
@@ -75,36 +76,36 @@
         self.refused_at = float("-inf")
 
     def record(self, at: float) -> None:
-        """Count a request that was granted."""
+        """Record a granted request."""
         self.times.append(at)
 
     def give_back(self, at: float) -> None:
-        """Take back what was granted at a moment, as the request reaches no target."""
+        """Remove the grant of a request that reaches no target."""
         if at in self.times:
             self.times.remove(at)
 
     def recently_refused(self, now: float) -> bool:
-        """Return whether a request was refused lately."""
+        """Return whether a request was refused in the last `RECENT_S` seconds."""
         return now - self.refused_at < RECENT_S
 
 
 def restore_times(times: Sequence[float], now: float) -> list[float]:
-    """Return the latest moments, by the present clock, at which requests can have been granted.
+    """Convert stored grant times to the latest possible times on the current clock.
 
-    The clock begins anew when the machine does, so a time may lie ahead of a later one, or of now.
-    How long the machine was off is not known, and taken for nothing.
+    The monotonic clock restarts with the machine, so a stored time may be greater than a later one
+    or than the present time.  The downtime of the machine is not known and is assumed to be zero.
 
     Parameters
     ----------
     times : sequence of float
-        When they were granted, in order, by the clock of the time.
+        When requests were granted, in order, according to the clock at that time.
     now : float
         The present time.
     """
     moments: list[float] = []
     later = moment = now
     for at in reversed(times):
-        # A time that lies ahead of a later one is of a clock before that.
+        # A time that is greater than a later one was read before a restart of the clock.
         moment -= max(0.0, later - at)
         later = at
         moments.append(moment)
@@ -112,14 +113,14 @@
 
 
 def decide(grants: Grants, most: int, rules: QuotaRules, now: float) -> QuotaDecision:
-    """Judge one request by what was granted in the window that ends with it.
+    """Decide on a request by the number of grants in the window that ends now.
 
     Parameters
     ----------
     grants : Grants
-        What this counter has granted to the account; what is older than the window is forgotten.
+        Grants of this counter to the account; those older than the window are removed.
     most : int
-        What it may grant in a window.
+        Number of requests that the counter may grant in a window.
     """
     times = grants.times
     discard_until(times, now - rules.window_s)
--- a/waxwingglade/decisions/quota_share.py
+++ b/waxwingglade/decisions/quota_share.py
@@ -1,9 +1,9 @@
-"""Which part of every limit one of several counters may grant, while their set changes.
+"""Share of each limit that one of several counters may grant, also while their set changes.
 
-The counters are the members of a replica set that is agreed on elsewhere.  One that is cut off goes
-on by an old set for a while, and then grants nothing; that while is bounded.  Within it, no part
-may grow by the leaving of a member that may not have heard of it, and no member that has joined may
-grant anything.
+The counters are the members of a replica set, on which the replicas agree elsewhere.  A partitioned
+counter continues with an old set for a bounded time and then grants nothing.  During this time, no
+share may grow because a member has left, since that member may not have received the change, and no
+new member may grant anything.
 """
 
 from collections import deque
@@ -15,16 +15,16 @@
 
 
 class QuotaShareRules(msgspec.Struct, frozen=True):
-    """Times in seconds.
+    """Times, in seconds, and the number of counters among which limits are divided.
 
     Parameters
     ----------
     max_view_age_s : float
-        Age of the set up to which a counter grants anything.
+        Greatest age of the set at which a counter still grants requests.
     window_s : float
-        Length of the spans in which requests are counted.
+        Length of the window in which requests are counted.
     usual_members : int
-        Counters among which limits are divided, unless there are more.
+        Least number of counters among which limits are divided.
     """
 
     max_view_age_s: float
@@ -33,29 +33,29 @@
 
     @property
     def settle_s(self) -> float:
-        """Seconds after which nothing that was granted by an older set counts any more."""
+        """Seconds after which no grant that is based on an older set counts any more."""
         return self.max_view_age_s + self.window_s
 
 
 class QuotaShare:
-    """The part that one counter may grant.
+    """The share of each limit that one counter may grant.
 
     Parameters
     ----------
     rules : QuotaShareRules
-        Times, and the usual number of counters.
+        Times, and the least number of counters.
     own : str
         Name of this counter.
     joined_before : bool
-        Whether it has been a member for long enough already, as its disk tells, or is among the
-        first of all.
+        Whether, according to its disk, this counter has already been a member for `settle_s`, or it
+        belongs to the first set.
     largest : int
-        Size of the largest set that it knew before its start, as far as its disk tells.
+        Size of the largest set before its start, according to its disk.
 
     Attributes
     ----------
     member_since : float or None
-        Since when it has believed to be a member; None while it does not.
+        When this counter became a member in its own view; None if it is not a member.
     """
 
     def __init__(
@@ -72,13 +72,13 @@
         self.began_at: float | None = None
 
     def update_members(self, epoch: int, members: Collection[str], now: float) -> None:
-        """Take in the present set of counters."""
+        """Update the set of counters."""
         if self.began_at is None:
             self.began_at = now
         if epoch <= self.epoch:
             return
         skipped = epoch - self.epoch if self.epoch else 0
-        # Sets that were never heard of may have been larger than those before and after.
+        # A set that was not received may be larger than the sets before and after it.
         largest = max(len(self.members), len(members)) + skipped // 2
         self.sizes.append((now, largest))
         self.epoch = epoch
@@ -89,23 +89,23 @@
             self.member_since = now
 
     def settled(self, now: float) -> bool:
-        """Return whether this counter has been a member for long enough to grant anything."""
+        """Return whether this counter has been a member for long enough to grant requests."""
         if self.member_since is None:
             return False
         return self.joined_before or now - self.member_since >= self.rules.settle_s
 
     def share_of(self, most: int, account: str, now: float) -> int:
-        """Return what this counter may grant of what all may grant in a window."""
+        """Return how many of the `most` requests in a window this counter may grant."""
         if not self.settled(now):
             return 0
         divisor, changing = self._divisor(now)
-        part, rest = divmod(most, divisor)
-        if rest and not changing and self._place(account) < rest:
-            part += 1
-        return part
+        share, remainder = divmod(most, divisor)
+        if remainder and not changing and self._remainder_position(account) < remainder:
+            share += 1
+        return share
 
     def _divisor(self, now: float) -> tuple[int, bool]:
-        """Return among how many limits are divided, and whether the set has changed lately."""
+        """Return the divisor of limits, and whether the set has changed recently."""
         since = now - self.rules.settle_s
         while self.sizes and self.sizes[0][0] <= since:
             self.sizes.popleft()
@@ -115,8 +115,8 @@
             sizes.append(self.largest_before)
         return max(self.rules.usual_members, len(self.members), *sizes), changing
 
-    def _place(self, account: str) -> int:
-        """Return this counter's place in the order in which an account's remainder is dealt out."""
+    def _remainder_position(self, account: str) -> int:
+        """Return this counter's position in the order that distributes an account's remainder."""
         order = sorted(self.members, key=lambda name: weight(account, name))
         return order.index(self.own)
 
--- a/waxwingglade/decisions/ranks.py
+++ b/waxwingglade/decisions/ranks.py
@@ -1,28 +1,29 @@
-"""How an entry's turns divide among the ranks of their routes.
+"""Distribution of an entry's turns over the ranks of their routes.
 
-Engines admit the more urgent first and preempt others for them, so of what lies at an engine only
-the turns that are at least as urgent stand before one that comes.  This answers bursts in which
-urgent programs would be refused for what they overtake.
+Engines admit more urgent turns first and preempt others for them.  A new turn therefore waits only
+for turns at the engine that are at least as urgent.  This prevents the refusal of urgent programs
+during bursts because of turns that they would overtake.
 """
 
-FORGETTING = 0.98
-"""Weight that a turn keeps with each later one; the last 50 make up two thirds of a share."""
+DECAY = 0.98
+"""Factor by which each new turn reduces the weight of the earlier ones; the last 50 turns have
+about two thirds of the total weight."""
 
 
 class RankShares:
-    """The ranks of the turns that one entry has sent to a service lately."""
+    """Ranks of the turns that one entry has recently sent to a service."""
 
     def __init__(self) -> None:
         self.weights: dict[int, float] = {}
 
     def record(self, rank: int) -> None:
-        """Take in a turn that was sent; 0 is the highest rank."""
+        """Record a sent turn; 0 is the highest rank."""
         for known in self.weights:
-            self.weights[known] *= FORGETTING
+            self.weights[known] *= DECAY
         self.weights[rank] = self.weights.get(rank, 0.0) + 1
 
     def share_up_to(self, rank: int) -> float:
-        """Return the share of turns of a rank and of higher ones, 1 if none was sent yet."""
+        """Return the share of turns with this or a higher rank; 1 if no turn was sent yet."""
         total = sum(self.weights.values())
         if total <= 0:
             return 1.0
--- a/waxwingglade/decisions/release.py
+++ b/waxwingglade/decisions/release.py
@@ -1,7 +1,7 @@
-"""Cache that programs hold on targets, and its release when they end.
+"""Tracks which targets cache which programs, and releases this cache when the programs end.
 
-A release is sent until the target acknowledges it.  Whatever is missed, such as a program whose
-end this entry never saw, is found by `sweep` and by the bound on idle cache.
+A release is resent until the target acknowledges it.  `sweep` and the bound on idle cache find any
+missed release, for example of a program whose end this entry did not observe.
 """
 
 from collections.abc import Container
@@ -12,7 +12,7 @@
 
 
 class ReleaseTracker:
-    """Which targets may hold cache of which programs, and which releases are unacknowledged."""
+    """Targets that may have cache of each program, and releases without an acknowledgement."""
 
     def __init__(self, settings: DecisionSettings, clock: Clock) -> None:
         self.settings = settings
@@ -22,13 +22,13 @@
         self.pending: dict[Holding, float] = {}
 
     def record_sent(self, program: ProgramId, target: TargetId) -> None:
-        """Remember that `target` may hold cache of `program` from now on."""
+        """Record that `target` may have cache of `program` from now on."""
         self.targets_of.setdefault(program, set()).add(target)
         self.used_at[program] = self.clock()
         self.pending.pop(Holding(program, target), None)
 
     def release(self, program: ProgramId) -> list[Holding]:
-        """Return the releases to send now that `program` ended or lets its cache go."""
+        """Return the releases to send when `program` has ended or gives up its cache."""
         self.used_at.pop(program, None)
         holdings = [Holding(program, target) for target in self.targets_of.pop(program, ())]
         due_at = self.clock() + self.settings.release_retry_s
@@ -37,18 +37,18 @@
         return holdings
 
     def acknowledge(self, holding: Holding) -> None:
-        """Note that the target has dropped the cache."""
+        """Record that the target has released the cache."""
         self.pending.pop(holding, None)
 
     def forget_target(self, target: TargetId) -> None:
-        """Drop what concerns a target that is gone; its cache went with it."""
+        """Delete all records of a removed target, whose cache no longer exists."""
         for holding in [holding for holding in self.pending if holding.target == target]:
             del self.pending[holding]
         for targets in self.targets_of.values():
             targets.discard(target)
 
     def due(self) -> list[Holding]:
-        """Return the releases to send again, because no acknowledgement came in time."""
+        """Return the releases to resend because no acknowledgement arrived in time."""
         now = self.clock()
         again = [holding for holding, due_at in self.pending.items() if due_at <= now]
         for holding in again:
--- a/waxwingglade/decisions/retry.py
+++ b/waxwingglade/decisions/retry.py
@@ -1,4 +1,4 @@
-"""When a failed call may be sent again, and for how long a call may take."""
+"""Retries of failed calls, and timeouts of calls."""
 
 from waxwingglade.base import ErrorCode, Failure, Verdict
 from waxwingglade.decisions.work import Work
@@ -21,8 +21,8 @@
     Parameters
     ----------
     settings : DecisionSettings
-        `retry_ratio` tokens come in with each first attempt, up to `retry_burst`; a retry takes
-        one.
+        Each first attempt adds `retry_ratio` tokens, up to `retry_burst`; each retry consumes one
+        token.
     """
 
     def __init__(self, settings: DecisionSettings) -> None:
@@ -30,11 +30,11 @@
         self.tokens = settings.retry_burst
 
     def record_first_attempt(self) -> None:
-        """Count a call that is sent for the first time."""
+        """Add the tokens for the first attempt of a call."""
         self.tokens = min(self.settings.retry_burst, self.tokens + self.settings.retry_ratio)
 
     def take(self) -> bool:
-        """Take a retry out of the budget, if one is left."""
+        """Consume a token for a retry; return whether one was available."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -42,18 +42,18 @@
 
 
 def is_safe(work: Work, failure: Failure) -> bool:
-    """Return whether sending the call again cannot double an effect."""
+    """Return whether a retry of the call can't repeat a side effect."""
     return work.idempotent or failure.verdict is Verdict.NOT_RUN
 
 
 def may_retry(work: Work, failure: Failure, budget: RetryBudget) -> bool:
-    """Return whether to send a failed call again now; takes from the budget if so."""
+    """Return whether to retry a failed call now, and consume a token of the budget if so."""
     if not is_safe(work, failure) or failure.code not in RETRYABLE_CODES:
         return False
     return budget.take()
 
 
 def timeout_s(work: Work, now: float) -> float:
-    """Return the seconds after which a call that is sent now should be given up."""
+    """Return the timeout, in seconds, of a call that is sent now."""
     limit = work.policy.model_timeout_s if work.prompt_tokens else work.policy.tool_timeout_s
     return max(0.0, min(limit, work.deadline_at - now))
--- a/waxwingglade/decisions/route.py
+++ b/waxwingglade/decisions/route.py
@@ -1,4 +1,4 @@
-"""Choose a target for a call: expected time, cached prefix, and what the policy weighs more."""
+"""Choice of a target for a call, by expected time, cached prefix and the weights of the policy."""
 
 import msgspec
 
@@ -10,20 +10,20 @@
 
 
 class Choice(msgspec.Struct):
-    """A target for a call, and what speaks for it.
+    """A target for a call, and its cost.
 
     Parameters
     ----------
     view : TargetView
         The target.
     cost_s : float
-        Expected seconds of the call there, with the price of wasted cache.
+        Expected seconds of the call at the target, plus the cost of unused cache elsewhere.
     cached_tokens : int
-        Prompt tokens believed to be held there.
+        Estimated prompt tokens in the target's cache.
     source : TargetView or None
-        Target from which cache should be imported first, because that is faster than prefill.
+        Target from which cache is imported first, because this is faster than prefill.
     is_open : bool
-        Whether the call may be sent now; else it should wait for the target to get room.
+        Whether the call may be sent now; otherwise it waits until the target has capacity.
     """
 
     view: TargetView
@@ -34,15 +34,15 @@
 
 
 class CachedPrefix(msgspec.Struct):
-    """What is known of a prompt's cache, the same for all targets of one decision."""
+    """Longest cached prefix of a prompt; shared by all candidates of one decision."""
 
-    held_tokens: int
+    cached_tokens: int
     holders: list[TargetView]
     source: TargetView | None
 
 
 def find_cached_prefix(table: TargetTable, work: Work) -> CachedPrefix:
-    """Look up who holds most of the call's prompt."""
+    """Find the targets with the longest cached prefix of the call's prompt."""
     if not work.blocks:
         return CachedPrefix(0, [], None)
     depth, bits = table.cache.deepest(work.blocks)
@@ -59,49 +59,49 @@
 
 
 def choose(table: TargetTable, work: Work) -> Choice | None:
-    """Choose among the holders of the prompt and a random sample of targets with room.
+    """Choose among the holders of the prompt and a random sample of targets with capacity.
 
     Parameters
     ----------
     table : TargetTable
-        Targets as this entry sees them.
+        Targets, as estimated by this entry.
     work : Work
         The call.
 
     Returns
     -------
     Choice or None
-        The cheapest target, which may have no room at present; None if no target is known that
-        could take the call.
+        The target with the lowest cost, which may have no capacity now; None if no target can
+        serve the call.
 
     Notes
     -----
-    Looking at a few targets at random keeps the time of a decision from growing with their
-    number, and keeps entries that read the same stale report from all choosing the same target.
+    A small random sample keeps the time of a decision independent of the number of targets, and
+    prevents entries with the same stale report from all choosing the same target.
     """
     members = table.open.get(work.pool)
     if members is None:
         return None
-    prompt = find_cached_prefix(table, work)
+    prefix = find_cached_prefix(table, work)
     candidates = members[work.policy.urgency].sample(table.rng, table.settings.sample_size)
-    for holder in prompt.holders:
+    for holder in prefix.holders:
         if holder not in candidates:
             candidates.append(holder)
     best: Choice | None = None
     for view in candidates:
         if not is_eligible(table, view, work):
             continue
-        choice = assess(table, view, work, prompt)
+        choice = assess(table, view, work, prefix)
         if best is None or choice.cost_s < best.cost_s:
             best = choice
     return best
 
 
 def is_eligible(table: TargetTable, view: TargetView, work: Work) -> bool:
-    """Return whether `work` may go to `view`, load and cost aside.
+    """Return whether `work` may be sent to `view`, regardless of load and cost.
 
-    A call that may not be repeated stays away from a target on trial, where it could be lost,
-    while the pool has others; the repeatable ones put the target to the test.
+    A call that may not be repeated is not sent to a target on trial, where it could fail, while the
+    pool has other targets.  Repeatable calls test the target.
     """
     if view.target in work.avoid:
         return False
@@ -111,31 +111,31 @@
     return not any(table.usable(other) and not other.on_trial for other in others)
 
 
-def assess(table: TargetTable, view: TargetView, work: Work, prompt: CachedPrefix) -> Choice:
-    """Return what it costs to serve `work` at `view`."""
+def assess(table: TargetTable, view: TargetView, work: Work, prefix: CachedPrefix) -> Choice:
+    """Return the choice of `view` for `work`, with its cost."""
     settings = table.settings
     cached = 0
-    if prompt.held_tokens:
+    if prefix.cached_tokens:
         cached = table.cache.depth(view.number, work.blocks) * settings.block_tokens
         cached = min(cached, work.prompt_tokens)
     choice = Choice(view, 0.0, cached)
     choice.is_open = table.has_capacity(view, work.policy.urgency)
     load = view.load
-    held_up = 1 + settings.disturbance * min(load, view.slots)
+    slowdown = 1 + settings.disturbance * min(load, view.slots)
     token_s = 1 / view.prefill_tokens_per_s
-    missed = max(0, min(prompt.held_tokens, work.prompt_tokens) - cached)
-    read_s = max(0, work.prompt_tokens - cached) * token_s * held_up
-    wasted_s = missed * token_s
-    if missed and settings.import_tokens_per_s and prompt.source is not view:
-        import_s = missed / settings.import_tokens_per_s + settings.import_delay_s
-        if import_s < wasted_s * (held_up + waste_price(work)):
-            choice.source = prompt.source
-            read_s += import_s - wasted_s * held_up
+    uncached_prefix = max(0, min(prefix.cached_tokens, work.prompt_tokens) - cached)
+    prefill_s = max(0, work.prompt_tokens - cached) * token_s * slowdown
+    wasted_s = uncached_prefix * token_s
+    if uncached_prefix and settings.import_tokens_per_s and prefix.source is not view:
+        import_s = uncached_prefix / settings.import_tokens_per_s + settings.import_delay_s
+        if import_s < wasted_s * (slowdown + waste_price(work)):
+            choice.source = prefix.source
+            prefill_s += import_s - wasted_s * slowdown
             wasted_s = 0.0
     crowding = 1 + settings.crowding * load / view.slots
-    seconds = read_s + work.expected_output_tokens * view.decode_s_per_token * crowding
+    seconds = prefill_s + work.expected_output_tokens * view.decode_s_per_token * crowding
     if view.cache_used >= settings.crowded_cache:
-        seconds += missed * token_s * settings.space_price
+        seconds += uncached_prefix * token_s * settings.space_price
     if not work.prompt_tokens:
         seconds += view.service_s * crowding
     if load >= view.slots:
@@ -147,13 +147,13 @@
 
 
 def waste_price(work: Work) -> float:
-    """Return the seconds of latency that a second of wasted prefill counts for."""
+    """Return the latency, in seconds, that is equivalent to a second of wasted prefill."""
     weight = max(work.policy.latency_weight, MIN_WEIGHT)
     return (1 - weight) / weight
 
 
 def expected_service_s(table: TargetTable, work: Work) -> float:
-    """Return the seconds `work` takes on a target with its prompt cached, at the speeds assumed."""
+    """Return the expected seconds of `work` with a cached prompt, at the configured speed."""
     settings = table.settings
     if not work.prompt_tokens:
         return 0.0
--- a/waxwingglade/decisions/sampling.py
+++ b/waxwingglade/decisions/sampling.py
@@ -7,7 +7,7 @@
 
 
 class SampledSet(Generic[T]):
-    """A set of hashable members with constant-time `add`, `discard` and choice."""
+    """A set of hashable members with `add`, `discard` and random choice in constant time."""
 
     def __init__(self) -> None:
         self.members: list[T] = []
@@ -20,14 +20,14 @@
         return member in self.places
 
     def add(self, member: T) -> None:
-        """Put `member` in, if it is not there."""
+        """Add `member` unless the set contains it."""
         if member in self.places:
             return
         self.places[member] = len(self.members)
         self.members.append(member)
 
     def discard(self, member: T) -> None:
-        """Take `member` out, if it is there."""
+        """Remove `member` if the set contains it."""
         place = self.places.pop(member, None)
         if place is None:
             return
--- a/waxwingglade/decisions/targets.py
+++ b/waxwingglade/decisions/targets.py
@@ -1,4 +1,4 @@
-"""What one entry knows of the targets it may send to."""
+"""State of the targets to which an entry may send calls, as estimated by that entry."""
 
 import random
 from collections import deque
@@ -20,11 +20,11 @@
 
 
 class TargetView:
-    """One target as this entry sees it.
+    """State of one target, as estimated by this entry.
 
-    The last report says how many calls the target served at its stamp, whoever sent them.  What
-    this entry had under way at the stamp is subtracted and what it has under way now is added, so
-    a stale report does not hide the entry's own sends.
+    The last report states the number of calls at the target at the time of the report, over all
+    entries.  The estimate subtracts this entry's own calls of that time and adds its current ones,
+    so a stale report does not hide the entry's recent calls.
     """
 
     def __init__(
@@ -45,9 +45,9 @@
             Urgency.ROUTINE: max(1, int(self.slots * decisions.routine_room)),
         }
         self.in_flight = 0
-        self.foreign_load = 0
+        self.external_load = 0
         self.waiting_preferred = 0
-        self.stamp = now
+        self.reported_at = now
         self.cache_used = 0.0
         self.sends: deque[tuple[float, int]] = deque([(now, 0)], maxlen=SEND_HISTORY)
         self.leaving = False
@@ -64,66 +64,66 @@
 
     @property
     def load(self) -> int:
-        """Calls believed to be at the target now."""
-        return self.foreign_load + self.in_flight
+        """Estimated number of calls at the target now."""
+        return self.external_load + self.in_flight
 
     @property
     def on_trial(self) -> bool:
-        """Whether the target has just started, returned or failed."""
+        """Whether the target has recently started, been readmitted or failed."""
         return self.started_at is not None or self.failures > 0
 
     def record_in_flight(self, now: float, change: int) -> None:
-        """Count a call sent (+1) or ended (-1)."""
+        """Record a sent call (+1) or an ended call (-1)."""
         self.in_flight += change
         self.sends.append((now, self.in_flight))
 
     def own_in_flight_at(self, stamp: float) -> int:
-        """Return how many of this entry's calls were under way at `stamp`."""
+        """Return the number of this entry's calls that were in flight at `stamp`."""
         for time, count in reversed(self.sends):
             if time <= stamp:
                 return count
         return self.sends[0][1]
 
     def report_load(self, now: float, report: LoadReport) -> None:
-        """Take in a report, unless a newer one is known."""
+        """Apply a load report unless it is older than the last one."""
         stamp = now - report.age_s
-        if stamp < self.stamp:
+        if stamp < self.reported_at:
             return
-        self.stamp = stamp
+        self.reported_at = stamp
         self.cache_used = report.cache_used
-        self.foreign_load = max(0, report.running + report.waiting - self.own_in_flight_at(stamp))
+        self.external_load = max(0, report.running + report.waiting - self.own_in_flight_at(stamp))
 
     def observe_prefill(self, tokens: int, seconds: float) -> None:
-        """Take in the time in which `tokens` of prompt were read."""
+        """Update the prefill speed with a prefill of `tokens`."""
         if tokens < MIN_SAMPLE_TOKENS or seconds <= 0:
             return
         self.prefill_tokens_per_s += SMOOTHING * (tokens / seconds - self.prefill_tokens_per_s)
 
     def observe_decode(self, tokens: int, seconds: float) -> None:
-        """Take in the time in which `tokens` were generated."""
+        """Update the generation speed with an output of `tokens`."""
         if tokens <= 1:
             return
         self.samples += 1
         self.decode_s_per_token += SMOOTHING * (seconds / tokens - self.decode_s_per_token)
 
     def observe_service(self, seconds: float) -> None:
-        """Take in the length of a whole call."""
+        """Update the service time with the duration of a completed call."""
         self.service_s += SMOOTHING * (seconds - self.service_s)
 
 
 class TargetTable:
-    """All targets known to this entry, by pool, with the places open in each.
+    """All targets of which this entry has information, by pool, and those with capacity.
 
     Parameters
     ----------
     settings : DecisionSettings
-        Constants.
+        Constants of the decisions.
     home : ZoneId
         Zone of this entry.
     clock : Clock
         Monotonic seconds.
     seed : int or None
-        Start of the random choices; None for a different one in each process.
+        Seed of the random choices; None for a different one in each process.
     """
 
     def __init__(
@@ -140,17 +140,17 @@
         self.pools: dict[Pool, dict[TargetId, TargetView]] = {}
         self.open: dict[Pool, dict[Urgency, SampledSet[TargetView]]] = {}
         self.ejected: list[TargetView] = []
-        self.checked_at = clock()
+        self.expiry_checked_at = clock()
 
     def add(self, settings: TargetSettings, slow_start: bool = False) -> TargetView:
-        """Add a target, or replace what is known of one.
+        """Add a target, or replace an existing one and its state.
 
         Parameters
         ----------
         settings : TargetSettings
             The target.
         slow_start : bool
-            Whether it has just started, so that it gets up to its slots little by little.
+            Whether the target has just started, so that its limit rises gradually to its slots.
         """
         self.remove(TargetId(settings.target))
         number = self.free_numbers.pop() if self.free_numbers else len(self.numbered)
@@ -166,7 +166,7 @@
         return view
 
     def remove(self, target: TargetId) -> None:
-        """Forget a target."""
+        """Remove a target and its state."""
         view = self.targets.pop(target, None)
         if view is None:
             return
@@ -180,7 +180,7 @@
             del self.pools[pool][target]
 
     def set_models(self, target: TargetId, models: Iterable[str]) -> TargetView | None:
-        """Give a target only calls of the models named, and of its tools; return its view."""
+        """Restrict a target to calls of the given models and its own tools; return its view."""
         view = self.targets.get(target)
         if view is None:
             return None
@@ -198,15 +198,15 @@
         return view
 
     def usable(self, view: TargetView) -> bool:
-        """Return whether `view` may get new work at all."""
+        """Return whether `view` may get new work, regardless of its load."""
         return not view.leaving and view.ejected_until <= self.clock()
 
     def any_usable(self, pool: Pool) -> bool:
-        """Return whether some target of `pool` may get new work, now or when it has room."""
+        """Return whether any target of `pool` may get new work, now or after others end."""
         return any(self.usable(view) for view in self.pools.get(pool, {}).values())
 
     def limit(self, view: TargetView, urgency: Urgency) -> int:
-        """Return the calls at `view` below which one more of `urgency` may be sent."""
+        """Return the load of `view` below which another call of `urgency` may be sent."""
         if view.started_at is None:
             return view.limits[urgency]
         share = (self.clock() - view.started_at) / max(self.settings.slow_start_s, 1e-9)
@@ -220,7 +220,7 @@
         return self.usable(view) and view.load < self.limit(view, urgency)
 
     def refresh(self, view: TargetView) -> None:
-        """Bring the sets of open targets in line with `view`."""
+        """Update the sets of targets with capacity to the state of `view`."""
         usable = self.usable(view)
         load = view.load
         for urgency in URGENCIES:
@@ -233,7 +233,7 @@
                     members.discard(view)
 
     def report_load(self, target: TargetId, report: LoadReport) -> TargetView | None:
-        """Take in a target's load report; return its view."""
+        """Apply a target's load report; return its view."""
         view = self.targets.get(target)
         if view is None:
             return None
@@ -242,28 +242,30 @@
         return view
 
     def expire_reports(self) -> list[TargetView]:
-        """Forget loads reported too long ago, or a target would stay closed for want of news.
+        """Discard expired load reports; otherwise a target without new reports would stay closed.
 
         Returns
         -------
         list of TargetView
-            Targets that may have got room by it.
+            Targets that may have capacity as a result.
         """
         now = self.clock()
-        if now < self.checked_at + self.settings.stale_load_s / STALE_CHECKS:
+        if now < self.expiry_checked_at + self.settings.stale_load_s / STALE_CHECKS:
             return []
-        self.checked_at = now
+        self.expiry_checked_at = now
         before = now - self.settings.stale_load_s
         stale = [
-            view for view in self.targets.values() if view.foreign_load and view.stamp < before
+            view
+            for view in self.targets.values()
+            if view.external_load and view.reported_at < before
         ]
         for view in stale:
-            view.foreign_load = 0
+            view.external_load = 0
             self.refresh(view)
         return stale
 
     def set_leaving(self, target: TargetId, leaving: bool = True) -> None:
-        """Give a target no new work, or end that state."""
+        """Exclude a target from new work because it is leaving, or end this state."""
         view = self.targets.get(target)
         if view is None or view.leaving == leaving:
             return
@@ -273,13 +275,13 @@
         self.refresh(view)
 
     def apply_cache_events(self, target: TargetId, events: CacheEvents) -> bool:
-        """Take in a batch of cache events.
+        """Apply a batch of cache events.
 
         Returns
         -------
         bool
-            Whether batches are missing, so that the whole state should be asked of the target and
-            given to `resync`.
+            Whether batches are missing, so that the caller should request the complete state of the
+            target and pass it to `resync`.
         """
         view = self.targets.get(target)
         if view is None:
@@ -293,7 +295,7 @@
         return gap
 
     def resync(self, target: TargetId, sequence: int, blocks: Iterable[BlockHash]) -> None:
-        """Take in all blocks that a target held after the batch `sequence`."""
+        """Replace the blocks of a target by its complete state after the batch `sequence`."""
         view = self.targets.get(target)
         if view is None:
             return
--- a/waxwingglade/decisions/tests/test_admission.py
+++ b/waxwingglade/decisions/tests/test_admission.py
@@ -3,8 +3,8 @@
 import unittest
 
 from waxwingglade.decisions.admission import (
-    LONGEST_RETRY_S,
-    SHORTEST_RETRY_S,
+    MAX_RETRY_S,
+    MIN_RETRY_S,
     AdmissionRequest,
     retry_after_s,
 )
@@ -50,10 +50,10 @@
         self.assertIsNotNone(retry_after_s(self.pace, [HOPELESS], urgent))
 
     def test_the_time_to_come_back_is_the_wait_within_bounds(self) -> None:
-        self.assertEqual(retry_after_s(self.pace, [HOPELESS], FIRST), LONGEST_RETRY_S)
+        self.assertEqual(retry_after_s(self.pace, [HOPELESS], FIRST), MAX_RETRY_S)
         wait_s = retry_after_s(self.pace, [CROWDED], FIRST)
         self.assertAlmostEqual(wait_s, self.pace.generation_s(1.0) * 11 / 16)
-        self.assertGreaterEqual(wait_s, SHORTEST_RETRY_S)
+        self.assertGreaterEqual(wait_s, MIN_RETRY_S)
 
     def test_without_an_engine_it_is_not_this_that_refuses(self) -> None:
         self.assertIsNone(retry_after_s(self.pace, [], FIRST))
--- a/waxwingglade/decisions/tests/test_pace.py
+++ b/waxwingglade/decisions/tests/test_pace.py
@@ -4,7 +4,7 @@
 import unittest
 
 from waxwingglade.decisions.engine_speed import CompletedTurn, EngineSpeed
-from waxwingglade.decisions.linear_fit import OUTLIER, FadingLinearFit, Prior
+from waxwingglade.decisions.linear_fit import MAX_DEVIATION_FACTOR, FadingLinearFit, Prior
 
 PRIOR = Prior(1.0, 2.0, 0.0, 10.0)
 
@@ -36,7 +36,7 @@
             self.line.observe(0.5, 1.0)
         before = self.line.predict(0.5)
         self.line.observe(0.5, 1_000.0)
-        self.assertLess(self.line.predict(0.5), before * (1 + OUTLIER / 40))
+        self.assertLess(self.line.predict(0.5), before * (1 + MAX_DEVIATION_FACTOR / 40))
 
     def test_its_rise_stays_within_bounds(self) -> None:
         for x in (0.0, 1.0) * 50:
--- a/waxwingglade/decisions/tests/test_ranks.py
+++ b/waxwingglade/decisions/tests/test_ranks.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from waxwingglade.decisions.ranks import FORGETTING, RankShares
+from waxwingglade.decisions.ranks import DECAY, RankShares
 
 URGENT, USUAL, IDLE = 0, 1, 2
 
@@ -30,7 +30,7 @@
 
     def test_a_rank_that_is_not_sent_any_more_fades(self) -> None:
         self.send(*[USUAL] * 100, *[URGENT] * 50)
-        self.assertAlmostEqual(1 - FORGETTING**50, self.ranks.share_up_to(URGENT), delta=0.06)
+        self.assertAlmostEqual(1 - DECAY**50, self.ranks.share_up_to(URGENT), delta=0.06)
 
 
 if __name__ == "__main__":
--- a/waxwingglade/decisions/work.py
+++ b/waxwingglade/decisions/work.py
@@ -1,4 +1,4 @@
-"""What the decisions know of one waiting call, and of a target's reports."""
+"""Input of the decisions: waiting calls, and reports of targets."""
 
 from typing import NewType
 
@@ -9,35 +9,35 @@
 from waxwingglade.settings import ProgramPolicy
 
 Pool = NewType("Pool", str)
-"""Name of a model or tool; the targets that serve it are interchangeable but for their cache."""
+"""Name of a model or tool; the targets that serve it are interchangeable except for their cache."""
 
 BlockHash = NewType("BlockHash", int)
-"""Hash of a prompt up to and including one block, so equal hashes mean equal prefixes."""
+"""Hash of a prompt up to and including one block; equal hashes mean equal prefixes."""
 
 
 class Work(msgspec.Struct):
-    """One call that wants a target.
+    """A call that needs a target.
 
     Parameters
     ----------
     program, tenant, program_class : ProgramId, TenantId, ClassName
-        Whose call it is.
+        Program of the call, its tenant and its class.
     policy : ProgramPolicy
-        Resolved configuration under which the call is served.
+        Resolved configuration for the call.
     pool : Pool
-        Model or tool that is called.
+        Model or tool of the call.
     created_at, deadline_at : float
-        Start of the program and the time by which it should end, in seconds of the entry's clock.
+        Start and deadline of the program, in seconds of the entry's clock.
     service_received_s : float
-        Seconds that targets have spent on the program so far.
+        Service time of the program so far, over all targets, in seconds.
     blocks : tuple of BlockHash
         Hash chain of the prompt (`hash_blocks`); empty for tools.
     prompt_tokens, expected_output_tokens : int
-        Tokens to read and, as learned, to generate; zero for tools.
+        Tokens of the prompt, and estimated tokens of the output; zero for tools.
     idempotent : bool
-        Whether the call may be repeated; true of model calls.
+        Whether the call may be repeated; true for model calls.
     avoid : tuple of TargetId
-        Targets where the call has just failed.
+        Targets at which the call has just failed.
     """
 
     program: ProgramId
@@ -56,16 +56,16 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """What a target says of its load.
+    """Load that a target reports.
 
     Parameters
     ----------
     running, waiting : int
-        Calls that are being served, and calls in the target's own queue.
+        Calls in service, and calls in the target's own queue.
     cache_used : float
         Share of the prefix cache in use, between 0 and 1.
     age_s : float
-        Seconds between the measurement and the moment it is passed to the table.
+        Seconds between the measurement and its entry into the table.
     """
 
     running: int
@@ -80,9 +80,9 @@
     Parameters
     ----------
     sequence : int
-        Number of the batch, without holes at the sender.
+        Number of the batch; the sender numbers batches without gaps.
     stored, removed : list of BlockHash
-        Blocks that came and went since the batch before.
+        Blocks that were added and removed since the previous batch.
     """
 
     sequence: int
@@ -91,30 +91,30 @@
 
 
 class Holding(msgspec.Struct, frozen=True):
-    """A target that may hold cache of a program."""
+    """A target that may have cache of a program."""
 
     program: ProgramId
     target: TargetId
 
 
 def pool_of_tool(tool: ToolName) -> Pool:
-    """Return the pool of the targets that serve `tool`; distinct from any model's."""
+    """Return the pool of the targets that serve `tool`; it differs from the pool of any model."""
     return Pool(f"tool:{tool}")
 
 
 def hash_blocks(
     prompt: bytes, block_bytes: int, known: tuple[BlockHash, ...] = ()
 ) -> tuple[BlockHash, ...]:
-    """Return the hash chain of the whole blocks in `prompt`.
+    """Return the hash chain of the complete blocks in `prompt`.
 
     Parameters
     ----------
     prompt : bytes
         Encoded prompt, from its start.
     block_bytes : int
-        Bytes in a block; a shorter rest at the end has no hash.
+        Bytes in a block; an incomplete block at the end has no hash.
     known : tuple of BlockHash
-        Chain of an earlier, shorter version of the same prompt; it is not computed again.
+        Hash chain of a prefix of the prompt, which is not computed again.
     """
     chain = list(known)
     seed = chain[-1] if chain else 0
