--- a/waxwingglade/ingress/tests/builders.py
+++ b/waxwingglade/ingress/tests/builders.py
@@ -1,4 +1,4 @@
-"""Routes, targets and calls for tests of the ingress."""
+"""Builders of routes, targets and calls for tests of the ingress."""
 
 from typing import Any
 
--- a/waxwingglade/ingress/tests/entry_builders.py
+++ b/waxwingglade/ingress/tests/entry_builders.py
@@ -1,4 +1,4 @@
-"""An entry in the test's own process: real connections to callers and targets, a fake ledger."""
+"""An entry in the process of the test, with real connections and a fake ledger."""
 
 import asyncio
 import socket
@@ -46,7 +46,7 @@
 
 
 class Behaviour(Enum):
-    """What a target does with a request."""
+    """Behaviour of a fake target on a request."""
 
     ANSWER = "answers at once"
     HOLD = "reads it and says nothing"
@@ -58,7 +58,7 @@
 
 
 class FakeTarget:
-    """A target that does what a test asks for.
+    """A target whose behaviour a test controls.
 
     Attributes
     ----------
@@ -67,15 +67,15 @@
     heads : list of bytes
         Head of each request that was read.
     open : int
-        Connections that are open.
+        Number of open connections.
     opened : int
-        Connections that there ever were.
+        Number of connections opened so far.
     proceed : asyncio.Event
-        Ends the waiting of `REFUSE` and `EVENT_AND_END`.
+        Set to let `REFUSE` and `EVENT_AND_END` proceed.
     delay_s : float
         Seconds before an answer.
     advertised : str
-        Address that the entry is told; its own where that is empty.
+        Address under which it is registered; its own if empty.
     """
 
     def __init__(self, behaviour: Behaviour = Behaviour.ANSWER) -> None:
@@ -91,12 +91,12 @@
         self.advertised = ""
 
     async def start(self) -> None:
-        """Begin to accept connections."""
+        """Start to accept connections."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def stop(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         assert self.server is not None
         self.server.close()
 
@@ -111,7 +111,7 @@
                 self.heads.append(head)
                 await self._answer(writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # The entry has closed the connection, as tests wait for, or the test ends.
+            pass  # The entry closed the connection, which tests wait for, or the test ended.
         finally:
             self.open -= 1
             writer.close()
@@ -144,36 +144,36 @@
 
 
 class FakeLedger:
-    """A ledger that decides when a test lets it.
+    """A ledger whose decisions a test controls.
 
     Attributes
     ----------
     begun, ended, settled : list
-        What was asked, in order.
+        Requests received, in order.
     may_begin, may_end : asyncio.Event
-        Set where it answers at once.
+        Clear to delay the answers to turns that begin or end.
     chain : tuple of Turn
-        The turns before each turn that begins.
+        Previous turns of each turn that begins.
     failed_at : IncarnationName or None
-        Target that failed the program's last turn.
+        Target that failed the last turn of the program.
     taken : list
-        Accounts of requests that were to be granted within their limits.
+        Accounts of the requests for quota.
     spent : QuotaSpent or None
-        Answer to all of them, if the accounts have no room.
+        Answer to all requests for quota, if the accounts are over their limits.
     no_program : QuotaSpent or None
-        Answer to programs that would begin, if their accounts have no room for them.
+        Answer to programs that would begin, if their accounts may not begin any.
     refused : list
-        Accounts of requests that were refused as over a limit.
+        Accounts of the requests that were refused as over the limit.
     undecided : bool
-        Whether it decides on no turn that begins.
+        Whether turns that begin get no decision.
     granter : str
-        Who may confirm reservations; empty where they count at once.
-    lapsed : bool
-        Whether they have lapsed by then.
+        Member that confirms reservations; empty if no confirmation is needed.
+    expired : bool
+        Whether reservations expired before their confirmation.
     confirmed : list
-        Turns whose reservations were to be confirmed.
+        Requests to confirm the reservation of a turn.
     may_confirm, may_settle : asyncio.Event
-        Set where it confirms, or settles before an answer, at once.
+        Clear to delay confirmations, or the release of reservations before an answer.
     """
 
     def __init__(self) -> None:
@@ -210,11 +210,11 @@
         return self.spent or QuotaTaken()
 
     async def begin_program(self, client: ClientAccountId) -> QuotaSpent | None:
-        """Let a program begin."""
+        """Allow a program to begin, unless `no_program` is set."""
         return self.no_program
 
     def note_refused(self, client: ClientAccountId) -> None:
-        """Note a refusal."""
+        """Record a refusal."""
         self.refused.append(client)
 
     async def begin(self, message: BeginTurn, timeout_s: float) -> Any:
@@ -234,44 +234,44 @@
         return not self.expired
 
     async def end(self, message: EndTurn, timeout_s: float) -> bool:
-        """Keep a turn."""
+        """Store a turn."""
         self.ended.append(message)
         await self.may_end.wait()
         return True
 
     def settle_later(self, message: EndTurn) -> None:
-        """Settle a reservation."""
+        """Resolve a reservation."""
         self.settled.append(message)
 
     async def settle_first(self, message: EndTurn) -> None:
-        """Settle a reservation before an answer."""
+        """Resolve a reservation before an answer."""
         self.settled.append(message)
         await self.may_settle.wait()
 
     def settle_refused(self, message: EndTurn) -> list[asyncio.Task[bool]]:
-        """Settle what may be reserved."""
+        """Resolve what may be reserved."""
         self.settled.append(message)
         return []
 
     async def noted(self, telling: list[asyncio.Task[bool]]) -> bool:
-        """Return at once that all is noted."""
+        """Return at once that all replicas recorded it."""
         return True
 
     async def finish(self, timeout_s: float) -> None:
-        """Wait for nothing: all is settled."""
+        """Return at once, since all reservations are resolved."""
 
 
 class EntryUnderTest:
-    """An entry that serves callers, with targets and routes of the test's own.
+    """An entry that serves callers, with the targets and routes of a test.
 
     Parameters
     ----------
     fakes : FakeTarget
-        The targets of its one service.
+        The targets of its only service.
     accounts : tuple of ClientAccount or None
-        Client accounts whose keys callers need.
+        Client accounts; if given, callers need a key of one.
     keys : KeyRules
-        How old the view may be under which keys are judged.
+        Limits on the age of the view by which keys are checked.
     fields : dict
         Fields of all routes.
     """
@@ -288,7 +288,7 @@
         self.fields = fields
         self.ledger = FakeLedger()
         settings = IngressSettings("vm", ZoneId("zone-a"), "127.0.0.1:0", "", keys=keys)
-        # Metrics register themselves once for a whole process.
+        # Metrics can be registered only once per process.
         with mock.patch("waxwingglade.ingress.entry.IngressMetrics"):
             self.ingress = Ingress(settings, cast(Store, mock.Mock()), KEYS, DIALECT)
         self.ingress.ledger = cast(LedgerClient, self.ledger)
@@ -297,7 +297,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve callers."""
         for fake in self.fakes:
             if not fake.address:
                 await fake.start()
@@ -314,7 +314,7 @@
         )
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop the entry, its targets and all tasks."""
         self.ledger.may_begin.set()
         self.ledger.may_end.set()
         self.ledger.may_confirm.set()
@@ -352,7 +352,7 @@
         return [target(fake.advertised or fake.address) for fake in self.fakes]
 
     async def call(self, path: str, request: str, *headers: tuple[str, str]) -> tuple[int, float]:
-        """Send a request and read its whole answer; return its status and the seconds it took."""
+        """Send a request and read the complete answer; return its status and the seconds taken."""
         began_at = time.monotonic()
         connection = await self.send(path, request, *headers)
         try:
@@ -363,7 +363,7 @@
         return head.status, time.monotonic() - began_at
 
     async def send_half(self, path: str) -> socket.socket:
-        """Send a request but for the last two bytes, ``dy``, and wait until the entry reads it."""
+        """Send a request without its last two bytes, ``dy``, and wait until the entry reads it."""
         caller = socket.create_connection(("127.0.0.1", int(self.address.rpartition(":")[2])))
         head = f"POST {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Waxwingglade-Request-Id: r\r\n"
         caller.sendall(f"{head}Content-Length: 4\r\n\r\nbo".encode())
@@ -373,7 +373,7 @@
     async def send(
         self, path: str, request: str = "r1", *headers: tuple[str, str]
     ) -> Http1Connection:
-        """Send a request as a caller; return the connection, on which the answer comes."""
+        """Send a request as a caller; return the connection on which the answer arrives."""
         sent = [
             *headers,
             ("Host", HOST),
@@ -388,7 +388,7 @@
 
 
 async def until(condition: Any, within_s: float) -> bool:
-    """Wait until a condition holds; return whether it came to hold in time."""
+    """Wait until a condition holds; return whether it did in time."""
     end_at = time.monotonic() + within_s
     while not condition():
         if time.monotonic() > end_at:
--- a/waxwingglade/ingress/tests/test_accounts.py
+++ b/waxwingglade/ingress/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Keys of client accounts: who is served, who is refused, and what a target is told."""
+"""Keys of client accounts: accepted and refused calls, and the headers sent to a target."""
 
 import asyncio
 import time
@@ -35,7 +35,7 @@
         for value in (BEARER, f"bearer {KEY}", f"  BEARER \t {KEY}  "):
             self.assertEqual(KEY, bearer_token([value]), value)
 
-    def test_what_names_no_single_key_is_none(self) -> None:
+    def test_credentials_without_exactly_one_key_give_none(self) -> None:
         for values in ([], [""], ["Bearer"], [KEY], [f"Basic {KEY}"], [f"{BEARER} {KEY}"]):
             self.assertIsNone(bearer_token(values), values)
         self.assertIsNone(bearer_token([BEARER, BEARER]))
@@ -60,20 +60,20 @@
         self.assertNotIn(KEY, refused.exception.reason)
         return refused.exception.status
 
-    def test_a_key_is_honoured_while_the_view_is_new_enough(self) -> None:
+    def test_a_key_is_accepted_while_the_view_is_recent_enough(self) -> None:
         for age_s in (0.0, RULES.max_deny_age_s + 1, RULES.max_accept_age_s):
             self.assertEqual("shop", self.identify([BEARER], age_s).name)
 
-    def test_a_key_that_may_have_been_taken_away_is_refused_and_not_denied(self) -> None:
+    def test_a_key_that_may_have_been_revoked_is_refused_as_unavailable(self) -> None:
         self.assertEqual(UNAVAILABLE, self.refused([BEARER], RULES.max_accept_age_s + 0.01))
         self.assertEqual(UNAVAILABLE, self.refused([BEARER], float("inf")))
 
-    def test_an_unknown_key_is_denied_only_where_it_can_not_have_been_added(self) -> None:
+    def test_an_unknown_key_is_denied_only_if_it_cannot_have_been_added(self) -> None:
         for credentials in ([], ["Bearer x"], [BEARER, BEARER]):
             self.assertEqual(UNAUTHORIZED, self.refused(credentials, RULES.max_deny_age_s))
             self.assertEqual(UNAVAILABLE, self.refused(credentials, RULES.max_deny_age_s + 0.01))
 
-    def test_a_key_of_two_accounts_goes_by_the_first(self) -> None:
+    def test_a_key_of_two_accounts_belongs_to_the_first(self) -> None:
         request = call()
         request.credentials = [BEARER]
         table = AccountTable((ACCOUNTS[0], account("copy", KEY)))
@@ -86,7 +86,7 @@
 
 
 class EntryTest(unittest.IsolatedAsyncioTestCase):
-    """An entry whose callers need keys, and the headers with which a target gets their requests."""
+    """An entry whose callers need keys, and the headers of the requests to its target."""
 
     async def serve(
         self,
@@ -103,7 +103,7 @@
         status, _ = await self.entry.call(path, "r1", *headers)
         return status
 
-    async def test_a_target_is_told_the_account_and_not_the_key(self) -> None:
+    async def test_a_target_gets_the_account_and_not_the_key(self) -> None:
         await self.serve()
         forged = ((ACCOUNT, "garage"), (ACCOUNT.lower(), "garage"), ("Connection", ACCOUNT))
         self.assertEqual(200, await self.status((AUTHORIZATION, BEARER), *forged))
@@ -128,19 +128,19 @@
         self.assertNotIn(KEY.encode(), head)
         self.assertNotIn(ACCOUNT.encode(), head)
 
-    async def test_without_accounts_the_header_is_the_target_s_business(self) -> None:
+    async def test_without_accounts_the_header_is_passed_on(self) -> None:
         await self.serve(accounts=None)
         self.assertEqual(200, await self.status((AUTHORIZATION, BEARER), (ACCOUNT, "shop")))
         (head,) = self.target.heads
         self.assertIn(KEY.encode(), head)
         self.assertNotIn(ACCOUNT.encode(), head)
 
-    async def test_the_rank_of_an_account_goes_before_that_of_its_route(self) -> None:
+    async def test_the_rank_of_an_account_overrides_the_rank_of_its_route(self) -> None:
         await self.serve(rank=1)
         await self.status((AUTHORIZATION, BEARER))
         self.assertEqual({3: 1.0}, self.entry.ingress.balancer.ranks_of(NOTES.name).weights)
 
-    async def test_a_key_is_refused_once_the_view_is_too_old_and_callers_are_sent_away(
+    async def test_a_key_is_refused_once_the_view_is_too_old_and_the_entry_is_not_ready(
         self,
     ) -> None:
         await self.serve(keys=RULES)
@@ -166,7 +166,7 @@
         begun = self.entry.ledger.begun[0]
         self.assertEqual(("shop", True, False), (begun.client, begun.is_first, begun.is_counted))
 
-    async def test_over_the_limit_nothing_is_sent_and_the_caller_is_told_when_to_come(self) -> None:
+    async def test_over_the_limit_nothing_is_sent_and_the_caller_gets_retry_after(self) -> None:
         await self.serve((account("shop", KEY, rate_per_s=9.0),))
         self.entry.ledger.spent = QuotaSpent(0.75)
         for path in (PLAIN, TURNS):
@@ -177,7 +177,7 @@
         self.assertEqual([], self.target.heads)
         self.assertEqual([], self.entry.ledger.settled)
 
-    async def test_room_that_comes_soon_is_waited_for(self) -> None:
+    async def test_quota_that_is_free_soon_is_waited_for(self) -> None:
         await self.serve((account("shop", KEY, rate_per_s=9.0),), Behaviour.EVENTS)
         self.entry.ledger.spent = QuotaSpent(0.1)
         for path in (PLAIN, TURNS):
@@ -187,7 +187,7 @@
             self.assertEqual(200, await call)
             self.entry.ledger.spent = QuotaSpent(0.1)
 
-    async def test_a_program_that_its_limit_would_not_carry_is_refused_before_it_begins(
+    async def test_a_program_beyond_the_limit_is_refused_before_it_begins(
         self,
     ) -> None:
         await self.serve((account("shop", KEY, rate_per_s=9.0),), Behaviour.EVENTS)
@@ -196,9 +196,9 @@
         self.assertEqual([], self.entry.ledger.begun)
         later = (("X-Waxwingglade-Previous-Turn", "t0"), (AUTHORIZATION, BEARER))
         self.assertEqual(200, await self.status(*later, path=TURNS))
-        self.assertEqual([], self.entry.ledger.refused, "it was no program under way")
+        self.assertEqual([], self.entry.ledger.refused, "it was no running program")
 
-    async def test_a_denial_says_how_to_authenticate(self) -> None:
+    async def test_a_denial_names_the_authentication_scheme(self) -> None:
         await self.serve()
         connection = await self.entry.send(PLAIN)
         self.addCleanup(connection.close)
--- a/waxwingglade/ingress/tests/test_admission.py
+++ b/waxwingglade/ingress/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""A turn is refused as not run before the ledger is asked, where engines have all they can do."""
+"""Admission: a turn for overloaded engines is refused as not run, without a ledger request."""
 
 import time
 import unittest
@@ -19,7 +19,7 @@
 
 
 class AdmissionCase(unittest.IsolatedAsyncioTestCase):
-    """Three engines, and how crowded they report to be."""
+    """Three engines and the loads that they report."""
 
     def setUp(self) -> None:
         self.balancer = Balancer(ZoneId("zone-a"), lambda: 100.0)
@@ -29,7 +29,7 @@
     async def serve(
         self, previous: str | None = None, service=ENGINES, left_s: float = float("inf"), **fields
     ) -> tuple[Refusal, bool]:
-        """Serve a turn; return how it was refused, and whether the ledger was asked."""
+        """Serve a turn; return its refusal, and whether the ledger received a request."""
         ledger = mock.Mock()
         ledger.begin = mock.AsyncMock(side_effect=Refusal(UNAVAILABLE, "the ledger was asked"))
         refusal = await self.refused(ledger, previous, service, left_s, **fields)
@@ -38,7 +38,7 @@
     async def refused(
         self, ledger, previous=None, service=ENGINES, left_s: float = float("inf"), **fields
     ) -> Refusal:
-        """Serve a turn with a ledger; return how it was refused."""
+        """Serve a turn with a ledger; return its refusal."""
         made = call("r", "p", ("shared", "own"))
         made.previous_turn, made.token_budget = previous, 100
         turns = route("/turns/", kind=CallKind.STREAM, **{"keeps_turns": True, **fields})
@@ -52,49 +52,49 @@
             await serve_stream(serving, attempts, ledger_access, mock.Mock())
         return caught.exception
 
-    def crowd(self, *waiting: int) -> None:
-        """Let the engines report as many waiting requests, beside a full batch."""
+    def overload(self, *waiting: int) -> None:
+        """Let the engines report a full batch and some numbers of waiting requests."""
         for engine, number in zip(self.engines, waiting, strict=True):
             self.balancer.record_load(engine, LoadStamp(8, number, 8))
 
 
 class Admission(AdmissionCase):
-    async def test_a_first_turn_is_refused_with_a_time_to_come_back(self) -> None:
-        self.crowd(9, 9, 9)
+    async def test_a_first_turn_is_refused_with_a_retry_time(self) -> None:
+        self.overload(9, 9, 9)
         refusal, asked = await self.serve()
         self.assertEqual((refusal.status, asked), (UNAVAILABLE, False))
         self.assertGreater(refusal.retry_after_s, 0.1)
 
-    async def test_a_turn_that_goes_on_is_not(self) -> None:
-        self.crowd(9, 9, 9)
+    async def test_a_later_turn_is_accepted(self) -> None:
+        self.overload(9, 9, 9)
         self.assertTrue((await self.serve("r0"))[1])
 
-    async def test_one_that_could_not_begin_in_its_time_is(self) -> None:
-        self.crowd(9, 9, 9)
+    async def test_a_turn_that_could_not_begin_in_time_is_refused(self) -> None:
+        self.overload(9, 9, 9)
         refusal, asked = await self.serve("r0", left_s=0.2)
         self.assertEqual((refusal.status, asked), (UNAVAILABLE, False))
 
-    async def test_one_whose_caller_would_have_left_is_and_a_patient_one_is_not(self) -> None:
-        self.crowd(90, 90, 90)
+    async def test_a_turn_is_refused_if_its_wait_would_exceed_the_limit(self) -> None:
+        self.overload(90, 90, 90)
         for patience_s, asked in ((2.0, False), (8.0, True)):
             with self.subTest(patience_s=patience_s):
                 self.assertEqual(asked, (await self.serve("r0", patience_s=patience_s))[1])
 
-    async def test_one_engine_with_room_is_enough(self) -> None:
-        self.crowd(9, 0, 9)
+    async def test_one_engine_with_free_slots_is_enough(self) -> None:
+        self.overload(9, 0, 9)
         self.balancer.record_load(self.engines[1], LoadStamp(5, 0, 8))
         self.assertTrue((await self.serve())[1])
 
     async def test_calls_of_other_services_are_not_refused(self) -> None:
-        self.crowd(9, 9, 9)
+        self.overload(9, 9, 9)
         self.assertTrue((await self.serve(service=NOTES))[1])
 
 
-class WithoutKeptTurns(AdmissionCase):
-    """Where turns are not kept, the account tells whether a program begins with a turn."""
+class WithoutStoredTurns(AdmissionCase):
+    """Where turns are not stored, the ledger account identifies the first turn of a program."""
 
     async def with_account(self, begun: TurnBegun) -> tuple[str, list[EndTurn]]:
-        """Serve a turn of a counted program; return why it was refused, and what was settled."""
+        """Serve a turn with a budget; return its refusal reason and the resolved reservations."""
         ledger = mock.Mock()
         ledger.begin = mock.AsyncMock(return_value=begun)
         ledger.settle_first = mock.AsyncMock()
@@ -103,17 +103,17 @@
         made = [*ledger.settle_first.call_args_list, *ledger.settle_later.call_args_list]
         return refusal.reason, [call.args[0] for call in made]
 
-    async def test_a_program_of_which_no_turn_has_ended_is_refused(self) -> None:
-        self.crowd(9, 9, 9)
+    async def test_a_program_without_an_ended_turn_is_refused(self) -> None:
+        self.overload(9, 9, 9)
         reason, settled = await self.with_account(TurnBegun(()))
         self.assertIn("all that they can do", reason)
         self.assertEqual([(0, None)], [(end.used_tokens, end.kept) for end in settled])
 
-    async def test_one_that_goes_on_is_sent(self) -> None:
-        self.crowd(9, 9, 9)
+    async def test_a_later_turn_is_sent(self) -> None:
+        self.overload(9, 9, 9)
         reason, _ = await self.with_account(TurnBegun((), IncarnationName("e1")))
         self.assertEqual(SENT.reason, reason)
 
-    async def test_a_first_turn_is_sent_where_there_is_room(self) -> None:
+    async def test_a_first_turn_is_sent_if_slots_are_free(self) -> None:
         reason, _ = await self.with_account(TurnBegun(()))
         self.assertEqual(SENT.reason, reason)
--- a/waxwingglade/ingress/tests/test_caller_gone.py
+++ b/waxwingglade/ingress/tests/test_caller_gone.py
@@ -1,15 +1,12 @@
-"""A caller that has left gets no more work done, in whatever state its request is.
+"""A request of a disconnected caller is cancelled within half a second, whatever its state.
 
-What was seen: an entry went on with plain requests whose callers had closed their connections.
-Targets worked on them to the end, refused ones were sent to a second target seconds later, and
-turns whose callers had left while the ledger was asked were sent to engines all the same.
+Guards against an entry that continues requests whose callers closed their connections: targets
+completed them, refused requests were sent to a second target seconds later, and turns that waited
+for the ledger were still sent to engines.
 
-Order of events: the entry reads the whole request and starts a task; the caller closes; the HTTP
-server notices, but tells the object that stands for the request only while it is being received; so
-the task was cancelled only by a failed write, which a request without events makes after its target
-has answered.
-
-The evidence: of the states below none was ended within half a second of the close.
+This happens because the HTTP server reports a closed connection only while the request is being
+received.  After that, only a failed write cancelled the task, and a request without events writes
+only after its target has answered.
 """
 
 import asyncio
@@ -30,27 +27,27 @@
 from waxwingglade.transport import pool
 
 DISCONNECT_TIMEOUT_S = 0.5
-"""Seconds after which no work may be left for a caller that has closed its connection."""
+"""Seconds after a disconnect by which all work for the caller must have ended."""
 
 WAIT_LIMIT_S = 5.0
 
 
 class CallerGoneTest(unittest.IsolatedAsyncioTestCase):
     async def begin(self, *fakes: FakeTarget) -> EntryUnderTest:
-        """Start an entry whose requests have five seconds."""
+        """Start an entry with some targets."""
         entry = EntryUnderTest(*fakes)
         self.addAsyncCleanup(entry.stop)
         await entry.start()
         return entry
 
     async def leave_when(self, entry: EntryUnderTest, path: str, condition: Any) -> None:
-        """Send a request, and close the connection once a condition holds."""
+        """Send a request, and close its connection once a condition holds."""
         connection = await entry.send(path)
         self.assertTrue(await until(condition, WAIT_LIMIT_S), "the state was not reached")
         connection.close()
 
     async def expect_end(self, entry: EntryUnderTest, *fakes: FakeTarget) -> None:
-        """Check that within half a second nothing is left of the request."""
+        """Check that all work for the request ends within half a second."""
         ended = await until(lambda: not entry.ingress.running, DISCONNECT_TIMEOUT_S)
         self.assertTrue(ended, "the entry still serves the request")
         closed = await until(lambda: not any(fake.open for fake in fakes), DISCONNECT_TIMEOUT_S)
@@ -75,7 +72,7 @@
         await self.expect_end(entry, fake)
         self.assertEqual([settled.used_tokens for settled in entry.ledger.settled], [1])
 
-    async def test_while_the_ledger_is_asked(self) -> None:
+    async def test_while_the_turn_waits_to_begin(self) -> None:
         fake = FakeTarget(Behaviour.EVENT)
         entry = await self.begin(fake)
         entry.ledger.may_begin.clear()
@@ -84,10 +81,10 @@
         entry.ledger.may_begin.set()
         await asyncio.sleep(0.05)
         self.assertEqual(fake.arrived, [])
-        # The ledger may have reserved its tokens, which no other turn could use any more.
+        # The ledger may have reserved its tokens, which no other turn could use then.
         self.assertEqual([settled.used_tokens for settled in entry.ledger.settled], [0])
 
-    async def test_while_the_turn_is_kept(self) -> None:
+    async def test_while_the_turn_is_stored(self) -> None:
         fake = FakeTarget(Behaviour.EVENTS)
         entry = await self.begin(fake)
         entry.ledger.may_end.clear()
@@ -125,10 +122,10 @@
         self.assertEqual(sum(len(fake.arrived) for fake in fakes), 1)
 
     async def test_before_the_request_was_read(self) -> None:
-        """An entry that stood still, or has much to read, finds a request and its caller's close at
-        once.
+        """Guards against sending requests of disconnected callers to targets.
 
-        Targets were sent such requests, long after their callers had gone, and then reset.
+        This happens when an entry was stalled, or has much to read, and so reads a request together
+        with the close of its connection.
         """
         fake = FakeTarget()
         entry = await self.begin(fake)
@@ -136,7 +133,7 @@
         for path in (PLAIN, ONCE, TURNS):
             with self.subTest(path):
                 caller = await entry.send_half(path)
-                # The rest and the close come while the entry's loop stands still.
+                # The rest and the close arrive while the event loop of the entry is blocked.
                 caller.sendall(b"dy")
                 caller.close()
                 await asyncio.sleep(0.1)
@@ -144,11 +141,11 @@
                 self.assertEqual(entry.ledger.begun, [])
                 await self.expect_end(entry)
 
-    async def test_nothing_is_kept_of_a_connection_that_was_closed(self) -> None:
+    async def test_a_closed_connection_is_removed(self) -> None:
         entry = await self.begin(FakeTarget())
         await entry.call(PLAIN, "r1")
-        forgotten = await until(lambda: not entry.ingress.open_exchanges, DISCONNECT_TIMEOUT_S)
-        self.assertTrue(forgotten, "the entry still holds the connection")
+        removed = await until(lambda: not entry.ingress.open_exchanges, DISCONNECT_TIMEOUT_S)
+        self.assertTrue(removed, "the entry still holds the connection")
 
     async def test_the_next_request_of_a_connection_is_served(self) -> None:
         fake = FakeTarget()
@@ -165,7 +162,7 @@
 
 
 class CallerGoneOnDaemonLoopTest(OnDaemonLoop, CallerGoneTest):
-    """The same on the event loop of the daemons."""
+    """The same tests on the event loop of the daemons."""
 
 
 if __name__ == "__main__":
--- a/waxwingglade/ingress/tests/test_choices.py
+++ b/waxwingglade/ingress/tests/test_choices.py
@@ -1,4 +1,4 @@
-"""Routes, events and the choice of a target."""
+"""Choice of a route and a target, and splitting of event streams."""
 
 import unittest
 from collections import Counter
@@ -30,7 +30,7 @@
         self.assertIsNone(table.match("shop", "/a"))
         self.assertIsNone(table.match("none", "/a/"))
 
-    def test_a_split_follows_its_weights_and_keeps_together(self) -> None:
+    def test_a_split_follows_its_weights_and_is_consistent_by_key(self) -> None:
         shares = (Share(ServiceName("x"), 90.0), Share(ServiceName("y"), 10.0))
         split = route("/a/", shares=shares)
         table = RouteTable(configuration(split))
@@ -41,7 +41,7 @@
 
 
 class EventsTest(unittest.TestCase):
-    def test_events_are_whole_and_unchanged_however_the_bytes_come(self) -> None:
+    def test_events_are_complete_and_unchanged_for_any_chunk_size(self) -> None:
         raw = b"id: 1\ndata: one\n\nx-version: 2\nid: 2\ndata: a\ndata: b\n\n: note\n\n"
         for step in (1, 3, 1000):
             splitter = EventSplitter()
@@ -53,7 +53,7 @@
             self.assertEqual([event.data for event in events], [b"one", b"a\nb", None])
             self.assertFalse(splitter.rest)
 
-    def test_a_cut_event_is_seen(self) -> None:
+    def test_a_truncated_event_is_detected(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata: on"), [])
         self.assertTrue(splitter.rest)
@@ -68,14 +68,14 @@
         self.now = 100.0
         self.balancer = Balancer(ZoneId("zone-a"), lambda: self.now)
 
-    def test_leaving_tried_and_gone_targets_are_left_out(self) -> None:
+    def test_leaving_tried_and_removed_targets_are_excluded(self) -> None:
         self.balancer.update(targets(target("a"), target("b", leaving=True), target("c")))
         self.assertEqual(self.balancer.choose(NOTES, call(), ["a"]).target.target, "c")
         removed = self.balancer.update(targets(target("a"), revision=2))
         self.assertEqual({one.target for one in removed}, {"b", "c"})
         self.assertIsNone(self.balancer.choose(NOTES, call(), ["a"]))
 
-    def test_own_sends_count_at_once_and_reports_fade(self) -> None:
+    def test_own_requests_count_at_once_and_reports_decay(self) -> None:
         self.balancer.update(targets(target("a"), target("b")))
         for number in range(10):
             choice = self.balancer.choose(NOTES, call(f"r{number}"), [])
@@ -89,8 +89,12 @@
         self.now += 5.0
         self.assertLess(state.load(self.now), busy - 5)
 
-    def test_a_target_that_was_not_heard_of_counts_as_loaded_as_the_others(self) -> None:
-        """By their own calls alone, entries sent most to those that they had not asked."""
+    def test_a_target_without_a_report_counts_as_loaded_as_the_others(self) -> None:
+        """Guards against overload of targets without reports.
+
+        By their own requests alone, entries sent most calls to the targets that they had not used
+        yet.
+        """
         self.balancer.update(targets(target("a"), target("b"), target("c")))
         for _ in range(60):
             for name in ("a", "b"):
@@ -101,7 +105,7 @@
         self.balancer.record_load(target("b"), LoadStamp(1, 0, 8))
         self.assertEqual(self.balancer.choose(NOTES, call(), []).target.target, "b")
 
-    def test_a_target_that_fails_again_is_spared_for_a_while(self) -> None:
+    def test_a_target_that_fails_repeatedly_is_ejected_for_a_while(self) -> None:
         self.balancer.update(targets(target("a"), target("b")))
         for _ in range(2):
             self.balancer.record_failure(target("a"))
@@ -123,16 +127,16 @@
             one = self.balancer.choose(ENGINES, turn, []).target.target
             self.assertEqual(other.choose(ENGINES, turn, []).target.target, one)
             chosen.append(one)
-        self.assertEqual(len(set(chosen)), 3, "a shared part is read at half of the targets")
+        self.assertEqual(len(set(chosen)), 3, "half of the targets cache a shared part")
 
-    def test_the_own_zone_comes_first_until_it_is_crowded_or_slow(self) -> None:
+    def test_the_own_zone_is_preferred_until_it_is_overloaded(self) -> None:
         self.balancer.update(targets(target("a"), target("b", zone="zone-b")))
         chosen = {self.balancer.choose(NOTES, call(str(n)), []).target.target for n in range(20)}
         self.assertEqual(chosen, {"a"})
         self.balancer.record_load(target("a"), LoadStamp(8, 6, 8))
         self.assertEqual(self.balancer.choose(NOTES, call(), []).target.target, "b")
 
-    def test_a_slow_target_gets_less(self) -> None:
+    def test_a_slow_target_is_avoided(self) -> None:
         self.balancer.update(targets(target("a"), target("b")))
         for _ in range(20):
             self.balancer.record_success(target("a"), 0.2)
@@ -140,7 +144,7 @@
         chosen = {self.balancer.choose(NOTES, call(str(n)), []).target.target for n in range(20)}
         self.assertEqual(chosen, {"b"})
 
-    def test_a_program_leaves_a_crowded_target(self) -> None:
+    def test_a_program_leaves_an_overloaded_target(self) -> None:
         engines = [target(f"e{n}", "engines", slots=4) for n in range(4)]
         self.balancer.update(targets(*engines))
         turn = call("r", "p", ("shared", "own"))
@@ -150,7 +154,7 @@
         self.balancer.record_load(first, LoadStamp(4, 20, 4))
         self.assertNotEqual(self.balancer.choose(ENGINES, turn, []).target, first)
 
-    def test_a_turn_goes_where_the_one_before_ran_whoever_sent_that(self) -> None:
+    def test_a_turn_goes_where_the_previous_one_ran_for_any_entry(self) -> None:
         engines = [target(f"e{n}", "engines", slots=16) for n in range(6)]
         self.balancer.update(targets(*engines))
         for name in ("e0", "e4", "e5"):
@@ -185,8 +189,8 @@
         self.assertLessEqual(max(loads) - min(loads), 12)
 
 
-class StartedAgain(unittest.TestCase):
-    """A target that starts again under its name holds and knows nothing of before."""
+class RestartedTargetTest(unittest.TestCase):
+    """A target that restarts under the same name begins with an empty state."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -197,27 +201,27 @@
         self.turn = call("r", "p", ("shared", "own"))
 
     def start_again(self) -> list[str]:
-        """Register the first target anew; return the names of those that are gone."""
+        """Register the first target again; return the names of the removed targets."""
         again = target("e0", "engines", started_ms=2)
         removed = self.balancer.update(targets(again, self.other, revision=2))
         return [one.target for one in removed]
 
-    def test_what_it_held_and_its_load_are_forgotten(self) -> None:
+    def test_its_cache_and_load_are_discarded(self) -> None:
         self.balancer.record_sent(self.before, self.turn)
         self.balancer.record_load(self.before, LoadStamp(8, 30, 8))
         self.balancer.record_success(self.before, 9.0)
-        self.assertEqual(self.start_again(), ["e0"], "its connections are to be forgotten too")
+        self.assertEqual(self.start_again(), ["e0"], "its connections are to be dropped too")
         state = self.balancer.states[TargetId("e0")]
         self.assertEqual(
             (state.load(self.now), state.unit_s, dict(state.cached_parts)), (0, None, {})
         )
 
-    def test_what_the_ledger_says_of_its_earlier_start_is_not_believed_of_it(self) -> None:
-        """It has to read a history that it held, and is asked again though it failed a turn."""
+    def test_the_history_of_its_former_incarnation_does_not_apply(self) -> None:
+        """It must prefill a history that it had cached, and is used although it failed a turn."""
         name = self.before.incarnation
         self.balancer.record_sent(self.other, self.turn)
-        held = self.balancer.choose(ENGINES, self.turn, [], History(name))
-        self.assertEqual((held.target.target, held.prefill_tokens), ("e0", 0))
+        cached = self.balancer.choose(ENGINES, self.turn, [], History(name))
+        self.assertEqual((cached.target.target, cached.prefill_tokens), ("e0", 0))
         self.start_again()
         again = self.balancer.choose(ENGINES, self.turn, ["e1"], History(name))
         self.assertEqual((again.target.target, again.prefill_tokens), ("e0", 10_000))
@@ -226,14 +230,14 @@
         chosen = self.balancer.choose(ENGINES, call("r2", "q", ("s", "o")), [], History(None, name))
         self.assertEqual(chosen.target.target, "e0")
 
-    def test_its_failures_are_forgotten(self) -> None:
+    def test_its_failures_are_discarded(self) -> None:
         for _ in range(2):
             self.balancer.record_failure(self.before)
         self.assertTrue(self.balancer.states[TargetId("e0")].ejection.active)
         self.start_again()
         self.assertFalse(self.balancer.states[TargetId("e0")].ejection.active)
 
-    def test_what_its_earlier_start_leaves_behind_is_not_counted(self) -> None:
+    def test_late_reports_of_its_former_incarnation_are_ignored(self) -> None:
         self.balancer.record_sent(self.before, self.turn)
         self.start_again()
         self.balancer.record_end(self.before)
@@ -244,7 +248,7 @@
             (state.in_flight, state.ejection.failures, state.external_load), (0, 0, 0.0)
         )
 
-    def test_one_that_only_gives_signs_of_life_is_the_same(self) -> None:
+    def test_a_registration_renewal_does_not_change_the_state(self) -> None:
         self.balancer.record_sent(self.before, self.turn)
         self.assertEqual(self.balancer.update(targets(self.before, self.other, revision=2)), [])
         self.assertEqual(self.balancer.states[TargetId("e0")].in_flight, 1)
--- a/waxwingglade/ingress/tests/test_confirmation.py
+++ b/waxwingglade/ingress/tests/test_confirmation.py
@@ -1,4 +1,8 @@
-"""A caller gets no token of a turn whose reservation another turn may still be given."""
+"""A caller gets no token of a turn before its reservation is confirmed.
+
+Guards against tokens beyond the budget, which happen when an unconfirmed reservation goes to
+another turn.
+"""
 
 import asyncio
 import unittest
@@ -26,7 +30,7 @@
         self.ledger = self.entry.ledger
         self.ledger.granter = "disk-1"
 
-    async def test_no_event_comes_before_the_reservation_is_confirmed(self) -> None:
+    async def test_no_event_is_passed_on_before_the_reservation_is_confirmed(self) -> None:
         self.ledger.may_confirm.clear()
         calling = asyncio.create_task(self.entry.call(TURNS, "r1"))
         self.assertTrue(await until(lambda: self.ledger.confirmed, 2.0))
@@ -38,15 +42,18 @@
         (confirmed,) = self.ledger.confirmed
         self.assertEqual("disk-1", confirmed.granter)
 
-    async def test_a_turn_whose_reservation_has_lapsed_is_not_answered_with_tokens(self) -> None:
+    async def test_a_turn_with_an_expired_reservation_gets_no_tokens(self) -> None:
         self.ledger.expired = True
         status, _ = await self.entry.call(TURNS, "r1")
         self.assertEqual(BAD_GATEWAY, status, "the target may have run it")
         (settled,) = self.ledger.settled
         self.assertEqual(0, settled.used_tokens)
 
-    async def test_a_turn_that_no_target_took_is_settled_before_its_caller_is_told(self) -> None:
-        """The caller's next turn, elsewhere, would count it if its entry were killed then."""
+    async def test_a_refused_turn_is_resolved_before_its_caller_is_answered(self) -> None:
+        """Guards against counting a refused turn if its entry is killed after its answer.
+
+        The next turn of the caller may use another entry, and would count the reservation.
+        """
         self.target.behaviour = Behaviour.REFUSE
         self.target.proceed.set()
         self.ledger.may_settle.clear()
@@ -59,7 +66,7 @@
         self.assertEqual(NOT_RUN, status)
         self.assertEqual(1, len(self.ledger.settled))
 
-    async def test_without_reservations_to_confirm_nothing_is_asked(self) -> None:
+    async def test_without_a_granter_no_confirmation_is_requested(self) -> None:
         self.ledger.granter = ""
         status, _ = await self.entry.call(TURNS, "r1")
         self.assertEqual(OK, status)
--- a/waxwingglade/ingress/tests/test_drain.py
+++ b/waxwingglade/ingress/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""An entry that stops: once it takes no more requests, no connection brings it another."""
+"""Drain: once an entry accepts no more requests, no connection delivers another one."""
 
 import asyncio
 import unittest
@@ -19,10 +19,10 @@
 from waxwingglade.transport.http1 import Http1Connection, open_connection
 
 WAIT_S = 0.2
-"""Seconds for which the entry still takes requests."""
+"""Seconds for which the entry still accepts requests."""
 
 TIMEOUT_S = 1.5
-"""Seconds after which it ends."""
+"""Seconds after which the entry ends."""
 
 WAIT_LIMIT_S = 5.0
 
@@ -42,34 +42,34 @@
         connection = await self.entry.send(TURNS)
         self.addCleanup(connection.close)
         head = await connection.read_head(lambda _: True)
-        self.assertIsNone(head.header("Connection"), "the entry was not told to stop yet")
+        self.assertIsNone(head.header("Connection"), "the entry is not draining yet")
         await connection.read_piece()
         return connection
 
     def drain(self) -> "asyncio.Task[None]":
-        """Begin to stop."""
+        """Start to drain the entry."""
         return asyncio.create_task(self.entry.ingress.drain())
 
     async def ask_again(self, connection: Http1Connection) -> None:
-        """Send a further request on a connection, and check that it is closed without an answer."""
+        """Send another request on a connection, and check that it is closed without an answer."""
         headers = [("Host", HOST), ("X-Waxwingglade-Request-Id", "r2")]
         with self.assertRaises((Broken, OSError)):
             connection.send(HttpRequest("POST", PLAIN, headers, b"body"))
             async with asyncio.timeout(WAIT_LIMIT_S):
                 await connection.read_head(lambda _: True)
 
-    async def test_a_stream_from_before_the_stop_ends_whole_and_is_the_last(self) -> None:
+    async def test_a_stream_from_before_the_drain_completes_and_is_the_last(self) -> None:
         connection = await self.begin_stream()
         draining = self.drain()
         await asyncio.sleep(1.5 * WAIT_S)
         self.target.proceed.set()
         await connection.read_body(1_000)
         await self.ask_again(connection)
-        self.assertEqual(len(self.target.arrived), 1, "a target was sent the further request")
+        self.assertEqual(len(self.target.arrived), 1, "a target received the second request")
         async with asyncio.timeout(TIMEOUT_S / 2):
             await draining
 
-    async def test_a_connection_that_is_accepted_last_takes_no_request(self) -> None:
+    async def test_a_connection_accepted_late_serves_no_request(self) -> None:
         self.target.behaviour = Behaviour.ANSWER
         self.entry.ingress.accepts_requests = False
         connection = await open_connection(self.entry.address, WAIT_LIMIT_S)
@@ -77,7 +77,7 @@
         await self.ask_again(connection)
         self.assertEqual(self.target.arrived, [])
 
-    async def test_while_requests_are_taken_a_stream_leaves_its_connection_open(self) -> None:
+    async def test_while_requests_are_accepted_a_stream_leaves_its_connection_open(self) -> None:
         connection = await self.begin_stream()
         draining = self.drain()
         self.target.proceed.set()
@@ -88,7 +88,7 @@
         self.assertEqual(head.header("Connection"), "close")
         await draining
 
-    async def test_all_connections_are_closed_when_nothing_is_under_way(self) -> None:
+    async def test_all_idle_connections_are_closed(self) -> None:
         idle = await open_connection(self.entry.address, WAIT_LIMIT_S)
         self.addCleanup(idle.close)
         self.assertTrue(await until(lambda: self.entry.ingress.open_exchanges, WAIT_LIMIT_S))
@@ -97,7 +97,7 @@
 
 
 class DrainOnDaemonLoopTest(OnDaemonLoop, DrainTest):
-    """The same on the event loop of the daemons."""
+    """The same tests on the event loop of the daemons."""
 
 
 if __name__ == "__main__":
--- a/waxwingglade/ingress/tests/test_exchange.py
+++ b/waxwingglade/ingress/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""A request that is read while its connection is being closed."""
+"""Requests that arrive while their connection is being closed."""
 
 import asyncio
 import unittest
@@ -35,7 +35,7 @@
         self.connection.stream.close.assert_not_called()
         self.assertEqual(self.served, [self.exchange])
 
-    def test_a_request_that_crosses_the_close_is_not_passed_on(self) -> None:
+    def test_a_request_that_arrives_after_the_close_is_not_passed_on(self) -> None:
         self.exchange.close_when_idle()
         self.connection.stream.closed.return_value = True
         self._read()
--- a/waxwingglade/ingress/tests/test_late_beginning.py
+++ b/waxwingglade/ingress/tests/test_late_beginning.py
@@ -1,4 +1,4 @@
-"""A turn that the ledger begins late is served as long as its caller has time for it."""
+"""A turn that the ledger begins late is served if its caller has enough time left."""
 
 import time
 import unittest
@@ -11,18 +11,18 @@
 from waxwingglade.ledger.messages import BeginTurn, TurnBegun, TurnEnded, Unavailable
 
 ROUTE_S = 4.0
-"""Seconds that the route gives a request."""
+"""Timeout of the route in seconds."""
 
 NOT_RUN = 503
 
 
 class LateLinks:
-    """Links to replicas that begin no turn before some moment, and then do all that they are asked.
+    """Links to replicas that begin turns only after a delay.
 
     Parameters
     ----------
     late_s : float
-        Seconds from the first asking on until turns are begun.
+        Seconds from the first request until turns begin.
     """
 
     def __init__(self, late_s: float) -> None:
@@ -34,7 +34,7 @@
         return self
 
     async def request(self, message: Any, timeout_s: float) -> Any:
-        """Answer as a replica does."""
+        """Answer a message as a replica."""
         if not isinstance(message, BeginTurn):
             return TurnEnded(True, True)
         if self.begins_at is None:
@@ -46,7 +46,7 @@
 
 class LateBeginningTest(unittest.IsolatedAsyncioTestCase):
     async def call(self, late_s: float) -> tuple[int, float]:
-        """Send a turn that is begun late; return the status and the seconds until its answer."""
+        """Send a turn that begins late; return the status and the seconds until its answer."""
         entry = EntryUnderTest(FakeTarget(Behaviour.EVENTS), timeout_s=ROUTE_S)
         self.addAsyncCleanup(entry.stop)
         replicas = [Replica(f"d{n}", f"vm-{n}", f"a-{n}", ZoneId("zone-a")) for n in range(3)]
@@ -58,7 +58,7 @@
         return await entry.call(TURNS, "r1")
 
     async def test_a_turn_is_not_refused_while_its_caller_has_time_left(self) -> None:
-        """Guards against a limit of the entry's own, after which a turn was refused as not run."""
+        """Guards against a fixed limit after which an entry refuses a turn as not run."""
         status, seconds = await self.call(ROUTE_S / 3)
         self.assertEqual(200, status)
         self.assertGreaterEqual(seconds, ROUTE_S / 3)
--- a/waxwingglade/ingress/tests/test_late_keeping.py
+++ b/waxwingglade/ingress/tests/test_late_keeping.py
@@ -1,4 +1,4 @@
-"""A whole answer that the ledger keeps late reaches its caller as long as there is time for it."""
+"""A complete answer whose turn is stored late reaches its caller if there is time left."""
 
 import asyncio
 import time
@@ -14,19 +14,19 @@
 from waxwingglade.transport.links import LinkFailed
 
 ROUTE_S = 4.0
-"""Seconds that the route gives a request."""
+"""Timeout of the route in seconds."""
 
 LATE_S = 2.5
-"""Seconds for which no majority keeps a turn."""
+"""Seconds for which no majority stores a turn."""
 
 
 class LateLinks:
-    """Links to replicas that begin turns at once and keep none before some moment.
+    """Links to replicas that begin turns at once and store them only after a delay.
 
     Parameters
     ----------
     late_s : float
-        Seconds from the first asking on until turns are kept.
+        Seconds from the first request until turns are stored.
     """
 
     def __init__(self, late_s: float) -> None:
@@ -39,7 +39,7 @@
         return self
 
     async def request(self, message: Any, timeout_s: float) -> Any:
-        """Answer as a replica does."""
+        """Answer a message as a replica."""
         if isinstance(message, BeginTurn):
             return TurnBegun()
         if not isinstance(message, EndTurn) or message.kept is None:
@@ -53,13 +53,13 @@
         raise LinkFailed("gave no answer", sent=True)
 
 
-class LateKeepingTest(unittest.IsolatedAsyncioTestCase):
+class LateStoringTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.entry = EntryUnderTest(FakeTarget(Behaviour.EVENTS), timeout_s=ROUTE_S)
         self.addAsyncCleanup(self.entry.stop)
 
     async def call(self, late_s: float) -> float:
-        """Send a turn that is kept late; return the seconds until its whole answer."""
+        """Send a turn that is stored late; return the seconds until its complete answer."""
         replicas = [Replica(f"d{n}", f"vm-{n}", f"a-{n}", ZoneId("zone-a")) for n in range(3)]
         ledger = LedgerClient(LateLinks(late_s), lambda: replicas, ZoneId("zone-a"))
         self.addAsyncCleanup(ledger.finish, 0.0)
@@ -70,10 +70,10 @@
         self.assertEqual(200, status)
         return seconds
 
-    async def test_a_whole_answer_is_not_broken_off_while_its_caller_has_time_left(self) -> None:
+    async def test_a_complete_answer_is_not_aborted_while_its_caller_has_time_left(self) -> None:
         self.assertGreaterEqual(await self.call(LATE_S), LATE_S)
 
-    async def test_an_answer_that_is_not_kept_in_its_time_is_seen_to_be_incomplete(self) -> None:
+    async def test_an_answer_whose_turn_is_not_stored_in_time_is_truncated(self) -> None:
         began_at = time.monotonic()
         with self.assertRaises(Broken):
             await self.call(2 * ROUTE_S)
--- a/waxwingglade/ingress/tests/test_limits.py
+++ b/waxwingglade/ingress/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""A connection that is kept over a change of the configuration goes by the limits in force."""
+"""An open connection follows the limits in force after a change of the configuration."""
 
 import asyncio
 import time
@@ -19,7 +19,7 @@
 from waxwingglade.transport.http1 import Http1Connection, open_connection
 
 SMALL, LARGE = 1_000, 100_000
-"""Bytes of a body."""
+"""Sizes of a request body in bytes."""
 
 SHORT_S, LONG_S = 0.4, 10.0
 """Seconds for which a connection may be idle."""
@@ -33,13 +33,13 @@
         self.entry = EntryUnderTest(self.fake, timeout_s=WAIT_LIMIT_S)
         self.addAsyncCleanup(self.entry.stop)
         await self.entry.start()
-        # With a source to follow it does not turn to the store.
+        # With a usable source the entry does not follow the store.
         self.entry.ingress.follower.source_current = True
         checking = asyncio.create_task(self.entry.ingress._check_forever())
         self.addCleanup(checking.cancel)
 
     def put(self, **limits: float) -> None:
-        """Let a new version of the configuration come into force, with other limits."""
+        """Put a new version of the configuration with other limits into force."""
         cached_view = self.entry.ingress.cached_view
         before = cached_view.view.configuration
         assert before is not None
@@ -55,28 +55,28 @@
         return connection
 
     async def ask(self, connection: Http1Connection, body: int) -> int:
-        """Send a request with a body of some bytes; return the status of its answer."""
+        """Send a request with a body of a given size; return the status of its answer."""
         headers = [("Host", HOST), ("X-Waxwingglade-Request-Id", f"r{body}")]
         connection.send(HttpRequest("POST", PLAIN, headers, b"x" * body))
         head = await connection.read_head(lambda _: True)
         await connection.read_body(1_000)
         return head.status
 
-    async def test_a_kept_connection_takes_the_body_that_is_allowed_now(self) -> None:
+    async def test_an_open_connection_accepts_a_body_within_the_new_limit(self) -> None:
         self.put(max_body_bytes=SMALL)
         connection = await self.connect()
         self.assertEqual(await self.ask(connection, 10), 200)
         self.put(max_body_bytes=LARGE)
         self.assertEqual(await self.ask(connection, 2 * SMALL), 200)
 
-    async def test_a_kept_connection_refuses_the_body_that_is_not_allowed_any_more(self) -> None:
+    async def test_an_open_connection_refuses_a_body_over_the_new_limit(self) -> None:
         self.put(max_body_bytes=LARGE)
         connection = await self.connect()
         self.assertEqual(await self.ask(connection, 2 * SMALL), 200)
         self.put(max_body_bytes=SMALL)
         self.assertEqual(await self.ask(connection, 2 * SMALL), 400)
 
-    async def test_a_kept_connection_may_be_idle_for_as_long_as_is_allowed_now(self) -> None:
+    async def test_an_open_connection_may_be_idle_within_the_new_limit(self) -> None:
         self.put(idle_timeout_s=SHORT_S)
         reused, idle = await self.connect(), await self.connect()
         self.assertEqual(await self.ask(reused, 10), 200)
@@ -85,7 +85,7 @@
         for connection in (reused, idle):
             self.assertEqual(await self.ask(connection, 10), 200)
 
-    async def test_a_connection_that_is_idle_for_longer_than_is_allowed_now_is_closed(self) -> None:
+    async def test_a_connection_idle_for_longer_than_the_new_limit_is_closed(self) -> None:
         self.put(idle_timeout_s=LONG_S)
         reused, idle = await self.connect(), await self.connect()
         self.assertEqual(await self.ask(reused, 10), 200)
@@ -94,7 +94,7 @@
         self.assertFalse(reused.usable)
         self.assertFalse(idle.usable)
 
-    async def test_a_request_that_takes_longer_than_a_connection_may_be_idle_is_served(
+    async def test_a_request_that_takes_longer_than_the_idle_limit_is_served(
         self,
     ) -> None:
         self.put(idle_timeout_s=SHORT_S)
--- a/waxwingglade/ingress/tests/test_patience.py
+++ b/waxwingglade/ingress/tests/test_patience.py
@@ -1,4 +1,4 @@
-"""How long a sending may be silent, by what the sendings of its call before it met."""
+"""Wait limits of an attempt, which depend on the outcomes of earlier attempts of its call."""
 
 import unittest
 from types import SimpleNamespace
@@ -10,13 +10,13 @@
 from waxwingglade.transport import Broken, Patience, Silent
 
 
-class Answers:
-    """Connections of a pool on which each sending fails in its own way, or hangs on.
+class FailingPool:
+    """A connection pool on which each attempt fails with a given error.
 
     Parameters
     ----------
     errors : list of Broken
-        How sendings fail, in order.
+        Errors of the attempts, in order.
     """
 
     def __init__(self, errors: list[Broken]) -> None:
@@ -28,16 +28,16 @@
         return mock.Mock(read_head=mock.AsyncMock(side_effect=self.errors.pop(0)))
 
     def watch(self, _connection: Any, patience: Patience) -> None:
-        """Note how long a connection may be silent."""
+        """Record how long a connection may be unresponsive."""
         self.wait_limits.append(patience)
 
     def give_back(self, *_: Any) -> None:
-        """Take a connection back."""
+        """Accept a returned connection."""
 
 
-class PatienceTest(unittest.IsolatedAsyncioTestCase):
+class WaitLimitTest(unittest.IsolatedAsyncioTestCase):
     async def ends(self, errors: list[Broken], most: int, idempotent: bool = True) -> list[bool]:
-        """Send a call until it is given up; return of each sending whether its silence ends it."""
+        """Send a call until all errors are used; return whether each attempt has a time limit."""
         route: Any = SimpleNamespace(
             idempotent=idempotent,
             max_attempts=most,
@@ -47,7 +47,7 @@
         )
         balancer = mock.Mock(clock=lambda: 0.0)
         balancer.choose.return_value = mock.Mock(load=0.0, load_age_s=0.0, prefill_tokens=0)
-        pool: Any = Answers(errors)
+        pool: Any = FailingPool(errors)
         attempts = Attempts(
             mock.Mock(), pool, balancer, mock.Mock(), mock.Mock(), route, lambda: 4.0
         )
@@ -56,19 +56,19 @@
                 await attempts.open(b"", None, None)
         return [patience.end_s is not None for patience in pool.wait_limits]
 
-    async def test_the_last_sending_after_a_silence_is_waited_for(self) -> None:
-        """Guards against a 502 from a slow target while its caller has time left."""
+    async def test_the_last_attempt_after_an_unresponsive_one_has_no_limit(self) -> None:
+        """Guards against a 502 for a slow target while the caller has time left."""
         errors = [Silent("silent", sent=True), Broken("ends the test", sent=True)]
         self.assertEqual([True, False], await self.ends(errors, 2))
 
-    async def test_a_silence_ends_a_sending_that_is_the_only_one(self) -> None:
+    async def test_an_only_attempt_has_a_limit(self) -> None:
         self.assertEqual([True], await self.ends([Silent("silent", sent=True)], 1))
 
-    async def test_a_silence_ends_the_last_sending_after_another_failure(self) -> None:
+    async def test_the_last_attempt_after_another_failure_has_a_limit(self) -> None:
         errors = [Broken("reset", sent=True), Silent("silent", sent=True)]
         self.assertEqual([True, True], await self.ends(errors, 2))
 
-    async def test_a_silence_ends_no_sending_that_may_not_run_twice(self) -> None:
+    async def test_an_attempt_that_may_not_run_twice_has_no_limit(self) -> None:
         errors = [Broken("reset", sent=True)]
         self.assertEqual([False], await self.ends(errors, 1, idempotent=False))
 
--- a/waxwingglade/ingress/tests/test_reach.py
+++ b/waxwingglade/ingress/tests/test_reach.py
@@ -1,8 +1,7 @@
-"""What an entry does for its callers once it is cut off from the ledger, and while it is only slow.
+"""Behaviour of an entry while it is partitioned from the ledger, and while the ledger is slow.
 
-A zone that is cut off holds its callers' turns: none begins, and none that an engine has run can be
-kept.  Callers told early come back in time for another zone; those of a ledger that is merely slow
-wait for it.
+In a partitioned zone no turn can begin or be stored.  Callers are refused early, so that they can
+retry in another zone in time.  If the ledger is only slow, callers wait for it.
 """
 
 import asyncio
@@ -40,7 +39,7 @@
         self.now = 100.0
         self.rotation = RotationEstimate(lambda: self.now)
 
-    def test_callers_go_elsewhere_after_two_bad_answers_a_second_apart(self) -> None:
+    def test_the_entry_is_removed_after_two_failed_checks_a_second_apart(self) -> None:
         self.rotation.record(True)
         self.now += 0.4
         self.assertAlmostEqual(1.6 + REMOVAL_DELAY_S, self.rotation.until_removed_s)
@@ -54,16 +53,16 @@
         self.rotation.record(False)
         self.assertAlmostEqual(MIN_RETRY_AFTER_S, self.rotation.until_removed_s)
 
-    def test_a_good_answer_in_between_begins_anew(self) -> None:
+    def test_a_successful_check_resets_the_count(self) -> None:
         for ready in (False, True):
             self.rotation.record(ready)
         self.assertAlmostEqual(UNHEALTHY_THRESHOLD + REMOVAL_DELAY_S, self.rotation.until_removed_s)
 
-    def test_before_it_was_asked_it_is_taken_to_be_asked_soon(self) -> None:
+    def test_before_the_first_check_the_estimate_is_bounded(self) -> None:
         self.assertLessEqual(self.rotation.until_removed_s, UNHEALTHY_THRESHOLD + REMOVAL_DELAY_S)
 
 
-class ReachTest(unittest.IsolatedAsyncioTestCase):
+class QuorumMonitorTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.is_reachable = True
         self.quorum_monitor = QuorumMonitor(lambda: self.is_reachable)
@@ -73,10 +72,10 @@
         self.is_reachable = not lost
         self.quorum_monitor.check()
 
-    async def test_while_the_majority_is_in_reach_it_waits(self) -> None:
+    async def test_it_waits_while_the_majority_is_reachable(self) -> None:
         self.assertEqual("kept", await self.quorum_monitor.wait(asyncio.sleep(0.2, "kept"), 0.01))
 
-    async def test_a_majority_that_is_lost_while_it_waits_ends_it(self) -> None:
+    async def test_a_lost_majority_ends_the_wait(self) -> None:
         asyncio.get_running_loop().call_later(0.1, self.lose)
         began_at = time.monotonic()
         with self.assertRaises(QuorumLost):
@@ -84,13 +83,16 @@
         self.assertLess(time.monotonic() - began_at, 0.2 + SLACK_S)
         self.assertEqual({}, self.quorum_monitor.wait_limits)
 
-    async def test_a_majority_that_comes_back_is_waited_for(self) -> None:
+    async def test_it_waits_on_if_the_majority_returns(self) -> None:
         self.lose()
         asyncio.get_running_loop().call_later(0.05, self.lose, False)
         self.assertEqual("kept", await self.quorum_monitor.wait(asyncio.sleep(0.4, "kept"), 0.2))
 
-    async def test_a_wait_that_is_ending_does_not_end_the_looks(self) -> None:
-        """Guards against an entry that looks at its quorum no more, for good."""
+    async def test_a_wait_that_is_ending_does_not_break_the_checks(self) -> None:
+        """Guards against quorum checks that stop for good.
+
+        This happens when a check fails on rescheduling the timeout of a wait that is ending.
+        """
         checks: list[bool] = []
 
         async def asking() -> None:
@@ -106,7 +108,7 @@
             await self.quorum_monitor.wait(asking(), 0.01)
         self.assertEqual([True], checks)
 
-    async def test_an_error_of_what_was_asked_is_its_own(self) -> None:
+    async def test_an_error_of_the_request_is_passed_on(self) -> None:
         async def fails() -> None:
             raise TimeoutError("its own")
 
@@ -115,7 +117,7 @@
 
 
 class PartitionTest(unittest.IsolatedAsyncioTestCase):
-    """An entry whose turn an engine has run whole when its zone is cut off."""
+    """An entry that is partitioned from the ledger while it serves a turn."""
 
     async def asyncSetUp(self) -> None:
         self.entry = EntryUnderTest(FakeTarget(Behaviour.EVENTS), timeout_s=ROUTE_S)
@@ -126,7 +128,7 @@
         self.entry.ingress.follower.quorum_at = float("-inf")
         self.entry.ingress.quorum_monitor.check()
 
-    async def test_a_turn_that_can_not_be_kept_is_broken_off_while_there_is_time(self) -> None:
+    async def test_a_turn_that_cannot_be_stored_is_aborted_early(self) -> None:
         self.entry.ledger.may_end.clear()
         began_at = time.monotonic()
         call = asyncio.create_task(self.entry.call(TURNS, "r1"))
@@ -137,7 +139,7 @@
         self.assertLess(time.monotonic() - began_at, STORE_WITHOUT_QUORUM_S + SLACK_S)
         self.assertTrue(self.entry.ledger.settled)
 
-    async def test_a_turn_that_waits_to_begin_is_refused_with_when_to_come_back(self) -> None:
+    async def test_a_turn_that_waits_to_begin_is_refused_with_retry_after(self) -> None:
         self.entry.ledger.may_begin.clear()
         self.entry.ingress.rotation.record(False)
         began_at = time.monotonic()
@@ -150,7 +152,7 @@
         self.assertEqual(503, head.status)
         self.assertLessEqual(float(head.header("Retry-After") or 0.0), 1.0 + REMOVAL_DELAY_S)
 
-    async def test_a_ledger_that_does_not_decide_in_reach_is_asked_again_after_a_while(
+    async def test_a_reachable_ledger_without_a_decision_gives_a_longer_retry_after(
         self,
     ) -> None:
         self.entry.ledger.undecided = True
@@ -160,7 +162,7 @@
         retry_after_s = float(head.header("Retry-After") or 0.0)
         self.assertEqual((503, UNDECIDED_RETRY_S), (head.status, retry_after_s))
 
-    async def test_a_ledger_that_is_slow_and_in_reach_is_waited_for(self) -> None:
+    async def test_a_slow_reachable_ledger_is_waited_for(self) -> None:
         self.entry.ledger.may_end.clear()
         call = asyncio.create_task(self.entry.call(TURNS, "r1"))
         self.assertTrue(await until(lambda: self.entry.ledger.ended, 1.0))
--- a/waxwingglade/ingress/tests/test_request_log.py
+++ b/waxwingglade/ingress/tests/test_request_log.py
@@ -1,4 +1,4 @@
-"""The line of a request: what it holds, and what is left out."""
+"""The log line of a request: its fields and the omitted ones."""
 
 import unittest
 from typing import Any
@@ -28,7 +28,7 @@
         self.log.record(exchange, Trace(made, version=7, route="turns", reason=reason), 0.25)
         return self.lines[-1]
 
-    def test_a_line_tells_what_decided_and_what_was_continued(self) -> None:
+    def test_a_line_has_the_version_and_the_previous_turn(self) -> None:
         line = self.note(404, "no such turn")
         wanted = {
             "request": "request-2",
@@ -41,11 +41,11 @@
         }
         self.assertEqual(wanted, {name: line.get(name) for name in wanted})
 
-    def test_fields_that_say_nothing_are_left_out(self) -> None:
+    def test_empty_fields_are_omitted(self) -> None:
         line = self.note(200)
         self.assertFalse({"reason", "kept_s", "events", "attempts", "left_out"} & line.keys())
 
-    def test_many_successes_leave_room_for_a_failure(self) -> None:
+    def test_many_successes_do_not_suppress_a_failure(self) -> None:
         for _ in range(100):
             self.note(200)
         self.assertLess(len(self.lines), 100)
--- a/waxwingglade/ingress/tests/test_serving.py
+++ b/waxwingglade/ingress/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""What is decided of a call before it is sent."""
+"""Decoding of a call before it is sent."""
 
 import unittest
 from unittest import mock
@@ -10,9 +10,9 @@
 from waxwingglade.ledger.messages import TurnId
 
 
-class NoRoute(unittest.TestCase):
+class NoRouteTest(unittest.TestCase):
     def refusal(self, previous: str | None) -> tuple[Refusal, Trace]:
-        """Read a call for a path that the version in force has no route for."""
+        """Read a call whose path has no route in the configuration in force."""
         made = call("request-2")
         made.previous_turn = TurnId(previous) if previous else None
         dialect, trace = mock.Mock(), Trace()
@@ -21,16 +21,17 @@
             read_call(mock.Mock(body=b""), dialect, RouteTable(configuration()), trace)
         return caught.exception, trace
 
-    def test_a_turn_that_goes_on_is_not_denied_by_a_version_without_its_route(self) -> None:
-        """Another entry, with the version that added the route, may have answered the turn before.
+    def test_a_later_turn_without_a_route_is_refused_as_unavailable(self) -> None:
+        """Guards against a 404 for a conversation whose previous turn was answered.
 
-        A conversation ends with a 404, and by the users' rules no turn that was answered whole may
-        be denied by any machine, also one that is cut off and goes by an older version.
+        This happens when another entry, with a newer configuration that adds the route, served the
+        previous turn.  A 404 ends the conversation, and no entry may deny a turn that was answered
+        completely, even if the entry is partitioned and has an older configuration.
         """
         refusal, _ = self.refusal("request-1")
         self.assertEqual(refusal.status, UNAVAILABLE)
 
-    def test_any_other_call_is_told_that_there_is_no_route(self) -> None:
+    def test_any_other_call_without_a_route_gets_not_found(self) -> None:
         refusal, trace = self.refusal(None)
         self.assertEqual(refusal.status, NOT_FOUND)
-        self.assertEqual(trace.call.request, "request-2", "the line of the request names it")
+        self.assertEqual(trace.call.request, "request-2", "the log line of the request names it")
--- a/waxwingglade/ingress/tests/test_slow_reader.py
+++ b/waxwingglade/ingress/tests/test_slow_reader.py
@@ -1,4 +1,4 @@
-"""A caller that reads slowly gets its whole answer before its connection is closed."""
+"""A caller that reads slowly gets its complete answer before its connection is closed."""
 
 import asyncio
 import unittest
@@ -17,18 +17,18 @@
 
 LAST_CHUNK = b"0\r\n\r\n"
 BLOCKED_S = 0.1
-"""Seconds for which the kernel takes nothing more."""
+"""Seconds for which the send buffer of the kernel is full."""
 
 WAIT_LIMIT_S = 5.0
 
 
 class FullBuffer:
-    """The kernel's buffer of an entry's connections, which is full when some bytes come.
+    """A send buffer of the kernel that is full when it should take certain bytes.
 
     Parameters
     ----------
     before : bytes
-        What a write that finds it full ends with.
+        Last bytes of the write that finds the buffer full.
     """
 
     def __init__(self, before: bytes) -> None:
@@ -38,7 +38,7 @@
         self.free = asyncio.Event()
 
     def __call__(self, stream: IOStream, data: memoryview) -> int:
-        """Write what there is room for."""
+        """Write data, or raise `BlockingIOError` while the buffer is full."""
         if not self.waited and bytes(data).endswith(self.before):
             self.waited = True
             asyncio.get_running_loop().call_later(BLOCKED_S, self.free.set)
@@ -49,7 +49,7 @@
 
 class SlowReaderTest(unittest.IsolatedAsyncioTestCase):
     async def expect_complete(self, behaviour: Behaviour, path: str, before: bytes) -> None:
-        """Let the buffer be full before some bytes, and check that a whole answer comes."""
+        """Fill the buffer before some bytes, and check that the complete answer arrives."""
         full = FullBuffer(before)
         entry = EntryUnderTest(FakeTarget(behaviour), timeout_s=WAIT_LIMIT_S)
         self.addAsyncCleanup(entry.stop)
@@ -75,7 +75,7 @@
 
 
 class SlowReaderOnDaemonLoopTest(OnDaemonLoop, SlowReaderTest):
-    """The same on the event loop of the daemons."""
+    """The same tests on the event loop of the daemons."""
 
 
 if __name__ == "__main__":
