--- a/waxwingglade/decisions/tests/builders.py
+++ b/waxwingglade/decisions/tests/builders.py
@@ -29,7 +29,7 @@
 
 
 class FakeClock:
-    """A clock that stands still unless it is moved."""
+    """A clock that only `advance` moves."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -38,7 +38,7 @@
         return self.now
 
     def advance(self, seconds: float) -> None:
-        """Move the clock."""
+        """Advance the clock by `seconds`."""
         self.now += seconds
 
 
@@ -104,7 +104,7 @@
 
 
 def offer(waiting: ProgramQueue, *calls: Work) -> list[Ticket]:
-    """Put calls into a queue that must take them."""
+    """Add calls to a queue that has to accept them."""
     return [waiting.offer(call).unwrap() for call in calls]
 
 
--- a/waxwingglade/decisions/tests/rule_builders.py
+++ b/waxwingglade/decisions/tests/rule_builders.py
@@ -1,4 +1,4 @@
-"""Test data for the decisions."""
+"""Builders of dispatchers and calls for tests of the decisions."""
 
 import asyncio
 import itertools
@@ -32,7 +32,7 @@
 
 
 class FakeClock:
-    """A clock that stands still until it is moved."""
+    """A clock that only `advance` moves."""
 
     def __init__(self, now=100.0):
         self.now = now
@@ -41,12 +41,12 @@
         return self.now
 
     def advance(self, seconds):
-        """Move on by `seconds`."""
+        """Advance the clock by `seconds`."""
         self.now += seconds
 
 
 def make_work(clock, urgency=Urgency.NORMAL, tenant="t", deadline_s=FAR_S, blocks=(), **policy):
-    """Return a model call of a program of its own that is due after `deadline_s`."""
+    """Return a model call of a new program with its deadline after `deadline_s`."""
     return Work(
         program=ProgramId(f"p{next(numbers)}"),
         tenant=TenantId(tenant),
@@ -76,7 +76,7 @@
 
 
 def make_dispatcher(clock, targets=1, slots=1, **settings) -> Dispatcher:
-    """Return a dispatcher before `targets` engines."""
+    """Return a dispatcher with `targets` engines."""
     return Dispatcher(make_table(clock, targets, slots, **settings), clock)
 
 
@@ -92,7 +92,7 @@
 
 
 async def start(dispatcher: Dispatcher, work: Work) -> asyncio.Task:
-    """Ask for a target in a task, and let it get as far as it gets."""
+    """Acquire a target in a task, and run all tasks until they wait."""
     task = asyncio.create_task(dispatcher.acquire(work))
     await settle()
     return task
--- a/waxwingglade/decisions/tests/test_books.py
+++ b/waxwingglade/decisions/tests/test_books.py
@@ -1,4 +1,4 @@
-"""What is remembered of pauses, releases and output lengths."""
+"""Trackers of pauses, releases and output lengths."""
 
 import unittest
 
@@ -15,86 +15,86 @@
 SETTINGS = DecisionSettings()
 
 
-class Pauses(unittest.TestCase):
+class PauseTrackerTest(unittest.TestCase):
     def setUp(self):
         self.clock = FakeClock()
-        self.book = PauseTracker(SETTINGS, self.clock)
+        self.tracker = PauseTracker(SETTINGS, self.clock)
 
     def pause(self, times, seconds):
         for _ in range(times):
-            self.book.begin(OTHER, TOOL)
+            self.tracker.begin(OTHER, TOOL)
             self.clock.advance(seconds)
-            self.book.end(OTHER)
+            self.tracker.end(OTHER)
 
-    def test_cache_is_kept_while_little_is_known_of_a_tool(self):
+    def test_cache_is_retained_while_a_tool_has_few_samples(self):
         self.pause(MIN_PAUSES - 1, 2 * SETTINGS.hold_max_s)
-        self.assertIs(PauseDecision.KEEP, self.book.begin(PROGRAM, TOOL))
+        self.assertIs(PauseDecision.KEEP, self.tracker.begin(PROGRAM, TOOL))
 
-    def test_cache_is_let_go_for_a_tool_that_usually_takes_longer_than_the_bound(self):
+    def test_cache_is_released_for_a_tool_that_usually_takes_longer_than_the_bound(self):
         self.pause(MIN_PAUSES, 2 * SETTINGS.hold_max_s)
-        self.assertIs(PauseDecision.RELEASE, self.book.begin(PROGRAM, TOOL))
-        self.assertIs(PauseDecision.KEEP, self.book.begin(PROGRAM, ToolName("quick")))
+        self.assertIs(PauseDecision.RELEASE, self.tracker.begin(PROGRAM, TOOL))
+        self.assertIs(PauseDecision.KEEP, self.tracker.begin(PROGRAM, ToolName("quick")))
 
-    def test_a_pause_of_a_program_that_ended_teaches_nothing(self):
+    def test_a_pause_of_an_ended_program_is_not_a_sample(self):
         for _ in range(MIN_PAUSES):
-            self.book.begin(PROGRAM, TOOL)
-            self.book.forget(PROGRAM)
-            self.book.end(PROGRAM)
-        self.assertIsNone(self.book.expected_s(TOOL))
+            self.tracker.begin(PROGRAM, TOOL)
+            self.tracker.forget(PROGRAM)
+            self.tracker.end(PROGRAM)
+        self.assertIsNone(self.tracker.expected_s(TOOL))
 
 
-class Releases(unittest.TestCase):
+class ReleaseTrackerTest(unittest.TestCase):
     def setUp(self):
         self.clock = FakeClock()
-        self.book = ReleaseTracker(SETTINGS, self.clock)
-        self.book.record_sent(PROGRAM, ENGINE)
+        self.tracker = ReleaseTracker(SETTINGS, self.clock)
+        self.tracker.record_sent(PROGRAM, ENGINE)
 
     def test_a_release_is_sent_until_it_is_acknowledged(self):
-        holdings = self.book.release(PROGRAM)
+        holdings = self.tracker.release(PROGRAM)
         self.assertEqual([Holding(PROGRAM, ENGINE)], holdings)
-        self.assertEqual([], self.book.due())
+        self.assertEqual([], self.tracker.due())
         for _ in range(2):
             self.clock.advance(SETTINGS.release_retry_s)
-            self.assertEqual(holdings, self.book.due())
-        self.book.acknowledge(holdings[0])
+            self.assertEqual(holdings, self.tracker.due())
+        self.tracker.acknowledge(holdings[0])
         self.clock.advance(SETTINGS.release_retry_s)
-        self.assertEqual([], self.book.due())
+        self.assertEqual([], self.tracker.due())
 
-    def test_a_call_sent_after_the_release_takes_it_back(self):
-        self.book.release(PROGRAM)
-        self.book.record_sent(PROGRAM, ENGINE)
+    def test_a_call_sent_after_the_release_cancels_it(self):
+        self.tracker.release(PROGRAM)
+        self.tracker.record_sent(PROGRAM, ENGINE)
         self.clock.advance(SETTINGS.release_retry_s)
-        self.assertEqual([], self.book.due())
+        self.assertEqual([], self.tracker.due())
 
-    def test_a_target_that_is_gone_is_sent_no_release(self):
-        self.book.record_sent(OTHER, ENGINE)
-        self.book.release(OTHER)
-        self.book.forget_target(ENGINE)
+    def test_a_removed_target_is_sent_no_release(self):
+        self.tracker.record_sent(OTHER, ENGINE)
+        self.tracker.release(OTHER)
+        self.tracker.forget_target(ENGINE)
         self.clock.advance(SETTINGS.release_retry_s)
-        self.assertEqual(([], []), (self.book.due(), self.book.release(PROGRAM)))
+        self.assertEqual(([], []), (self.tracker.due(), self.tracker.release(PROGRAM)))
 
-    def test_a_sweep_finds_programs_that_ended_unseen_or_are_idle(self):
-        self.assertEqual([], self.book.sweep({PROGRAM}))
-        self.book.record_sent(OTHER, ENGINE)
-        self.assertEqual([Holding(OTHER, ENGINE)], self.book.sweep({PROGRAM}))
+    def test_a_sweep_finds_idle_programs_and_those_with_an_unobserved_end(self):
+        self.assertEqual([], self.tracker.sweep({PROGRAM}))
+        self.tracker.record_sent(OTHER, ENGINE)
+        self.assertEqual([Holding(OTHER, ENGINE)], self.tracker.sweep({PROGRAM}))
         self.clock.advance(SETTINGS.hold_max_s)
-        self.assertEqual([Holding(PROGRAM, ENGINE)], self.book.sweep({PROGRAM}))
+        self.assertEqual([Holding(PROGRAM, ENGINE)], self.tracker.sweep({PROGRAM}))
 
 
-class Outputs(unittest.TestCase):
-    def test_lengths_are_learned_by_class_and_model_and_stated_ones_are_kept(self):
-        clock, book = FakeClock(), OutputLengthTracker()
+class OutputLengthTrackerTest(unittest.TestCase):
+    def test_lengths_are_estimated_by_class_and_model_and_stated_ones_do_not_change(self):
+        clock, tracker = FakeClock(), OutputLengthTracker()
         asked = make_work(clock)
         asked.expected_output_tokens = 0
-        book.fill_in_expected_output(asked)
+        tracker.fill_in_expected_output(asked)
         self.assertEqual(DEFAULT_OUTPUT_TOKENS, asked.expected_output_tokens)
-        book.observe(asked, 500)
-        book.observe(asked, 600)
+        tracker.observe(asked, 500)
+        tracker.observe(asked, 600)
         asked.expected_output_tokens = 0
-        book.fill_in_expected_output(asked)
+        tracker.fill_in_expected_output(asked)
         self.assertTrue(500 < asked.expected_output_tokens < 600)
         stated = make_work(clock)
-        book.fill_in_expected_output(stated)
+        tracker.fill_in_expected_output(stated)
         self.assertEqual(8, stated.expected_output_tokens)
 
     def test_tool_calls_have_no_output_tokens(self):
--- a/waxwingglade/decisions/tests/test_cache_index.py
+++ b/waxwingglade/decisions/tests/test_cache_index.py
@@ -1,4 +1,4 @@
-"""Which targets are believed to hold a prompt, against a plain model."""
+"""The cache index, compared with a simple model."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 
 
 def play(index, held, step):
-    """Do one step to the index and to the model; what is held stays a prefix of each prompt."""
+    """Apply a step to the index and the model; the held blocks stay a prefix of each prompt."""
     action, holder, prompt, depth = step
     if action == "add":
         index.add(holder, prompt[:depth])
@@ -39,20 +39,20 @@
         held[holder] = set()
 
 
-def plain_depth(held, prompt):
-    """Return how many leading blocks are held, counted one by one."""
+def count_leading(held, prompt):
+    """Count the leading blocks that are held."""
     return next((place for place, block in enumerate(prompt) if block not in held), len(prompt))
 
 
-class Beliefs(unittest.TestCase):
+class CacheIndexTest(unittest.TestCase):
     @settings(derandomize=True, deadline=None)
     @given(STEPS)
-    def test_depths_and_holders_are_those_of_a_plain_model(self, steps):
+    def test_depths_and_holders_match_the_model(self, steps):
         index, held = CacheIndex(1000), {holder: set() for holder in HOLDERS}
         for step in steps:
             play(index, held, step)
         for prompt in PROMPTS:
-            depths = {holder: plain_depth(held[holder], prompt) for holder in HOLDERS}
+            depths = {holder: count_leading(held[holder], prompt) for holder in HOLDERS}
             found = {holder: index.depth(holder, prompt) for holder in HOLDERS}
             self.assertEqual(depths, found)
             most = max(depths.values())
@@ -62,17 +62,17 @@
 
     @settings(derandomize=True, deadline=None)
     @given(STEPS, st.integers(1, 8))
-    def test_a_bounded_index_believes_nothing_that_is_not_so(self, steps, bound):
+    def test_a_bounded_index_has_no_wrong_blocks(self, steps, bound):
         index, held = CacheIndex(bound), {holder: set() for holder in HOLDERS}
         for step in steps:
             play(index, held, step)
             self.assertLessEqual(len(index.holders), bound)
         for holder, blocks in index.held.items():
             self.assertLessEqual(blocks, held[holder])
-            told = {block for block, bits in index.holders.items() if bits >> holder & 1}
-            self.assertEqual(told, blocks)
+            indexed = {block for block, bits in index.holders.items() if bits >> holder & 1}
+            self.assertEqual(indexed, blocks)
 
-    def test_the_blocks_used_longest_ago_are_forgotten_first(self):
+    def test_the_least_recently_used_blocks_are_evicted_first(self):
         index = CacheIndex(3)
         index.add(0, BLOCKS[:3])
         index.add(1, BLOCKS[:1])
--- a/waxwingglade/decisions/tests/test_dispatch.py
+++ b/waxwingglade/decisions/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatcher: grants, refusals, and places given back."""
+"""The dispatcher: grants, refusals, and released slots."""
 
 import asyncio
 import random
@@ -57,11 +57,11 @@
 
 
 class GrantTest(DispatchCase):
-    async def test_call_is_granted_at_once_where_there_is_room(self) -> None:
+    async def test_call_is_granted_at_once_if_a_slot_is_free(self) -> None:
         grant = (await self.dispatcher(engine("a")).acquire(work(URGENT))).unwrap()
         self.assertEqual((grant.target, grant.priority), ("a", 0))
 
-    async def test_finished_call_leaves_its_place_to_the_most_urgent(self) -> None:
+    async def test_slot_of_a_finished_call_goes_to_the_most_urgent(self) -> None:
         dispatcher = self.dispatcher(engine("a", slots=4))
         grants = await self.fill(dispatcher, 5)
         routine = self.start(dispatcher, work(ROUTINE))
@@ -72,14 +72,14 @@
         self.assertTrue(urgent.done())
         self.assertFalse(routine.done())
 
-    async def test_routine_calls_leave_room_for_an_urgent_one(self) -> None:
+    async def test_routine_calls_leave_a_slot_for_an_urgent_one(self) -> None:
         dispatcher = self.dispatcher(engine("a", slots=4))
         tasks = [self.start(dispatcher, work(ROUTINE)) for _ in range(8)]
         await settle()
         self.assertEqual(sum(task.done() for task in tasks), 3)
         self.assertTrue((await dispatcher.acquire(work(URGENT))).is_ok())
 
-    async def test_failed_call_leaves_its_place(self) -> None:
+    async def test_failed_call_releases_its_slot(self) -> None:
         dispatcher = self.dispatcher(engine("a", slots=4))
         grants = await self.fill(dispatcher, 5)
         waiting = self.start(dispatcher, work(URGENT))
@@ -88,7 +88,7 @@
         await settle()
         self.assertTrue(waiting.done())
 
-    async def test_place_is_left_only_once(self) -> None:
+    async def test_slot_is_released_only_once(self) -> None:
         dispatcher = self.dispatcher(engine("a"))
         (grant,) = await self.fill(dispatcher, 1)
         grant.finished(Usage())
@@ -96,7 +96,7 @@
         grant.failed(BROKEN)
         self.assertEqual(grant.view.in_flight, 0)
 
-    async def test_report_that_shows_room_is_used(self) -> None:
+    async def test_report_with_free_slots_leads_to_a_grant(self) -> None:
         dispatcher = self.dispatcher(engine("a", slots=4))
         dispatcher.report_load(TargetId("a"), LoadReport(9))
         waiting = self.start(dispatcher, work(NORMAL))
@@ -118,7 +118,7 @@
         await settle()
         self.assertEqual((urgent.done(), routine.done()), (True, False))
 
-    async def test_call_waits_a_while_for_the_target_with_its_cache(self) -> None:
+    async def test_call_waits_up_to_the_wait_limit_for_the_target_with_its_cache(self) -> None:
         dispatcher = self.dispatcher(engine("a"), engine("b"), patience_s=2.0)
         dispatcher.table.cache.add(dispatcher.table.targets[TargetId("a")].number, PROMPT)
         for target in ("a", "b"):
@@ -135,14 +135,14 @@
         await settle()
         self.assertEqual(waiting.result().unwrap().target, "b")
 
-    async def test_cache_is_believed_held_from_the_first_token(self) -> None:
+    async def test_cache_is_recorded_at_the_first_token(self) -> None:
         dispatcher = self.dispatcher(engine("a"))
         grant = (await dispatcher.acquire(work(blocks=PROMPT, prompt_tokens=6400))).unwrap()
         self.assertEqual(dispatcher.table.cache.deepest(PROMPT)[0], 0)
         grant.first_token()
         self.assertEqual(dispatcher.table.cache.deepest(PROMPT)[0], 100)
 
-    async def test_expected_output_is_learned_by_class(self) -> None:
+    async def test_expected_output_is_estimated_by_class(self) -> None:
         dispatcher = self.dispatcher(engine("a"))
         for _ in range(2):
             call = work()
@@ -208,7 +208,7 @@
         await settle()
         self.assertTrue(second.done())
 
-    async def test_grant_that_comes_as_the_caller_leaves_is_given_back(self) -> None:
+    async def test_grant_that_arrives_as_the_caller_leaves_is_released(self) -> None:
         dispatcher = self.dispatcher(engine("a", slots=4))
         grants = await self.fill(dispatcher, 5)
         first = self.start(dispatcher, work(URGENT, deadline_at=500.0))
@@ -222,10 +222,10 @@
         self.assertEqual(grants[0].view.in_flight, 5)
 
 
-class EveryPlaceComesBackTest(unittest.TestCase):
+class EverySlotIsReleasedTest(unittest.TestCase):
     @settings(deadline=None, max_examples=60, derandomize=True)
     @given(st.integers(0, 1 << 30))
-    def test_each_call_ends_once_and_every_place_is_left(self, seed: int) -> None:
+    def test_each_call_ends_once_and_every_slot_is_released(self, seed: int) -> None:
         asyncio.run(self.run_calls(random.Random(seed)))
 
     async def run_calls(self, rng: random.Random) -> None:
@@ -257,7 +257,7 @@
         self.assertFalse(any(len(queue) for queue in dispatcher.queues.values()))
 
     async def collect(self, tasks: list) -> list[Grant]:
-        """Take out what has ended; return the grants."""
+        """Remove the tasks that have ended; return their grants."""
         await settle()
         done = [task for task in tasks if task.done()]
         for task in done:
--- a/waxwingglade/decisions/tests/test_dispatch_property.py
+++ b/waxwingglade/decisions/tests/test_dispatch_property.py
@@ -1,4 +1,4 @@
-"""Whatever happens, every call is granted, refused or cancelled exactly once."""
+"""Every call is granted, refused or cancelled exactly once, in any sequence of events."""
 
 import asyncio
 import unittest
@@ -44,7 +44,7 @@
 
 
 class Run:
-    """One run: the calls offered, what became of them, and the grants under way."""
+    """One run: the offered calls, their outcomes, and the open grants."""
 
     def __init__(self, case):
         self.case = case
@@ -101,7 +101,7 @@
         await settle()
 
     async def play(self, steps):
-        """Do every step, and then let what is under way come to its end."""
+        """Apply every step, and then let all open calls end."""
         for name, *arguments in steps:
             done = getattr(self, name)(*arguments)
             if done is not None:
@@ -113,7 +113,7 @@
                 self.finish(0)
             await asyncio.sleep(1.0)
         if self.tasks:
-            # A task cancelled before its first turn never asked for a target.
+            # A task that is cancelled before its first step never requests a target.
             await asyncio.wait(self.tasks)
         for number, task in enumerate(self.tasks):
             if task.cancelled():
--- a/waxwingglade/decisions/tests/test_found_faults.py
+++ b/waxwingglade/decisions/tests/test_found_faults.py
@@ -1,4 +1,4 @@
-"""Faults that were found in the decisions, each by the test that it failed."""
+"""Regression tests for faults of the decisions."""
 
 import unittest
 from unittest import mock
@@ -22,7 +22,7 @@
 ROUNDS = 200
 
 
-class Found(unittest.IsolatedAsyncioTestCase):
+class RegressionTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         patch = mock.patch("waxwingglade.decisions.dispatch.RECHECK_S", FAR_S)
         patch.start()
@@ -47,7 +47,7 @@
                 break
         self.assertTrue(routine.done())
 
-    async def test_a_target_whose_models_were_taken_is_readmitted(self):
+    async def test_an_ejected_target_without_models_is_readmitted(self):
         dispatcher = make_dispatcher(self.clock, targets=4)
         health.eject(dispatcher.table, dispatcher.table.targets[FIRST])
         dispatcher.set_models(FIRST, [])
--- a/waxwingglade/decisions/tests/test_health.py
+++ b/waxwingglade/decisions/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Ejection, its floor, and the return of targets."""
+"""Ejection of targets, its bound, and readmission."""
 
 import unittest
 
@@ -28,7 +28,7 @@
     def usable(self) -> int:
         return sum(self.table.usable(view) for view in self.views)
 
-    def test_failures_in_a_row_eject(self) -> None:
+    def test_consecutive_failures_eject(self) -> None:
         self.fail(self.views[0], times=2)
         self.assertEqual(self.usable(), 6)
         self.fail(self.views[0], times=1)
@@ -40,7 +40,7 @@
         self.fail(self.views[0], times=2)
         self.assertEqual(self.usable(), 6)
 
-    def test_failures_that_are_not_the_targets_do_not_eject(self) -> None:
+    def test_failures_not_caused_by_the_target_do_not_eject(self) -> None:
         self.fail(self.views[0], CANCELLED, times=9)
         self.assertEqual(self.usable(), 6)
 
@@ -49,11 +49,11 @@
             self.fail(view)
         self.assertEqual(self.usable(), 4)
 
-    def test_target_that_says_it_drains_is_leaving_at_once(self) -> None:
+    def test_target_that_reports_draining_is_leaving_at_once(self) -> None:
         self.fail(self.views[0], DRAINING, times=1)
         self.assertTrue(self.views[0].leaving)
 
-    def test_ejected_target_returns_slowly_and_longer_each_time(self) -> None:
+    def test_ejected_target_starts_slowly_and_each_ejection_is_longer(self) -> None:
         view = self.views[0]
         self.fail(view)
         self.clock.advance(4.9)
@@ -68,13 +68,13 @@
         self.clock.advance(0.1)
         self.assertEqual(health.readmit(self.table), [view])
 
-    def learn_speeds(self, *s_per_token: float) -> None:
+    def observe_speeds(self, *s_per_token: float) -> None:
         for view, seconds in zip(self.views, s_per_token, strict=True):
             for _ in range(30):
                 view.observe_decode(100, 100 * seconds)
 
-    def test_slow_target_is_ejected_and_returns_with_the_usual_speed(self) -> None:
-        self.learn_speeds(0.4, 0.1, 0.1, 0.1, 0.1, 0.1)
+    def test_slow_target_is_ejected_and_readmitted_with_the_median_speed(self) -> None:
+        self.observe_speeds(0.4, 0.1, 0.1, 0.1, 0.1, 0.1)
         for view in self.views:
             health.check_speed(self.table, view)
         self.assertFalse(self.table.usable(self.views[0]))
@@ -84,7 +84,7 @@
         usual = self.views[1].decode_s_per_token
         self.assertAlmostEqual(self.views[0].decode_s_per_token, usual)
 
-    def test_targets_that_are_all_slow_stay(self) -> None:
+    def test_targets_that_are_all_slow_are_not_ejected(self) -> None:
         for view in self.views:
             for _ in range(30):
                 view.observe_decode(100, 40.0)
--- a/waxwingglade/decisions/tests/test_package.py
+++ b/waxwingglade/decisions/tests/test_package.py
@@ -1,4 +1,4 @@
-"""The package imports what it names only when that is used."""
+"""The package imports its names on first use."""
 
 import subprocess
 import sys
@@ -14,8 +14,8 @@
         with self.assertRaises(AttributeError):
             decisions.nothing  # noqa: B018
 
-    def test_placing_does_not_import_the_dispatcher(self) -> None:
-        """An entry then is imported in 0.355 s of processor time instead of 0.41 s."""
+    def test_placement_does_not_import_the_dispatcher(self) -> None:
+        """Importing an entry takes 0.355 s of processor time instead of 0.41 s."""
         program = (
             "import sys, waxwingglade.decisions.placement;"
             "print('waxwingglade.decisions.dispatch' in sys.modules)"
--- a/waxwingglade/decisions/tests/test_queue.py
+++ b/waxwingglade/decisions/tests/test_queue.py
@@ -67,14 +67,14 @@
         granted = Counter(take_next(waiting).work.tenant for _ in range(40))
         self.assertAlmostEqual(granted["heavy"], 30, delta=1)
 
-    def test_flood_of_one_tenant_does_not_hold_up_another(self) -> None:
+    def test_flood_of_one_tenant_does_not_delay_another(self) -> None:
         waiting = queue(self.clock)
         offer(waiting, *[work(tenant="flood", deadline_at=500.0) for _ in range(100)])
         take_next(waiting)
         (other,) = offer(waiting, work(tenant="quiet", deadline_at=900.0))
         self.assertIn(other, [take_next(waiting) for _ in range(2)])
 
-    def test_tenant_that_was_idle_saves_up_no_claim(self) -> None:
+    def test_idle_tenant_accumulates_no_credit(self) -> None:
         waiting = queue(self.clock)
         offer(waiting, *[work(tenant="busy") for _ in range(50)])
         for _ in range(20):
@@ -115,7 +115,7 @@
         self.assertIsNotNone(refused.retry_after_s)
         offer(waiting, work(tenant="other", queue_limit=2))
 
-    async def test_urgent_call_takes_the_place_of_the_tenants_routine_one(self) -> None:
+    async def test_urgent_call_replaces_the_tenants_routine_one(self) -> None:
         waiting = queue(self.clock)
         routine, _ = offer(waiting, work(ROUTINE, queue_limit=2), work(NORMAL, queue_limit=2))
         routine.answer = asyncio.get_running_loop().create_future()
--- a/waxwingglade/decisions/tests/test_quota.py
+++ b/waxwingglade/decisions/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts, in any span of the window's length."""
+"""Limits of client accounts in any time window."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def most_in_a_span(times: list[float], span_s: float) -> int:
-    """Return the most times that lie in any span of a length."""
+    """Return the greatest number of times in any span of this length."""
     return max(
         (sum(start <= at < start + span_s for at in times) for start in times),
         default=0,
@@ -19,24 +19,24 @@
 
 
 class RestoredTest(unittest.TestCase):
-    """Times of a clock that goes on, or began anew with the machine."""
+    """Grant times of a clock that continues, or restarts with the machine."""
 
-    def test_by_a_clock_that_goes_on_they_are_as_they_were(self) -> None:
+    def test_a_continued_clock_does_not_change_times(self) -> None:
         self.assertEqual([1.0, 3.0, 4.0], restore_times([1.0, 3.0, 4.0], 9.0))
         self.assertEqual([], restore_times([], 9.0))
 
-    def test_by_a_clock_that_began_anew_the_last_is_now_and_the_others_lie_before(self) -> None:
+    def test_after_a_clock_restart_the_last_time_is_now_and_the_others_precede_it(self) -> None:
         self.assertEqual([-1.0, 1.0, 2.0], restore_times([70.0, 72.0, 73.0], 2.0))
 
-    def test_a_machine_that_began_anew_twice(self) -> None:
+    def test_two_clock_restarts(self) -> None:
         self.assertEqual([-1.0, 1.0, 1.0, 2.0], restore_times([70.0, 72.0, 4.0, 5.0], 2.0))
 
     @given(st.lists(st.tuples(st.floats(0.0, 9.0), st.booleans()), min_size=1, max_size=30))
-    def test_none_is_taken_for_older_than_it_is(self, steps: list[tuple[float, bool]]) -> None:
+    def test_no_time_is_assumed_older_than_it_is(self, steps: list[tuple[float, bool]]) -> None:
         true, clock, times, moments = 0.0, 100.0, [], []
-        for pause_s, begins_anew in steps:
+        for pause_s, restarts in steps:
             true += pause_s
-            clock = 0.0 if begins_anew else clock + pause_s
+            clock = 0.0 if restarts else clock + pause_s
             times.append(clock)
             moments.append(true)
         for moment, read in zip(moments, restore_times(times, clock), strict=True):
@@ -44,7 +44,7 @@
 
 
 class LimitTest(unittest.TestCase):
-    def test_the_limit_of_a_window_with_what_is_tolerated(self) -> None:
+    def test_the_limit_of_a_window_includes_the_tolerated_excess(self) -> None:
         self.assertEqual(int(1.1 * (10 * 5 + 10) + 20), RULES.most(10.0, 10.0))
         self.assertEqual(3, QuotaRules(1.0).most(2.0, 1.0))
 
@@ -58,7 +58,7 @@
                 passed.append(now)
         self.assertLessEqual(most_in_a_span(passed, RULES.window_s), most)
 
-    def test_whoever_comes_back_as_told_finds_room(self) -> None:
+    def test_a_retry_after_the_stated_delay_is_granted(self) -> None:
         grants = Grants()
         for at in (0.0, 1.0, 2.0):
             grants.record(at)
@@ -67,7 +67,7 @@
         self.assertAlmostEqual(2.5, refused.retry_s)
         self.assertTrue(decide(grants, 3, RULES, 2.5 + refused.retry_s).granted)
 
-    def test_a_limit_that_was_lowered_binds_at_once(self) -> None:
+    def test_a_lowered_limit_applies_at_once(self) -> None:
         grants = Grants()
         for at in range(4):
             grants.record(float(at))
@@ -75,12 +75,12 @@
         self.assertAlmostEqual(3.0, refused.retry_s)
         self.assertFalse(decide(grants, 0, RULES, 4.0).granted)
 
-    def test_what_was_given_back_is_free_again(self) -> None:
+    def test_a_returned_grant_is_available_again(self) -> None:
         grants = Grants()
         for at in (0.0, 1.0):
             grants.record(at)
         grants.give_back(0.0)
-        self.assertEqual([1.0], list(grants.times), "the other one counts on")
+        self.assertEqual([1.0], list(grants.times), "the other grant still counts")
 
 
 if __name__ == "__main__":
--- a/waxwingglade/decisions/tests/test_ranks.py
+++ b/waxwingglade/decisions/tests/test_ranks.py
@@ -1,4 +1,4 @@
-"""What stands before a turn at an engine, by the ranks of what its entry sends."""
+"""Share of the turns at an engine that a turn can't overtake, by rank."""
 
 import unittest
 
@@ -7,30 +7,30 @@
 URGENT, USUAL, IDLE = 0, 1, 2
 
 
-class Shares(unittest.TestCase):
+class RankSharesTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.ranks = RankShares()
+        self.rank_shares = RankShares()
 
     def send(self, *ranks: int) -> None:
-        """Note turns of some ranks."""
+        """Record sent turns with the given sent_ranks."""
         for rank in ranks:
-            self.ranks.record(rank)
+            self.rank_shares.record(rank)
 
-    def test_before_any_was_sent_all_stand_before_a_turn(self) -> None:
-        self.assertEqual(1.0, self.ranks.share_up_to(URGENT))
+    def test_before_the_first_turn_the_share_is_one(self) -> None:
+        self.assertEqual(1.0, self.rank_shares.share_up_to(URGENT))
 
-    def test_the_least_urgent_overtakes_nothing(self) -> None:
+    def test_the_least_urgent_turn_overtakes_nothing(self) -> None:
         self.send(URGENT, USUAL, IDLE)
-        self.assertAlmostEqual(1.0, self.ranks.share_up_to(IDLE))
+        self.assertAlmostEqual(1.0, self.rank_shares.share_up_to(IDLE))
 
-    def test_a_more_urgent_one_overtakes_the_others(self) -> None:
+    def test_a_more_urgent_turn_overtakes_the_others(self) -> None:
         self.send(*[URGENT, USUAL, USUAL, IDLE] * 100)
-        self.assertAlmostEqual(0.25, self.ranks.share_up_to(URGENT), delta=0.02)
-        self.assertAlmostEqual(0.75, self.ranks.share_up_to(USUAL), delta=0.02)
+        self.assertAlmostEqual(0.25, self.rank_shares.share_up_to(URGENT), delta=0.02)
+        self.assertAlmostEqual(0.75, self.rank_shares.share_up_to(USUAL), delta=0.02)
 
-    def test_a_rank_that_is_not_sent_any_more_fades(self) -> None:
+    def test_the_share_of_a_rank_decays_after_its_last_turn(self) -> None:
         self.send(*[USUAL] * 100, *[URGENT] * 50)
-        self.assertAlmostEqual(1 - DECAY**50, self.ranks.share_up_to(URGENT), delta=0.06)
+        self.assertAlmostEqual(1 - DECAY**50, self.rank_shares.share_up_to(URGENT), delta=0.06)
 
 
 if __name__ == "__main__":
--- a/waxwingglade/decisions/tests/test_release.py
+++ b/waxwingglade/decisions/tests/test_release.py
@@ -1,4 +1,4 @@
-"""Release of cache at the end of programs and in long pauses."""
+"""Release of cache at the end of programs and during long pauses."""
 
 import unittest
 
@@ -21,82 +21,82 @@
     def setUp(self) -> None:
         self.clock = FakeClock()
         settings = DecisionSettings(release_retry_s=2.0, hold_max_s=60.0)
-        self.book = ReleaseTracker(settings, self.clock)
-        self.book.record_sent(PROGRAM, A)
-        self.book.record_sent(PROGRAM, B)
+        self.tracker = ReleaseTracker(settings, self.clock)
+        self.tracker.record_sent(PROGRAM, A)
+        self.tracker.record_sent(PROGRAM, B)
 
     def test_end_releases_every_target_that_was_used(self) -> None:
         self.assertEqual(
-            set(self.book.release(PROGRAM)), {Holding(PROGRAM, A), Holding(PROGRAM, B)}
+            set(self.tracker.release(PROGRAM)), {Holding(PROGRAM, A), Holding(PROGRAM, B)}
         )
-        self.assertEqual(self.book.release(PROGRAM), [])
+        self.assertEqual(self.tracker.release(PROGRAM), [])
 
     def test_release_is_repeated_until_it_is_acknowledged(self) -> None:
-        self.book.release(PROGRAM)
-        self.book.acknowledge(Holding(PROGRAM, A))
-        self.assertEqual(self.book.due(), [])
+        self.tracker.release(PROGRAM)
+        self.tracker.acknowledge(Holding(PROGRAM, A))
+        self.assertEqual(self.tracker.due(), [])
         for _ in range(3):
             self.clock.advance(2.0)
-            self.assertEqual(self.book.due(), [Holding(PROGRAM, B)])
-        self.book.acknowledge(Holding(PROGRAM, B))
+            self.assertEqual(self.tracker.due(), [Holding(PROGRAM, B)])
+        self.tracker.acknowledge(Holding(PROGRAM, B))
         self.clock.advance(2.0)
-        self.assertEqual(self.book.due(), [])
+        self.assertEqual(self.tracker.due(), [])
 
-    def test_late_repeat_does_not_hit_cache_that_is_used_again(self) -> None:
-        self.book.release(PROGRAM)
-        self.book.record_sent(PROGRAM, A)
+    def test_resent_release_does_not_affect_cache_in_use_again(self) -> None:
+        self.tracker.release(PROGRAM)
+        self.tracker.record_sent(PROGRAM, A)
         self.clock.advance(2.0)
-        self.assertEqual(self.book.due(), [Holding(PROGRAM, B)])
+        self.assertEqual(self.tracker.due(), [Holding(PROGRAM, B)])
 
-    def test_sweep_finds_programs_that_ended_unseen(self) -> None:
-        self.book.record_sent(OTHER, A)
-        self.assertEqual(self.book.sweep({PROGRAM}), [Holding(OTHER, A)])
+    def test_sweep_finds_programs_with_an_unobserved_end(self) -> None:
+        self.tracker.record_sent(OTHER, A)
+        self.assertEqual(self.tracker.sweep({PROGRAM}), [Holding(OTHER, A)])
 
     def test_sweep_bounds_how_long_idle_cache_is_held(self) -> None:
         self.clock.advance(30.0)
-        self.book.record_sent(OTHER, A)
+        self.tracker.record_sent(OTHER, A)
         self.clock.advance(30.0)
         self.assertEqual(
-            set(self.book.sweep({PROGRAM, OTHER})), {Holding(PROGRAM, A), Holding(PROGRAM, B)}
+            set(self.tracker.sweep({PROGRAM, OTHER})), {Holding(PROGRAM, A), Holding(PROGRAM, B)}
         )
 
-    def test_target_that_is_gone_needs_no_release(self) -> None:
-        self.book.release(PROGRAM)
-        self.book.record_sent(OTHER, A)
-        self.book.forget_target(A)
+    def test_removed_target_needs_no_release(self) -> None:
+        self.tracker.release(PROGRAM)
+        self.tracker.record_sent(OTHER, A)
+        self.tracker.forget_target(A)
         self.clock.advance(2.0)
-        self.assertEqual(self.book.due(), [Holding(PROGRAM, B)])
-        self.assertEqual(self.book.release(OTHER), [])
+        self.assertEqual(self.tracker.due(), [Holding(PROGRAM, B)])
+        self.assertEqual(self.tracker.release(OTHER), [])
 
 
 class PauseTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = FakeClock()
-        self.book = PauseTracker(DecisionSettings(hold_max_s=60.0), self.clock)
+        self.tracker = PauseTracker(DecisionSettings(hold_max_s=60.0), self.clock)
 
-    def learn(self, *lengths_s: float) -> None:
+    def record_pauses(self, *lengths_s: float) -> None:
         for length_s in lengths_s:
-            self.book.begin(PROGRAM, NOTICE)
+            self.tracker.begin(PROGRAM, NOTICE)
             self.clock.advance(length_s)
-            self.book.end(PROGRAM)
+            self.tracker.end(PROGRAM)
 
-    def test_unknown_and_short_pauses_keep_the_cache(self) -> None:
-        self.assertIs(self.book.begin(PROGRAM, NOTICE), PauseDecision.KEEP)
-        self.learn(1.0, 2.0, 50.0, 1.0)
-        self.assertIs(self.book.begin(PROGRAM, NOTICE), PauseDecision.KEEP)
+    def test_cache_is_retained_in_unknown_and_short_pauses(self) -> None:
+        self.assertIs(self.tracker.begin(PROGRAM, NOTICE), PauseDecision.KEEP)
+        self.record_pauses(1.0, 2.0, 50.0, 1.0)
+        self.assertIs(self.tracker.begin(PROGRAM, NOTICE), PauseDecision.KEEP)
 
-    def test_tool_that_usually_pauses_beyond_the_bound_lets_go(self) -> None:
-        self.learn(100.0, 2.0, 200.0, 300.0, 90.0)
-        self.assertIs(self.book.begin(PROGRAM, NOTICE), PauseDecision.RELEASE)
+    def test_cache_is_released_if_pauses_usually_exceed_the_bound(self) -> None:
+        self.record_pauses(100.0, 2.0, 200.0, 300.0, 90.0)
+        self.assertIs(self.tracker.begin(PROGRAM, NOTICE), PauseDecision.RELEASE)
 
     def test_memory_is_bounded(self) -> None:
-        self.learn(*[100.0] * 100)
-        self.learn(*[1.0] * 100)
-        self.assertEqual(self.book.expected_s(NOTICE), 1.0)
+        self.record_pauses(*[100.0] * 100)
+        self.record_pauses(*[1.0] * 100)
+        self.assertEqual(self.tracker.expected_s(NOTICE), 1.0)
 
 
 class DispatcherReleaseTest(unittest.IsolatedAsyncioTestCase):
-    async def test_program_releases_where_it_was_sent(self) -> None:
+    async def test_program_releases_cache_at_its_targets(self) -> None:
         clock = FakeClock()
         dispatcher = Dispatcher(table(clock, engine("a"), hold_max_s=60.0), clock)
         call = work(blocks=blocks(1, 2), prompt_tokens=128)
--- a/waxwingglade/decisions/tests/test_retry.py
+++ b/waxwingglade/decisions/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""Retries by verdict, their budget, and time limits."""
+"""Retries by verdict, the retry budget, and timeouts."""
 
 import unittest
 
@@ -11,7 +11,7 @@
     def setUp(self) -> None:
         self.budget = RetryBudget(DecisionSettings(retry_ratio=0.1, retry_burst=2.0))
 
-    def test_only_calls_that_cannot_double_an_effect_are_repeated(self) -> None:
+    def test_only_calls_without_a_risk_of_repeated_side_effects_are_retried(self) -> None:
         allowed = {
             (verdict, idempotent): may_retry(
                 tool_work(NOTICE, idempotent),
@@ -26,7 +26,7 @@
             [(Verdict.MAY_HAVE_RUN, False), (Verdict.RAN, False)],
         )
 
-    def test_failures_that_a_repeat_cannot_mend_are_not_repeated(self) -> None:
+    def test_permanent_failures_are_not_retried(self) -> None:
         failure = Failure(Verdict.NOT_RUN, ErrorCode.BUDGET_EXCEEDED, "")
         self.assertFalse(may_retry(work(), failure, self.budget))
         self.assertEqual(self.budget.tokens, 2.0)
@@ -39,7 +39,7 @@
             retried += may_retry(work(), failure, self.budget)
         self.assertIn(retried, (20, 21, 22))
 
-    def test_time_limit_ends_with_the_programs_deadline(self) -> None:
+    def test_timeout_ends_at_the_programs_deadline(self) -> None:
         call = tool_work(NOTICE, deadline_at=130.0)
         self.assertEqual(timeout_s(call, 100.0), 20.0)
         self.assertEqual(timeout_s(call, 125.0), 5.0)
--- a/waxwingglade/decisions/tests/test_route.py
+++ b/waxwingglade/decisions/tests/test_route.py
@@ -66,17 +66,17 @@
         load(targets, "engine-1", 7)
         self.assertNotEqual(chosen(targets, prompt_work()).view.target, "engine-1")
 
-    def test_weight_of_latency_decides_between_wait_and_waste(self) -> None:
+    def test_latency_weight_decides_between_prefill_and_waiting(self) -> None:
         targets = self.targets(2)
         hold(targets, "engine-1", 100)
         load(targets, "engine-1", 12)
-        hasty = chosen(targets, prompt_work(latency_weight=0.9))
-        thrifty = chosen(targets, prompt_work(latency_weight=0.2))
-        self.assertEqual(hasty.view.target, "engine-0")
-        self.assertEqual(thrifty.view.target, "engine-1")
-        self.assertFalse(thrifty.is_open)
+        latency_first = chosen(targets, prompt_work(latency_weight=0.9))
+        cache_first = chosen(targets, prompt_work(latency_weight=0.2))
+        self.assertEqual(latency_first.view.target, "engine-0")
+        self.assertEqual(cache_first.view.target, "engine-1")
+        self.assertFalse(cache_first.is_open)
 
-    def test_cache_is_imported_where_that_is_faster_than_reading(self) -> None:
+    def test_cache_is_imported_if_this_is_faster_than_prefill(self) -> None:
         targets = self.targets(2, import_tokens_per_s=30_000.0)
         hold(targets, "engine-1", 100)
         load(targets, "engine-1", 20)
@@ -87,7 +87,7 @@
         load(slow, "engine-1", 20)
         self.assertIsNone(chosen(slow, prompt_work()).source)
 
-    def test_new_cache_has_a_price_where_memory_is_crowded(self) -> None:
+    def test_new_cache_has_a_price_if_memory_is_nearly_full(self) -> None:
         targets = self.targets(2, import_tokens_per_s=1e6, import_delay_s=0.0)
         hold(targets, "engine-1", 100)
         call = prompt_work(expected_output_tokens=100)
@@ -96,7 +96,7 @@
         targets.report_load(TargetId("engine-0"), LoadReport(0, cache_used=1.0))
         self.assertEqual(chosen(targets, call).view.target, "engine-1")
 
-    def test_zone_is_left_only_when_it_pays_for_the_delay(self) -> None:
+    def test_another_zone_is_chosen_only_if_it_outweighs_the_delay(self) -> None:
         targets = table(
             self.clock,
             engine("near", slots=8),
@@ -108,7 +108,7 @@
         load(targets, "near", 6)
         self.assertEqual(chosen(targets, work(expected_output_tokens=200)).view.target, "far")
 
-    def test_entries_with_the_same_reports_do_not_herd(self) -> None:
+    def test_entries_with_the_same_reports_choose_different_targets(self) -> None:
         engines = [engine(f"engine-{number}", slots=8) for number in range(60)]
         counts: dict[str, int] = {}
         for seed in range(60):
--- a/waxwingglade/decisions/tests/test_target_models.py
+++ b/waxwingglade/decisions/tests/test_target_models.py
@@ -10,8 +10,8 @@
 from waxwingglade.settings import ProgramPolicy, TargetKind, TargetSettings
 
 ENGINE = TargetId("engine-1")
-NEVER_S = 1e6
-PATIENCE_S = 20.0
+DISABLED_S = 1e6
+TIMEOUT_S = 20.0
 BLOCKS = (BlockHash(1), BlockHash(2))
 
 
@@ -43,7 +43,7 @@
             )
         self.dispatcher = Dispatcher(self.table, monotonic)
 
-    async def test_a_target_gets_no_calls_of_a_model_that_it_lost_though_it_holds_the_prompt(self):
+    async def test_a_target_with_a_cached_prompt_gets_no_calls_of_a_removed_model(self):
         self.table.cache.add(self.table.targets[ENGINE].number, BLOCKS)
         self.dispatcher.set_models(ENGINE, ["base"])
         grant = (await self.dispatcher.acquire(work("old"))).unwrap()
@@ -52,11 +52,11 @@
     async def test_a_waiting_call_goes_to_a_target_that_loaded_its_model(self):
         first = (await self.dispatcher.acquire(work("base"))).unwrap()
         self.assertEqual(ENGINE, first.target)
-        with unittest.mock.patch("waxwingglade.decisions.dispatch.RECHECK_S", NEVER_S):
+        with unittest.mock.patch("waxwingglade.decisions.dispatch.RECHECK_S", DISABLED_S):
             waiting = asyncio.create_task(self.dispatcher.acquire(work("base")))
             await asyncio.sleep(0)
             self.dispatcher.set_models(TargetId("engine-2"), ["base"])
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 self.assertEqual("engine-2", (await waiting).unwrap().target)
 
     async def test_a_model_that_no_target_has_is_refused(self):
--- a/waxwingglade/decisions/tests/test_targets.py
+++ b/waxwingglade/decisions/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""Load, cache beliefs and states of targets as one entry sees them."""
+"""Load, cached blocks and states of targets, as estimated by one entry."""
 
 import unittest
 
@@ -27,19 +27,19 @@
     def report(self, running: int, age_s: float = 0.0) -> None:
         self.table.report_load(A, LoadReport(running, age_s=age_s))
 
-    def test_own_sends_since_the_stamp_are_added(self) -> None:
+    def test_own_calls_since_the_report_are_added(self) -> None:
         self.clock.advance(1.0)
         self.send(2)
         self.report(running=1, age_s=0.5)
         self.assertEqual(self.view.load, 3)
 
-    def test_own_sends_before_the_stamp_are_not_counted_twice(self) -> None:
+    def test_own_calls_before_the_report_are_not_counted_twice(self) -> None:
         self.send(2)
         self.clock.advance(1.0)
         self.report(running=3, age_s=0.5)
         self.assertEqual(self.view.load, 3)
 
-    def test_own_calls_that_ended_since_the_stamp_are_taken_off(self) -> None:
+    def test_own_calls_that_ended_since_the_report_are_subtracted(self) -> None:
         self.send(2)
         self.clock.advance(1.0)
         self.send(-2)
@@ -52,7 +52,7 @@
         self.report(running=9, age_s=3.0)
         self.assertEqual(self.view.load, 1)
 
-    def test_report_is_forgotten_when_it_is_too_old(self) -> None:
+    def test_report_expires(self) -> None:
         self.report(running=9)
         self.clock.advance(9.0)
         self.assertEqual(self.table.expire_reports(), [])
@@ -60,16 +60,16 @@
         self.assertEqual(self.table.expire_reports(), [self.view])
         self.assertTrue(self.table.has_capacity(self.view, Urgency.NORMAL))
 
-    def test_routine_leaves_room_and_urgent_may_go_beyond_the_slots(self) -> None:
+    def test_routine_leaves_slots_free_and_urgent_may_exceed_the_slots(self) -> None:
         open_at = {
-            urgency: [load for load in range(8) if self.has_room_at(load, urgency)]
+            urgency: [load for load in range(8) if self.has_capacity_at(load, urgency)]
             for urgency in Urgency
         }
         self.assertEqual(open_at[Urgency.ROUTINE], [0, 1, 2])
         self.assertEqual(open_at[Urgency.NORMAL], [0, 1, 2, 3])
         self.assertEqual(open_at[Urgency.URGENT], [0, 1, 2, 3, 4])
 
-    def has_room_at(self, load: int, urgency: Urgency) -> bool:
+    def has_capacity_at(self, load: int, urgency: Urgency) -> bool:
         self.send(load - self.view.in_flight)
         self.assertEqual(
             self.view in self.table.open[MODEL][urgency],
@@ -83,7 +83,7 @@
         self.clock = FakeClock()
         self.table = table(self.clock, engine("a", slots=8), slow_start_s=10.0)
 
-    def test_leaving_target_has_no_room(self) -> None:
+    def test_leaving_target_has_no_capacity(self) -> None:
         view = self.table.targets[A]
         self.table.set_leaving(A)
         self.assertFalse(any(self.table.has_capacity(view, urgency) for urgency in Urgency))
@@ -91,7 +91,7 @@
         self.table.set_leaving(A, False)
         self.assertTrue(self.table.has_capacity(view, Urgency.ROUTINE))
 
-    def test_new_target_gets_its_slots_little_by_little(self) -> None:
+    def test_limit_of_a_new_target_rises_gradually(self) -> None:
         view = self.table.add(engine("b", slots=8), slow_start=True)
         limits = []
         for _ in range(5):
@@ -100,7 +100,7 @@
         self.assertEqual(limits, [1, 2, 4, 6, 8])
         self.assertFalse(view.on_trial)
 
-    def test_removed_target_leaves_nothing_to_its_successor(self) -> None:
+    def test_removed_target_leaves_no_state_to_its_successor(self) -> None:
         view = self.table.targets[A]
         self.table.cache.add(view.number, blocks(1, 2))
         self.table.remove(A)
@@ -127,24 +127,24 @@
         self.assertFalse(self.apply(12, removed=[3, 4]))
         self.assertEqual(self.depth(), 2)
 
-    def test_gap_asks_for_a_resync_until_it_comes(self) -> None:
+    def test_gap_requests_a_resync_until_it_arrives(self) -> None:
         self.assertTrue(self.apply(12, stored=[4]))
         self.assertTrue(self.apply(13))
         self.table.resync(A, 13, blocks(1))
         self.assertEqual(self.depth(), 1)
         self.assertFalse(self.apply(14))
 
-    def test_batches_newer_than_the_resync_are_kept(self) -> None:
+    def test_batches_newer_than_the_resync_are_retained(self) -> None:
         self.apply(12)
         self.apply(13, removed=[2])
         self.table.resync(A, 12, blocks(1, 2, 3))
         self.assertEqual(self.depth(), 1)
         self.assertFalse(self.apply(14))
 
-    def test_restarted_target_asks_for_a_resync(self) -> None:
+    def test_restarted_target_requests_a_resync(self) -> None:
         self.assertTrue(self.apply(1))
 
-    def test_first_batch_asks_for_a_resync(self) -> None:
+    def test_first_batch_requests_a_resync(self) -> None:
         self.table.add(engine("b"))
         self.assertTrue(self.table.apply_cache_events(TargetId("b"), CacheEvents(1)))
 
@@ -161,7 +161,7 @@
             max_size=40,
         )
     )
-    def test_agrees_with_plain_sets_and_stays_bounded(self, steps) -> None:
+    def test_matches_simple_sets_and_stays_bounded(self, steps) -> None:
         index, small = CacheIndex(max_blocks=100), CacheIndex(max_blocks=3)
         held: dict[int, set[int]] = {holder: set() for holder in range(4)}
         for action, holder, changed in steps:
