--- a/waxwingglade/decisions/tests/test_ranks.py
+++ b/waxwingglade/decisions/tests/test_ranks.py
@@ -12,7 +12,7 @@
         self.rank_shares = RankShares()
 
     def send(self, *ranks: int) -> None:
-        """Record sent turns with the given sent_ranks."""
+        """Record sent turns with the given ranks."""
         for rank in ranks:
             self.rank_shares.record(rank)
 
