--- a/waxwingglade/ingress/quota.py
+++ b/waxwingglade/ingress/quota.py
@@ -71,7 +71,7 @@
 def over_limit(serving: Serving, ledger: LedgerClient, spent: QuotaSpent) -> Refusal:
     """Record a call that is over the limit of its client account, and return its refusal."""
     assert serving.account is not None
-    ledger.quotas.note_refused(serving.account.name)
+    ledger.quotas.record_refused(serving.account.name)
     return _refusal(spent)
 
 
--- a/waxwingglade/ingress/streaming.py
+++ b/waxwingglade/ingress/streaming.py
@@ -225,7 +225,7 @@
         raise Refusal(UNAVAILABLE, "not run: the ledger has too much to do", BUSY_RETRY_S)
     # If every process that has the release were killed, the next turn of the program would still
     # count this reservation.  So the release is recorded before the caller gets its answer.
-    await ledger.noted(_release_undecided(serving, ledger))
+    await ledger.wait_until_recorded(_release_undecided(serving, ledger))
     reason = f"not run: the ledger did not decide: {answer.reason}"
     retry_s = (
         UNDECIDED_RETRY_S
@@ -293,7 +293,7 @@
     """Replace the reservation of an incomplete turn by the tokens that it used."""
     message = _end_message(serving, relay, store=False)
     if message.program is not None:
-        ledger.settle_later(message)
+        ledger.resolve_later(message)
 
 
 async def _await_confirmation(serving: Serving, confirming: asyncio.Task[bool]) -> None:
@@ -310,16 +310,16 @@
     """Release the reservation of a turn that did not run, before its caller is notified."""
     message = _end_message(serving, relay, store=False)
     if message.program is not None:
-        await ledger.settle_first(message)
+        await ledger.resolve_first(message)
 
 
 def _release_undecided(serving: Serving, ledger: LedgerClient) -> list[asyncio.Task[bool]]:
     """Release the tokens that the ledger may have reserved for an undecided turn.
 
-    Returns the tasks that notify the replicas, for `LedgerClient.noted`.
+    Returns the tasks that notify the replicas, for `LedgerClient.wait_until_recorded`.
     """
     message = _end_message(serving, Relay(), store=False)
-    return [] if message.program is None else ledger.settle_refused(message)
+    return [] if message.program is None else ledger.resolve_refused(message)
 
 
 async def _end_turn(serving: Serving, ledger_access: LedgerAccess, relay: Relay) -> None:
@@ -328,7 +328,7 @@
     if message.kept is None:
         await serving.exchange.end_stream()
         if message.program is not None:
-            ledger_access.ledger.settle_later(message)
+            ledger_access.ledger.resolve_later(message)
         return
     requested_at = time.monotonic()
     try:
--- a/waxwingglade/ingress/tests/entry_builders.py
+++ b/waxwingglade/ingress/tests/entry_builders.py
@@ -213,7 +213,7 @@
         """Allow a program to begin, unless `no_program` is set."""
         return self.no_program
 
-    def note_refused(self, client: ClientAccountId) -> None:
+    def record_refused(self, client: ClientAccountId) -> None:
         """Record a refusal."""
         self.refused.append(client)
 
@@ -239,21 +239,21 @@
         await self.may_end.wait()
         return True
 
-    def settle_later(self, message: EndTurn) -> None:
+    def resolve_later(self, message: EndTurn) -> None:
         """Resolve a reservation."""
         self.settled.append(message)
 
-    async def settle_first(self, message: EndTurn) -> None:
+    async def resolve_first(self, message: EndTurn) -> None:
         """Resolve a reservation before an answer."""
         self.settled.append(message)
         await self.may_settle.wait()
 
-    def settle_refused(self, message: EndTurn) -> list[asyncio.Task[bool]]:
+    def resolve_refused(self, message: EndTurn) -> list[asyncio.Task[bool]]:
         """Resolve what may be reserved."""
         self.settled.append(message)
         return []
 
-    async def noted(self, telling: list[asyncio.Task[bool]]) -> bool:
+    async def wait_until_recorded(self, telling: list[asyncio.Task[bool]]) -> bool:
         """Return at once that all replicas recorded it."""
         return True
 
--- a/waxwingglade/ingress/tests/test_admission.py
+++ b/waxwingglade/ingress/tests/test_admission.py
@@ -97,10 +97,10 @@
         """Serve a turn with a budget; return its refusal reason and the resolved reservations."""
         ledger = mock.Mock()
         ledger.begin = mock.AsyncMock(return_value=begun)
-        ledger.settle_first = mock.AsyncMock()
+        ledger.resolve_first = mock.AsyncMock()
         with mock.patch("waxwingglade.ingress.streaming.open_answer", side_effect=SENT):
             refusal = await self.refused(ledger, keeps_turns=False)
-        made = [*ledger.settle_first.call_args_list, *ledger.settle_later.call_args_list]
+        made = [*ledger.resolve_first.call_args_list, *ledger.resolve_later.call_args_list]
         return refusal.reason, [call.args[0] for call in made]
 
     async def test_a_program_without_an_ended_turn_is_refused(self) -> None:
--- a/waxwingglade/ledger/account.py
+++ b/waxwingglade/ledger/account.py
@@ -82,7 +82,7 @@
     return msgspec.structs.replace(account, unconfirmed=unconfirmed, touched_at=now), True
 
 
-def lapse(account: Account, lapsed: Mapping[TurnId, str], now: float) -> Account:
+def expire(account: Account, lapsed: Mapping[TurnId, str], now: float) -> Account:
     """End turns whose reservations expired unconfirmed; their callers have received no token.
 
     Parameters
@@ -93,11 +93,11 @@
     """
     for turn, granter in account.unconfirmed.items():
         if lapsed.get(turn) == granter:
-            account = settle(account, EndTurn(turn, failed_at=account.failed_at), now)
+            account = resolve_reservation(account, EndTurn(turn, failed_at=account.failed_at), now)
     return account
 
 
-def settle(account: Account, message: EndTurn, now: float) -> Account:
+def resolve_reservation(account: Account, message: EndTurn, now: float) -> Account:
     """Replace a turn's reservation by its token usage, and record the engine that ran the turn.
 
     A turn without a reservation is closed as well, so that a late reservation is refused.
@@ -125,4 +125,4 @@
     return account.spent + sum(account.open.values())
 
 
-__all__ = ["Reservation", "committed", "confirm", "lapse", "reserve", "settle"]
+__all__ = ["Reservation", "committed", "confirm", "expire", "reserve", "resolve_reservation"]
--- a/waxwingglade/ledger/accounts.py
+++ b/waxwingglade/ledger/accounts.py
@@ -24,7 +24,7 @@
 from waxwingglade.base import Clock, ProgramId, monotonic
 from waxwingglade.base.tasks import run_detached
 from waxwingglade.follow.model import ReplicaSet
-from waxwingglade.ledger.account import settle
+from waxwingglade.ledger.account import resolve_reservation
 from waxwingglade.ledger.confirmations import Confirmations
 from waxwingglade.ledger.messages import (
     NEW_ACCOUNT,
@@ -39,7 +39,7 @@
     Seen,
 )
 from waxwingglade.ledger.rounds import FIRST_PAUSE_S, HEDGE_S, NoMajority, Rounds
-from waxwingglade.ledger.unsettled import UnsettledEnds
+from waxwingglade.ledger.unresolved_ends import UnresolvedEnds
 
 T = TypeVar("T")
 Change = Callable[[Account], tuple[Account, Any]]
@@ -93,7 +93,7 @@
     ----------
     rounds : Rounds
         Sends messages to the members.
-    unsettled : UnsettledEnds
+    unresolved_ends : UnresolvedEnds
         Ends of turns that this process has received; their reservations are resolved with the next
         change of the account.
     confirmations : Confirmations
@@ -105,14 +105,14 @@
     def __init__(
         self,
         rounds: Rounds,
-        unsettled: UnsettledEnds,
+        unresolved_ends: UnresolvedEnds,
         confirmations: Confirmations,
         wall_clock: Clock,
     ) -> None:
         self.rounds = rounds
         self.confirmations = confirmations
         rounds.rejected = self.raise_ballot
-        self.unsettled = unsettled
+        self.unresolved_ends = unresolved_ends
         self.wall_clock = wall_clock
         self.name = secrets.token_hex(4)
         self.pending: dict[ProgramId, list[_PendingChange]] = {}
@@ -216,16 +216,16 @@
         if len(answers) < replicas.majority:
             raise _Conflict
         self._remember(program, LastProposal(replicas.epoch, ballot, account))
-        self.unsettled.forget(program, account)
-        self.confirmations.forget_ended(program, account)
+        self.unresolved_ends.remove(program, account)
+        self.confirmations.remove_ended(program, account)
         for each, result in zip(batch, results, strict=True):
             if not each.outcome.done():
                 each.outcome.set_result(result)
 
     def with_received_ends(self, program: ProgramId, account: Account) -> Account:
         """Return the account with the reservations of all received ends resolved."""
-        for end in self.unsettled.of(program):
-            account = settle(account, end, self.wall_clock())
+        for end in self.unresolved_ends.of(program):
+            account = resolve_reservation(account, end, self.wall_clock())
         return account
 
     async def _promises(self, replicas: ReplicaSet, program: ProgramId, ballot: Ballot) -> Account:
--- a/waxwingglade/ledger/client.py
+++ b/waxwingglade/ledger/client.py
@@ -130,8 +130,8 @@
         self.zone = zone
         self.clock = clock
         self.avoided: dict[str, float] = {}
-        self.settling: set[asyncio.Task] = set()
-        self.unsettled: dict[TurnId, EndTurn] = {}
+        self.resolving: set[asyncio.Task] = set()
+        self.unresolved: dict[TurnId, EndTurn] = {}
         self.quotas = QuotaClient(links, self._spread, self._avoid, clock)
 
     async def begin(
@@ -206,14 +206,14 @@
         """Resolve a reservation in the background, as its caller may continue at another entry."""
         if message.program is None:
             return
-        self.tell_all(message)
+        self.notify_all(message)
         self._start(self._resolve(message))
 
-    def settle_later(self, message: EndTurn) -> None:
+    def resolve_later(self, message: EndTurn) -> None:
         """Resolve a reservation without waiting for the result."""
         self._start(self._resolve_now(message))
 
-    async def settle_first(self, message: EndTurn) -> None:
+    async def resolve_first(self, message: EndTurn) -> None:
         """Resolve the reservation of a turn that was not run, within `RECORDED_TIMEOUT_S`.
 
         The caller is refused only afterwards: otherwise its next turn, at another entry, would
@@ -222,17 +222,17 @@
         settling = self._start(self._resolve_now(message))
         await asyncio.wait({settling}, timeout=RECORDED_TIMEOUT_S)
 
-    def settle_refused(self, message: EndTurn) -> list[asyncio.Task[bool]]:
+    def resolve_refused(self, message: EndTurn) -> list[asyncio.Task[bool]]:
         """Resolve the reservation that may exist for a turn on which the ledger did not decide.
 
         All replicas are notified at once, since the refused caller may retry before a majority has
-        resolved the reservation.  Returns the tasks that notify them, for `noted`.
+        resolved the reservation.  Returns the tasks that notify them, for `wait_until_recorded`.
         """
-        telling = self.tell_all(message)
+        telling = self.notify_all(message)
         self._start(self._resolve_now(message, notified=True))
         return telling
 
-    async def noted(self, telling: list[asyncio.Task[bool]]) -> bool:
+    async def wait_until_recorded(self, telling: list[asyncio.Task[bool]]) -> bool:
         """Wait until a majority has recorded a turn's end, for `RECORDED_TIMEOUT_S` at most.
 
         An end that is durable at a majority survives a restart of this process and of the replicas.
@@ -254,22 +254,22 @@
         A reservation whose end no replica has received counts as spent, and may cause a later turn
         of its program to be refused.
         """
-        if self.settling:
-            await asyncio.wait(self.settling, timeout=max(0.0, timeout_s))
-        rest = list(self.settling)
+        if self.resolving:
+            await asyncio.wait(self.resolving, timeout=max(0.0, timeout_s))
+        rest = list(self.resolving)
         for task in rest:
             task.cancel()
         await asyncio.gather(*rest, return_exceptions=True)
-        if self.unsettled:
+        if self.unresolved:
             await self._notify_unresolved()
 
     async def _notify_unresolved(self) -> None:
         """Notify the replicas of the unresolved ends, and wait until they have recorded them."""
-        logger.bind(turns=len(self.unsettled)).warning("reservations unresolved at shutdown")
-        for message in self.unsettled.values():
-            self.tell_all(message)
-        self.unsettled.clear()
-        telling = list(self.settling)
+        logger.bind(turns=len(self.unresolved)).warning("reservations unresolved at shutdown")
+        for message in self.unresolved.values():
+            self.notify_all(message)
+        self.unresolved.clear()
+        telling = list(self.resolving)
         _, late = await asyncio.wait(telling, timeout=SHUTDOWN_TIMEOUT_S) if telling else ((), ())
         for task in late:
             task.cancel()
@@ -277,11 +277,11 @@
 
     def _start(self, coroutine: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
         task = start_task(coroutine)
-        self.settling.add(task)
-        task.add_done_callback(self.settling.discard)
+        self.resolving.add(task)
+        task.add_done_callback(self.resolving.discard)
         return task
 
-    def tell_all(self, message: EndTurn) -> list[asyncio.Task[bool]]:
+    def notify_all(self, message: EndTurn) -> list[asyncio.Task[bool]]:
         """Notify every replica that a turn has ended, without waiting for the answers.
 
         Each replica resolves the reservation with its next change of the account, and reports the
@@ -301,8 +301,8 @@
         return isinstance(answer, EndNoted)
 
     async def _resolve_now(self, message: EndTurn, notified: bool = False) -> None:
-        self.unsettled[message.turn] = message
-        telling = asyncio.get_running_loop().call_later(NOTIFY_DELAY_S, self.tell_all, message)
+        self.unresolved[message.turn] = message
+        telling = asyncio.get_running_loop().call_later(NOTIFY_DELAY_S, self.notify_all, message)
         if notified:
             telling.cancel()
         try:
@@ -312,22 +312,22 @@
         finally:
             telling.cancel()
         if isinstance(answer, TurnEnded) and answer.settled:
-            self.unsettled.pop(message.turn, None)
+            self.unresolved.pop(message.turn, None)
             return
         await self._resolve(message)
 
     async def _resolve(self, message: EndTurn) -> None:
         message = msgspec.structs.replace(message, kept=None)
-        self.unsettled[message.turn] = message
+        self.unresolved[message.turn] = message
         for pause_s in RESOLVE_PAUSES_S:
             await asyncio.sleep(pause_s * (0.5 + random.random()))
             answer = await self._ask_in_order(
                 message, self.clock() + REPLICA_TIMEOUT_S, lambda _: True, []
             )
             if isinstance(answer, TurnEnded) and answer.settled:
-                self.unsettled.pop(message.turn, None)
+                self.unresolved.pop(message.turn, None)
                 return
-        self.unsettled.pop(message.turn, None)
+        self.unresolved.pop(message.turn, None)
         logger.bind(turn=message.turn, program=message.program).warning("reservation not resolved")
 
     async def _ask_in_order(
--- a/waxwingglade/ledger/confirmations.py
+++ b/waxwingglade/ledger/confirmations.py
@@ -6,7 +6,7 @@
 from waxwingglade.base import Clock, ProgramId, monotonic
 from waxwingglade.ledger.messages import Account, TurnId
 
-LAPSE_S = 0.5
+CONFIRM_TIMEOUT_S = 0.5
 """Seconds for which a turn that has begun may be confirmed here; entries usually confirm it within
 about 5 ms."""
 
@@ -34,7 +34,7 @@
     ----------
     life : str
         Name of this incarnation, which begins with the name of the disk.
-    beginning : dict
+    confirmable_until : dict
         Monotonic time until which each turn may be confirmed, by program; infinite while the turn
         is being begun.
     confirmed : dict
@@ -47,32 +47,32 @@
         self.life = f"{disk}:{secrets.token_hex(4)}"
         self.write = write
         self.clock = clock
-        self.beginning: dict[ProgramId, dict[TurnId, float]] = {}
+        self.confirmable_until: dict[ProgramId, dict[TurnId, float]] = {}
         self.confirmed: dict[ProgramId, set[TurnId]] = {}
         self.lapsed: dict[ProgramId, set[TurnId]] = {}
 
     def begin(self, program: ProgramId, turn: TurnId) -> bool:
         """Record that a turn is being begun; return False if it is recorded or expired already."""
-        if turn in self.lapsed.get(program, ()) or turn in self.beginning.get(program, ()):
+        if turn in self.lapsed.get(program, ()) or turn in self.confirmable_until.get(program, ()):
             return False
-        self.beginning.setdefault(program, {})[turn] = float("inf")
+        self.confirmable_until.setdefault(program, {})[turn] = float("inf")
         return True
 
     def begun(self, program: ProgramId, turn: TurnId) -> None:
         """Record that a turn has begun and may be confirmed from now on."""
         # The program may have been removed meanwhile, if its account is old.
-        self.beginning.setdefault(program, {})[turn] = self.clock() + LAPSE_S
+        self.confirmable_until.setdefault(program, {})[turn] = self.clock() + CONFIRM_TIMEOUT_S
 
     def not_begun(self, program: ProgramId, turn: TurnId) -> None:
         """Record that a turn can't be confirmed here any more, or has not begun here."""
-        turns = self.beginning.get(program, {})
+        turns = self.confirmable_until.get(program, {})
         turns.pop(turn, None)
         if not turns:
-            self.beginning.pop(program, None)
+            self.confirmable_until.pop(program, None)
 
     async def confirm(self, program: ProgramId, turn: TurnId) -> bool:
         """Make a turn's confirmation durable; return whether the turn may be confirmed here."""
-        until = self.beginning.get(program, {}).get(turn, float("-inf"))
+        until = self.confirmable_until.get(program, {}).get(turn, float("-inf"))
         if until == float("inf") or until <= self.clock():
             return False
         # Marked as confirmed before the write, so that the turn does not expire during the write.
@@ -81,12 +81,12 @@
         await self.write(program, turn)
         return True
 
-    def judge(
+    def classify(
         self, program: ProgramId, turns: Iterable[TurnId]
     ) -> tuple[tuple[TurnId, ...], tuple[TurnId, ...]]:
         """Return the confirmed and the expired turns among `turns`; all others are undecided."""
         now = self.clock()
-        beginning = self.beginning.get(program, {})
+        beginning = self.confirmable_until.get(program, {})
         confirmed = self.confirmed.get(program, set())
         known = tuple(turn for turn in turns if turn in confirmed)
         lapsed = tuple(
@@ -104,9 +104,9 @@
             for turn in turns:
                 yield program, turn
 
-    def forget_ended(self, program: ProgramId, account: Account) -> None:
+    def remove_ended(self, program: ProgramId, account: Account) -> None:
         """Remove the turns that have ended according to an account that a majority accepted."""
-        for turn in set(self.beginning.get(program, ())).intersection(account.closed):
+        for turn in set(self.confirmable_until.get(program, ())).intersection(account.closed):
             self.not_begun(program, turn)
         for known in (self.confirmed, self.lapsed):
             turns = known.get(program)
@@ -116,9 +116,9 @@
             if not turns:
                 del known[program]
 
-    def forget(self, program: ProgramId) -> None:
+    def remove(self, program: ProgramId) -> None:
         """Remove a program whose account is removed."""
-        for known in (self.confirmed, self.lapsed, self.beginning):
+        for known in (self.confirmed, self.lapsed, self.confirmable_until):
             known.pop(program, None)
 
 
@@ -127,4 +127,4 @@
     return life.partition(":")[0]
 
 
-__all__ = ["LAPSE_S", "Confirmations", "disk_of"]
+__all__ = ["CONFIRM_TIMEOUT_S", "Confirmations", "disk_of"]
--- a/waxwingglade/ledger/coordinator.py
+++ b/waxwingglade/ledger/coordinator.py
@@ -10,7 +10,7 @@
 from waxwingglade.base.tasks import run_detached
 from waxwingglade.follow.model import Replica as Member
 from waxwingglade.follow.model import ReplicaSet
-from waxwingglade.ledger.account import Reservation, committed, confirm, settle
+from waxwingglade.ledger.account import Reservation, committed, confirm, resolve_reservation
 from waxwingglade.ledger.accounts import Accounts
 from waxwingglade.ledger.confirmations import Confirmations, disk_of
 from waxwingglade.ledger.messages import (
@@ -29,10 +29,10 @@
     TurnEnded,
     Unavailable,
 )
-from waxwingglade.ledger.reservations import Judgement, Reservations
+from waxwingglade.ledger.reservations import ReservationResult, Reservations
 from waxwingglade.ledger.rounds import HEDGE_S, Ask, NoMajority, Rounds
 from waxwingglade.ledger.turns import Turns
-from waxwingglade.ledger.unsettled import UnsettledEnds
+from waxwingglade.ledger.unresolved_ends import UnresolvedEnds
 
 DECISION_TIMEOUT_S = 0.9
 """Timeout in seconds of a change that finds no majority."""
@@ -65,7 +65,7 @@
         Calendar time in seconds.
     confirmations : Confirmations
         Turns that this process has begun; the object of its replica.
-    unsettled : UnsettledEnds or None
+    unsettled : UnresolvedEnds or None
         Ends of turns reported to this process; the object of its replica, or None for a new one.
     """
 
@@ -77,11 +77,11 @@
         observe_replicas: Callable[[ReplicaSet], None],
         confirmations: Confirmations,
         wall_clock: Clock = wall,
-        unsettled: UnsettledEnds | None = None,
+        unsettled: UnresolvedEnds | None = None,
     ) -> None:
         self.own = own
         self.confirmations = confirmations
-        self.unsettled = UnsettledEnds() if unsettled is None else unsettled
+        self.unsettled = UnresolvedEnds() if unsettled is None else unsettled
         self.rounds = Rounds(own, members, ask, observe_replicas)
         self.turns = Turns(self.rounds)
         self.accounts = Accounts(self.rounds, self.unsettled, confirmations, wall_clock)
@@ -104,15 +104,15 @@
         except (NoMajority, TimeoutError) as error:
             self._log_failure("turn not begun", message, error)
             return Unavailable(_reason(error))
-        if not isinstance(reserved, Judgement):
+        if not isinstance(reserved, ReservationResult):
             return reserved
         account, granter = reserved.account, reserved.granter
         return TurnBegun(chain, account.target, account.failed_at, disk_of(granter))
 
-    async def _reserve(self, message: BeginTurn) -> Judgement | BudgetSpent | Unavailable:
+    async def _reserve(self, message: BeginTurn) -> ReservationResult | BudgetSpent | Unavailable:
         """Reserve the tokens of a turn, if its program has a budget."""
         if message.program is None:
-            return Judgement(Reservation.GRANTED, NEW_ACCOUNT, "")
+            return ReservationResult(Reservation.GRANTED, NEW_ACCOUNT, "")
         judgement = await self.reservations.reserve(message, message.program)
         if judgement.outcome is Reservation.GRANTED:
             return judgement
@@ -196,7 +196,7 @@
             return True
         try:
             async with asyncio.timeout(STORE_TIMEOUT_S):
-                await self.turns.copy(message.kept)
+                await self.turns.store(message.kept)
         except (NoMajority, TimeoutError) as error:
             self._log_failure("turn not kept", message, error)
             return False
@@ -207,7 +207,7 @@
             return True
 
         def change(account: Account) -> tuple[Account, None]:
-            return settle(account, message, self.wall_clock()), None
+            return resolve_reservation(account, message, self.wall_clock()), None
 
         # If this fails, the next change of the account resolves the turn.
         self.unsettled.add(message)
--- a/waxwingglade/ledger/node.py
+++ b/waxwingglade/ledger/node.py
@@ -259,7 +259,7 @@
             self.membership.discount_stall(self.loop_delay.delays[-1])
             self._take_watched()
             self._adopt_members(self.cached_view.view.replicas)
-            self.quotas.learn()
+            self.quotas.update_from_view()
             if self.membership.quorum != reported:
                 reported = self.membership.quorum
                 self.cached_view.notify()
--- a/waxwingglade/ledger/quota_client.py
+++ b/waxwingglade/ledger/quota_client.py
@@ -129,7 +129,7 @@
         answer = await self._ask(member, message, TAKE_S)
         return answer if isinstance(answer, QuotaSpent) else None
 
-    def note_refused(self, client: ClientAccountId) -> None:
+    def record_refused(self, client: ClientAccountId) -> None:
         """Record that a request of a running program was refused as over its account's limit."""
         self.refused[client] += 1
 
--- a/waxwingglade/ledger/quotas.py
+++ b/waxwingglade/ledger/quotas.py
@@ -22,7 +22,7 @@
 )
 from waxwingglade.ledger.replica import Replica
 
-OLDEST_VIEW_S = 5.0
+MAX_VIEW_AGE_S = 5.0
 """Maximum age in seconds of the view with which requests are granted.  With an older view, other
 members may grant the quota share of this one."""
 
@@ -53,7 +53,7 @@
         Rules by which requests are counted.
     usual_members : int
         Number of members among which limits are divided at least.
-    beliefs : CachedView
+    cached_view : CachedView
         The configuration and the members, and the time up to which they are complete.
     replica : Replica
         Stores the grants.
@@ -67,14 +67,14 @@
         self,
         rules: QuotaRules,
         usual_members: int,
-        beliefs: CachedView,
+        cached_view: CachedView,
         replica: Replica,
         bootstrap: bool = False,
         clock: Clock = monotonic,
     ) -> None:
         self.rules = rules
-        self.part_rules = QuotaShareRules(OLDEST_VIEW_S, rules.window_s, usual_members)
-        self.beliefs = beliefs
+        self.part_rules = QuotaShareRules(MAX_VIEW_AGE_S, rules.window_s, usual_members)
+        self.cached_view = cached_view
         self.replica = replica
         self.bootstrap = bootstrap
         self.clock = clock
@@ -121,7 +121,7 @@
     def _account(self, client: ClientAccountId) -> ClientAccount | Unavailable:
         """Return a client account, or the reason why it is unavailable."""
         self._take_view()
-        if self.beliefs.incomplete_s > OLDEST_VIEW_S:
+        if self.cached_view.incomplete_s > MAX_VIEW_AGE_S:
             return Unavailable("limits were confirmed too long ago")
         return self.accounts.get(client) or Unavailable("the client account is not known")
 
@@ -153,14 +153,14 @@
         if granted.durable is not None:
             self.replica.grants[client].give_back(granted.at)
 
-    def learn(self) -> None:
+    def update_from_view(self) -> None:
         """Update members and accounts from the view, and store what must survive a restart."""
         self._take_view()
-        if self.beliefs.view.replicas.epoch:
+        if self.cached_view.view.replicas.epoch:
             self._note_counting(self.clock())
 
     def _take_view(self) -> None:
-        view = self.beliefs.view
+        view = self.cached_view.view
         if view is self.view:
             return
         self.view = view
--- a/waxwingglade/ledger/replica.py
+++ b/waxwingglade/ledger/replica.py
@@ -56,7 +56,7 @@
     decode,
     encode,
 )
-from waxwingglade.ledger.unsettled import UnsettledEnds
+from waxwingglade.ledger.unresolved_ends import UnresolvedEnds
 
 ACCOUNT_RETENTION_S = 600.0
 """Seconds for which the account of a program is retained after its last change.  Stopped programs
@@ -115,7 +115,7 @@
     ----------
     replicas : ReplicaSet
         The newest set of members that this replica knows; requests under older ones are refused.
-    unsettled : UnsettledEnds
+    unsettled : UnresolvedEnds
         Ends of turns that were reported to this process.
     confirmations : Confirmations
         Turns that this process has begun, and those that it has confirmed.
@@ -136,7 +136,7 @@
         self.cache: OrderedDict[TurnId, Turn] = OrderedDict()
         self.cached_bytes = 0
         self.replicas = ReplicaSet()
-        self.unsettled = UnsettledEnds()
+        self.unsettled = UnresolvedEnds()
         self.confirmations = Confirmations(self.disk, self._write_confirmed, clock)
         self.grants: dict[ClientAccountId, Grants] = {}
         self.replayed_grants: list[GrantRecord] = []
@@ -292,7 +292,7 @@
 
     async def judge_turns(self, message: JudgeTurns) -> Judged:
         """Return which turns that this process began are confirmed, and which have expired."""
-        return Judged(*self.confirmations.judge(message.program, message.turns))
+        return Judged(*self.confirmations.classify(message.program, message.turns))
 
     def _write_confirmed(self, program: ProgramId, turn: TurnId) -> "asyncio.Future[Place]":
         return self.journal.append(encode(ConfirmRecord(program, turn)), CONFIRM_MAX_DELAY_S)
@@ -467,7 +467,7 @@
             if slot.accepted.number and slot.account.touched_at + ACCOUNT_RETENTION_S < now:
                 del self.slots[program]
                 self.unsettled.programs.pop(program, None)
-                self.confirmations.forget(program)
+                self.confirmations.remove(program)
 
     def _segments_with_grants(self) -> list[int]:
         """Return the segments with grants that may still count."""
--- a/waxwingglade/ledger/reservations.py
+++ b/waxwingglade/ledger/reservations.py
@@ -7,7 +7,7 @@
 from loguru import logger
 
 from waxwingglade.base import Clock, ProgramId
-from waxwingglade.ledger.account import Reservation, lapse, reserve
+from waxwingglade.ledger.account import Reservation, expire, reserve
 from waxwingglade.ledger.accounts import Accounts
 from waxwingglade.ledger.confirmations import disk_of
 from waxwingglade.ledger.messages import (
@@ -25,7 +25,7 @@
 """Interval in seconds between checks whether a reservation was confirmed."""
 
 
-class Judgement(msgspec.Struct, frozen=True):
+class ReservationResult(msgspec.Struct, frozen=True):
     """Result of an attempt to reserve a turn's tokens.
 
     Parameters
@@ -62,7 +62,7 @@
         self.accounts = accounts
         self.wall_clock = wall_clock
 
-    async def reserve(self, message: BeginTurn, program: ProgramId) -> Judgement:
+    async def reserve(self, message: BeginTurn, program: ProgramId) -> ReservationResult:
         """Reserve a turn's tokens if the remaining budget is large enough.
 
         The entry may confirm the reservation at this process if this incarnation of the process has
@@ -82,20 +82,22 @@
                 confirmations.not_begun(program, turn)
         return judgement
 
-    async def _reserve_or_wait(self, message: BeginTurn, program: ProgramId) -> Judgement:
+    async def _reserve_or_wait(self, message: BeginTurn, program: ProgramId) -> ReservationResult:
         """Try to reserve a turn's tokens; wait while unconfirmed reservations may still expire."""
         counted: set[TurnId] = set()
         lapsed: dict[TurnId, str] = {}
         granter = self.accounts.confirmations.life if message.confirms else ""
 
-        def change(account: Account) -> tuple[Account, Judgement]:
+        def change(account: Account) -> tuple[Account, ReservationResult]:
             now = self.wall_clock()
-            account = lapse(account, lapsed, now)
+            account = expire(account, lapsed, now)
             most_tokens, budget = message.most_tokens, message.budget
             changed, outcome = reserve(
                 account, message.turn, most_tokens, budget, now, granter, counted
             )
-            return changed, Judgement(outcome, account, changed.unconfirmed.get(message.turn, ""))
+            return changed, ReservationResult(
+                outcome, account, changed.unconfirmed.get(message.turn, "")
+            )
 
         while True:
             refused = await self._refuse_without_write(program, change)
@@ -153,8 +155,8 @@
     async def _refuse_without_write(
         self,
         program: ProgramId,
-        change: Callable[[Account], tuple[Account, Judgement]],
-    ) -> Judgement | None:
+        change: Callable[[Account], tuple[Account, ReservationResult]],
+    ) -> ReservationResult | None:
         """Return the refusal of a turn; None if the turn may begin, or that is uncertain.
 
         A refusal is not proposed as a change, since it does not change the account: the proposal
@@ -182,7 +184,7 @@
         if account.spent + message.most_tokens > message.budget:
             return False
         await self._collect_ends(message.turn, message.program)
-        received = [end.turn for end in self.accounts.unsettled.of(message.program)]
+        received = [end.turn for end in self.accounts.unresolved_ends.of(message.program)]
         ended = [turn for turn in received if turn in account.open]
         if ended:
             logger.bind(turn=message.turn, program=message.program, ended=ended).info(
@@ -207,7 +209,7 @@
                     if not isinstance(answer, Ends):
                         continue
                     for end in answer.ends:
-                        self.accounts.unsettled.add(end)
+                        self.accounts.unresolved_ends.add(end)
                     answered += 1
                     if answered == replicas.majority:
                         deadline.reschedule(hedge_at)
@@ -219,4 +221,4 @@
             raise NoMajority(f"{answered} of {len(replicas.members)} members told of ends")
 
 
-__all__ = ["Judgement", "Reservations"]
+__all__ = ["ReservationResult", "Reservations"]
--- a/waxwingglade/ledger/tests/crowds.py
+++ b/waxwingglade/ledger/tests/crowds.py
@@ -238,7 +238,7 @@
                 return
             if not isinstance(answer, BudgetSpent):
                 self.undecided += 1
-                client.settle_refused(EndTurn(turn, PROGRAM))
+                client.resolve_refused(EndTurn(turn, PROGRAM))
             await asyncio.sleep(RETRY_S * (0.5 + self.random.random()))
 
     async def _end(self, client: LedgerClient, turn: TurnId) -> None:
--- a/waxwingglade/ledger/tests/test_account.py
+++ b/waxwingglade/ledger/tests/test_account.py
@@ -4,7 +4,7 @@
 
 from waxwingglade.base import ProgramId
 from waxwingglade.follow.model import IncarnationName
-from waxwingglade.ledger.account import Reservation, committed, reserve, settle
+from waxwingglade.ledger.account import Reservation, committed, reserve, resolve_reservation
 from waxwingglade.ledger.messages import NEW_ACCOUNT, EndTurn, TurnId
 
 ONE, TWO, THREE = TurnId("one"), TurnId("two"), TurnId("three")
@@ -24,7 +24,7 @@
         account, first = reserve(NEW_ACCOUNT, ONE, 60, 100, 0.0)
         account, second = reserve(account, TWO, 60, 100, 0.0)
         self.assertEqual((first, second), (Reservation.GRANTED, Reservation.SPENT))
-        account = settle(account, end(ONE, 30), 0.0)
+        account = resolve_reservation(account, end(ONE, 30), 0.0)
         account, third = reserve(account, THREE, 60, 100, 0.0)
         self.assertEqual(third, Reservation.GRANTED)
         self.assertEqual(committed(account), 90)
@@ -33,11 +33,11 @@
         account, _ = reserve(NEW_ACCOUNT, ONE, 60, 100, 0.0)
         again, outcome = reserve(account, ONE, 60, 100, 0.0)
         self.assertEqual((again, outcome), (account, Reservation.GRANTED))
-        settled = settle(account, end(ONE, 30), 0.0)
-        self.assertEqual(settle(settled, end(ONE, 45), 0.0), settled)
+        settled = resolve_reservation(account, end(ONE, 30), 0.0)
+        self.assertEqual(resolve_reservation(settled, end(ONE, 45), 0.0), settled)
 
     def test_a_turn_that_ended_does_not_begin_again(self) -> None:
-        account = settle(NEW_ACCOUNT, end(ONE, 0), 0.0)
+        account = resolve_reservation(NEW_ACCOUNT, end(ONE, 0), 0.0)
         account, outcome = reserve(account, ONE, 60, 100, 0.0)
         self.assertEqual(outcome, Reservation.ENDED)
         self.assertEqual(committed(account), 0)
@@ -47,15 +47,15 @@
         self.assertEqual(outcome, Reservation.GRANTED)
 
     def test_the_engine_of_the_last_turn_that_ran_is_known(self) -> None:
-        account = settle(NEW_ACCOUNT, end(ONE, 10, "engine-1"), 0.0)
+        account = resolve_reservation(NEW_ACCOUNT, end(ONE, 10, "engine-1"), 0.0)
         self.assertEqual(account.target, "engine-1")
-        account = settle(account, end(TWO, 0), 0.0)
+        account = resolve_reservation(account, end(TWO, 0), 0.0)
         self.assertEqual(account.target, "engine-1", "a turn that was not run moves nothing")
-        account = settle(account, end(THREE, 10, "engine-2"), 0.0)
+        account = resolve_reservation(account, end(THREE, 10, "engine-2"), 0.0)
         self.assertEqual(account.target, "engine-2")
 
     def test_the_engine_that_failed_the_last_turn_is_known_until_one_is_whole(self) -> None:
-        account = settle(NEW_ACCOUNT, end(ONE, 0, failed_at="engine-1"), 0.0)
+        account = resolve_reservation(NEW_ACCOUNT, end(ONE, 0, failed_at="engine-1"), 0.0)
         self.assertEqual(account.failed_at, "engine-1")
-        account = settle(account, end(TWO, 10, "engine-2"), 0.0)
+        account = resolve_reservation(account, end(TWO, 10, "engine-2"), 0.0)
         self.assertIsNone(account.failed_at)
--- a/waxwingglade/ledger/tests/test_client.py
+++ b/waxwingglade/ledger/tests/test_client.py
@@ -98,41 +98,43 @@
         self.all = {f"a-{n}": [MESSAGE] for n in range(3)}
 
     async def test_the_end_of_a_turn_on_which_the_ledger_did_not_decide(self) -> None:
-        self.client.settle_refused(MESSAGE)
+        self.client.resolve_refused(MESSAGE)
         for _ in range(3):
             await asyncio.sleep(0)
         self.assertEqual(self.all, self.links.noted)
 
     async def test_a_refusal_waits_for_a_majority_to_note_the_end(self) -> None:
         self.links.silent = {"a-0"}
-        self.assertTrue(await self.client.noted(self.client.settle_refused(MESSAGE)))
+        self.assertTrue(await self.client.wait_until_recorded(self.client.resolve_refused(MESSAGE)))
         self.assertEqual({"a-1", "a-2"}, set(self.links.noted))
 
     async def test_a_refusal_does_not_wait_long_for_replicas_that_are_silent(self) -> None:
         self.links.silent = {"a-0", "a-1"}
         asked_at = time.monotonic()
-        self.assertFalse(await self.client.noted(self.client.settle_refused(MESSAGE)))
+        self.assertFalse(
+            await self.client.wait_until_recorded(self.client.resolve_refused(MESSAGE))
+        )
         self.assertLess(time.monotonic() - asked_at, REPLICA_TIMEOUT_S)
 
     async def test_a_turn_that_no_target_took_does_not_wait_long_to_be_settled(self) -> None:
         asked_at = time.monotonic()
-        await self.client.settle_first(MESSAGE)
+        await self.client.resolve_first(MESSAGE)
         self.assertLess(time.monotonic() - asked_at, REPLICA_TIMEOUT_S)
         self.assertEqual(self.all, self.links.noted, "everybody is told meanwhile")
 
     async def test_an_end_that_is_not_settled_in_time(self) -> None:
-        self.client.settle_later(MESSAGE)
+        self.client.resolve_later(MESSAGE)
         await asyncio.sleep(0.02)
         self.assertEqual({}, self.links.noted)
         await asyncio.sleep(0.06)
         self.assertEqual(self.all, self.links.noted)
 
     async def test_what_a_process_that_ends_has_not_settled(self) -> None:
-        self.client.settle_later(MESSAGE)
+        self.client.resolve_later(MESSAGE)
         await asyncio.sleep(0)
         await self.client.finish(0.0)
         self.assertEqual(self.all, self.links.noted)
-        self.assertFalse(self.client.settling)
+        self.assertFalse(self.client.resolving)
 
 
 class SettlingTest(unittest.IsolatedAsyncioTestCase):
@@ -149,18 +151,18 @@
         self.client = LedgerClient(self.links, lambda: [replica], ZoneId("zone"))
 
     async def test_a_process_that_ends_waits_for_what_it_settles(self) -> None:
-        self.client.settle_later(MESSAGE)
+        self.client.resolve_later(MESSAGE)
         await asyncio.sleep(0.03)
         self.links.cut_off = False
         await self.client.finish(20.0)
         self.assertEqual(self.links.asked, [MESSAGE])
-        self.assertFalse(self.client.settling)
+        self.assertFalse(self.client.resolving)
 
     async def test_a_replica_that_could_not_settle_is_asked_last_the_next_time(self) -> None:
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(2)]
         links = SettlingLinks()
         client = LedgerClient(links, lambda: replicas, ZoneId("zone"))
-        client.settle_later(MESSAGE)
+        client.resolve_later(MESSAGE)
         await client.finish(20.0)
         self.assertEqual(2, len(links.asked))
         self.assertEqual(2, len(set(links.asked)))
@@ -191,16 +193,16 @@
         client = LedgerClient(links, lambda: replicas, ZoneId("zone"))
         first = client._in_order(MESSAGE)[0]
         client.avoided = {each.address: client.clock() + 0.9 for each in replicas if each != first}
-        client.settle_later(MESSAGE)
+        client.resolve_later(MESSAGE)
         await client.finish(20.0)
         self.assertEqual(first.address, links.asked[0])
         self.assertNotEqual(first.address, links.asked[1])
         self.assertEqual(2, len(links.asked))
 
     async def test_but_not_for_ever(self) -> None:
-        self.client.settle_later(MESSAGE)
+        self.client.resolve_later(MESSAGE)
         await self.client.finish(0.02)
-        self.assertFalse(self.client.settling)
+        self.assertFalse(self.client.resolving)
         self.links.cut_off = False
         await asyncio.sleep(0.1)
         self.assertEqual(self.links.asked, [])
--- a/waxwingglade/ledger/tests/test_confirmation.py
+++ b/waxwingglade/ledger/tests/test_confirmation.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from waxwingglade.ledger.confirmations import LAPSE_S
+from waxwingglade.ledger.confirmations import CONFIRM_TIMEOUT_S
 from waxwingglade.ledger.coordinator import Coordinator
 from waxwingglade.ledger.messages import (
     BeginTurn,
@@ -76,24 +76,24 @@
         """The turn that waits for it is told at once that the budget is spent."""
         await self.one.begin(first(1))
         waiting = asyncio.create_task(self.two.begin(first(2)))
-        await asyncio.sleep(LAPSE_S / 2)
+        await asyncio.sleep(CONFIRM_TIMEOUT_S / 2)
         self.assertFalse(waiting.done())
         self.assertIsInstance(await self.one.confirm(confirmation(1)), TurnConfirmed)
-        async with asyncio.timeout(LAPSE_S):
+        async with asyncio.timeout(CONFIRM_TIMEOUT_S):
             self.assertIsInstance(await waiting, BudgetSpent)
 
     async def test_one_that_ends_meanwhile_makes_room(self) -> None:
         await self.one.begin(first(1))
         waiting = asyncio.create_task(self.two.begin(first(2)))
-        await asyncio.sleep(LAPSE_S / 4)
+        await asyncio.sleep(CONFIRM_TIMEOUT_S / 4)
         await self.one.end(end(1, used=0))
-        async with asyncio.timeout(LAPSE_S / 2):
+        async with asyncio.timeout(CONFIRM_TIMEOUT_S / 2):
             self.assertIsInstance(await waiting, TurnBegun)
 
     async def test_one_that_would_not_make_enough_room_is_not_waited_for(self) -> None:
         await self.one.begin(begin(1, BUDGET - PART, BUDGET))
         await self.one.begin(first(2, PART))
-        async with asyncio.timeout(LAPSE_S / 2):
+        async with asyncio.timeout(CONFIRM_TIMEOUT_S / 2):
             self.assertIsInstance(await self.two.begin(first(3)), BudgetSpent)
 
     async def test_one_whose_process_does_not_answer_is_not_called_spent(self) -> None:
@@ -119,10 +119,10 @@
 
     async def test_one_that_was_called_lapsed_is_not_confirmed_there(self) -> None:
         await self.one.begin(first(1))
-        await asyncio.sleep(LAPSE_S)
+        await asyncio.sleep(CONFIRM_TIMEOUT_S)
         turn = begin(1).turn
         confirmations = self.one.confirmations
-        self.assertEqual(((), (turn,)), confirmations.judge(PROGRAM, [turn]))
+        self.assertEqual(((), (turn,)), confirmations.classify(PROGRAM, [turn]))
         self.assertFalse(await confirmations.confirm(PROGRAM, turn))
         self.assertFalse(confirmations.begin(PROGRAM, turn), "nor after it is begun again")
         self.assertIsInstance(await self.one.confirm(confirmation(1)), TurnConfirmed)
@@ -142,21 +142,21 @@
         """Its account is of long ago, and the sweep comes between the two."""
         beginning = asyncio.create_task(self.one.begin(first(1)))
         await asyncio.sleep(0)
-        self.one.confirmations.forget(PROGRAM)
+        self.one.confirmations.remove(PROGRAM)
         self.assertIsInstance(await beginning, TurnBegun)
         self.assertIsInstance(await self.one.confirm(confirmation(1)), TurnConfirmed)
 
     async def test_what_was_never_confirmed_and_has_ended_is_forgotten(self) -> None:
         await self.one.begin(first(1))
         await self.one.end(end(1, used=0))
-        self.assertEqual({}, self.one.confirmations.beginning)
+        self.assertEqual({}, self.one.confirmations.confirmable_until)
 
     async def test_what_has_ended_is_forgotten(self) -> None:
         await self.one.begin(first(1))
         await self.one.confirm(confirmation(1))
         await self.one.end(end(1))
         self.assertEqual([], list(self.one.confirmations.all_confirmed()))
-        self.assertEqual({}, self.one.confirmations.beginning)
+        self.assertEqual({}, self.one.confirmations.confirmable_until)
 
     async def test_one_of_an_entry_that_does_not_confirm_counts(self) -> None:
         self.assertEqual("", (await self.one.begin(begin(1, BUDGET, BUDGET))).granter)
@@ -191,7 +191,7 @@
 
         async def serve_soon(number: int) -> None:
             await asyncio.sleep(draw.random())
-            await serve(number, (0.0, 0.0, LAPSE_S, 1.5 * LAPSE_S))
+            await serve(number, (0.0, 0.0, CONFIRM_TIMEOUT_S, 1.5 * CONFIRM_TIMEOUT_S))
 
         await asyncio.gather(*(serve_soon(number) for number in range(TURNS)))
         self.assertLessEqual(len(served), BUDGET // PART)
--- a/waxwingglade/ledger/tests/test_quotas.py
+++ b/waxwingglade/ledger/tests/test_quotas.py
@@ -29,7 +29,7 @@
     TurnId,
     Unavailable,
 )
-from waxwingglade.ledger.quotas import OLDEST_VIEW_S, Granted, Quotas
+from waxwingglade.ledger.quotas import MAX_VIEW_AGE_S, Granted, Quotas
 from waxwingglade.ledger.replica import Replica
 from waxwingglade.transport.links import LinkFailed
 
@@ -94,7 +94,7 @@
         """Let members hear of the view as it is now."""
         for counter in counters:
             counter.beliefs.merge(self.view, self.now, self.now)
-            counter.quotas.learn()
+            counter.quotas.update_from_view()
 
     async def take_all(self, counter: Counter) -> int:
         """Take what a member grants; return how much that is."""
@@ -141,7 +141,7 @@
         self.assertEqual(part - 3, await self.take_all(first), "and older ones for old")
 
     async def test_a_member_that_hears_nothing_stops_to_grant(self) -> None:
-        self.now += OLDEST_VIEW_S
+        self.now += MAX_VIEW_AGE_S
         self.assertIsInstance(await self.counters[0].quotas.take(TAKE), QuotaTaken)
         self.now += 0.1
         self.assertIsInstance(await self.counters[0].quotas.take(TAKE), Unavailable)
@@ -154,12 +154,12 @@
         self.view = View(configured(), replicas=ReplicaSet(3, members, True))
         self.learn(*self.counters)
         self.assertEqual(0, await self.take_all(wiped))
-        self.now += OLDEST_VIEW_S + RULES.window_s
+        self.now += MAX_VIEW_AGE_S + RULES.window_s
         self.learn(*self.counters)
         self.assertGreater(await self.take_all(wiped), 0)
 
     async def test_a_lower_limit_binds_at_once_and_a_removed_one_is_none(self) -> None:
-        self.now += 2 * OLDEST_VIEW_S
+        self.now += 2 * MAX_VIEW_AGE_S
         self.learn(*self.counters)
         first = self.counters[0]
         await self.take_all(first)
@@ -287,7 +287,7 @@
             self.assertIsNone(await client.quotas.begin_program(SHOP))
         (judge,) = {address for address, _ in self.links.asked}
         self.links.granting.discard(judge)
-        client.quotas.note_refused(SHOP)
+        client.quotas.record_refused(SHOP)
         self.assertEqual(QuotaSpent(0.5), await client.quotas.begin_program(SHOP))
         self.assertEqual(BeginProgram(SHOP, 1), self.links.asked[-1][1])
         self.links.cut = {judge}
--- a/waxwingglade/ledger/turns.py
+++ b/waxwingglade/ledger/turns.py
@@ -26,7 +26,7 @@
         self.rounds = rounds
         self.denials = Sampler(DENIALS_LOGGED_PER_S)
 
-    async def copy(self, turn: Turn) -> None:
+    async def store(self, turn: Turn) -> None:
         """Store a turn at a majority of the members.
 
         Raises
--- a/waxwingglade/ledger/unsettled.py
+++ b/waxwingglade/ledger/unresolved_ends.py
@@ -10,7 +10,7 @@
 until a majority resolves the reservations.  Beyond the maximum, the oldest program is evicted."""
 
 
-class UnsettledEnds:
+class UnresolvedEnds:
     """Ends of turns by program, until a majority has accepted an account that includes them.
 
     Attributes
@@ -46,7 +46,7 @@
         """Return all ends."""
         return [end for ends in self.programs.values() for end in ends.values()]
 
-    def forget(self, program: ProgramId, account: Account) -> None:
+    def remove(self, program: ProgramId, account: Account) -> None:
         """Remove the ends that are included in an account that a majority has accepted."""
         ends = self.programs.get(program)
         if ends is None:
@@ -57,4 +57,4 @@
             del self.programs[program]
 
 
-__all__ = ["UnsettledEnds"]
+__all__ = ["UnresolvedEnds"]
