--- a/waxwingglade/ingress/attempt.py
+++ b/waxwingglade/ingress/attempt.py
@@ -160,7 +160,7 @@
         ------
         NoTarget
             If no target is left.
-        NotTaken
+        NotRun
             If the target did not run the call.
         MayHaveRun
             If the connection broke after bytes were sent.
@@ -217,16 +217,18 @@
         connection: the connections of that time are no longer in use, so its target must be slow.
         """
         route = self.route
-        again = route.idempotent and self.may_try
+        may_retry = route.idempotent and self.may_try
         suspect_s = route.target_latency_s or LAST_RESPONSE_TIMEOUT_S
         if route.kind is not CallKind.STREAM:
             suspect_s = max(
-                suspect_s / 2 if again else suspect_s, USUAL_TIME_FACTOR * choice.usual_s
+                suspect_s / 2 if may_retry else suspect_s, USUAL_TIME_FACTOR * choice.usual_s
             )
         suspect_s = max(suspect_s, MIN_RESPONSE_TIMEOUT_S)
-        if not route.idempotent or (self.saw_unresponsive and not again):
+        if not route.idempotent or (self.saw_unresponsive and not may_retry):
             return Patience(suspect_s, None)
-        return Patience(suspect_s, suspect_s if again else max(suspect_s, LAST_RESPONSE_TIMEOUT_S))
+        return Patience(
+            suspect_s, suspect_s if may_retry else max(suspect_s, LAST_RESPONSE_TIMEOUT_S)
+        )
 
     async def _connect(self, choice: Choice, record: AttemptRecord) -> Http1Connection:
         try:
--- a/waxwingglade/ingress/balance.py
+++ b/waxwingglade/ingress/balance.py
@@ -185,9 +185,9 @@
         now = self.clock()
         speed = self.speed_of(service.name)
         external_load = self.usual_external_load.get(service.name, 0.0)
-        reading = self._prefill_tokens(call, states, history)
+        prefill_tokens = self._prefill_tokens(call, states, history)
         choices = []
-        for state, tokens in zip(states, reading, strict=True):
+        for state, tokens in zip(states, prefill_tokens, strict=True):
             seconds = turn_cost_s(speed, state.as_engine(now, external_load, usual_s), tokens)
             if state.target.zone != self.zone:
                 seconds += OTHER_ZONE_PENALTY_S
@@ -203,19 +203,19 @@
         parts = [(part.part, part.tokens) for part in call.prompt_parts]
         shared = call.prompt_parts[0] if len(parts) > 1 else None
         places = [(state.target.target, state.target.zone) for state in states]
-        at_home = home_targets(shared.part, places) if shared else set()
-        preferred = history.holder if history else self._preferred(call, states, at_home)
-        reading = []
+        home = home_targets(shared.part, places) if shared else set()
+        preferred = history.holder if history else self._preferred(call, states, home)
+        prefill_tokens = []
         for state in states:
             if state.target.incarnation == preferred:
-                reading.append(0)
+                prefill_tokens.append(0)
                 continue
-            assumed = shared.part if shared and state.target.target in at_home else None
-            reading.append(uncached_tokens(parts, state.cached_parts, assumed))
-        return reading
+            assumed = shared.part if shared and state.target.target in home else None
+            prefill_tokens.append(uncached_tokens(parts, state.cached_parts, assumed))
+        return prefill_tokens
 
     def _preferred(
-        self, call: Call, states: list[TargetState], at_home: set[TargetId]
+        self, call: Call, states: list[TargetState], home: set[TargetId]
     ) -> IncarnationName | None:
         """Return the target that probably has the previous turns of the program in its cache.
 
@@ -228,7 +228,7 @@
         near = [
             state.target
             for state in states
-            if state.target.target in at_home and state.target.zone == self.zone
+            if state.target.target in home and state.target.zone == self.zone
         ]
         if not near:
             return None
--- a/waxwingglade/ingress/exchange.py
+++ b/waxwingglade/ingress/exchange.py
@@ -140,7 +140,7 @@
 
     @property
     def body(self) -> bytes:
-        """The whole body."""
+        """The complete body."""
         return b"".join(self.pieces)
 
     def header_list(self) -> HeaderList:
--- a/waxwingglade/ingress/quorum_monitor.py
+++ b/waxwingglade/ingress/quorum_monitor.py
@@ -99,19 +99,19 @@
     def _deadline(self, wait_limit_s: float) -> float | None:
         return None if self.has_quorum else asyncio.get_running_loop().time() + wait_limit_s
 
-    async def wait(self, asking: Awaitable[T], wait_limit_s: float) -> T:
+    async def wait(self, request: Awaitable[T], wait_limit_s: float) -> T:
         """Wait for an answer of the ledger until its quorum is lost for `wait_limit_s` seconds.
 
         Raises
         ------
-        LedgerLost
+        QuorumLost
             If the quorum is lost for that long; the request is then cancelled.
         """
         timeout = asyncio.timeout_at(self._deadline(wait_limit_s))
         self.wait_limits[timeout] = wait_limit_s
         try:
             async with timeout:
-                return await asking
+                return await request
         except TimeoutError as error:
             if not timeout.expired():
                 raise
--- a/waxwingglade/ingress/settings.py
+++ b/waxwingglade/ingress/settings.py
@@ -34,7 +34,7 @@
         grace period.  The difference from `drain_wait_s` must suffice for the longest request.
     retry_after_s : float
         Time after which a caller that was not served may retry.
-    keys : KeyRules
+    keys : KeyAgeLimits
         Limits on the age of the view by which the keys of callers are checked.
     """
 
--- a/waxwingglade/ingress/tests/entry_builders.py
+++ b/waxwingglade/ingress/tests/entry_builders.py
@@ -270,7 +270,7 @@
         The targets of its only service.
     accounts : tuple of ClientAccount or None
         Client accounts; if given, callers need a key of one.
-    keys : KeyRules
+    keys : KeyAgeLimits
         Limits on the age of the view by which keys are checked.
     fields : dict
         Fields of all routes.
--- a/waxwingglade/ingress/tests/test_admission.py
+++ b/waxwingglade/ingress/tests/test_admission.py
@@ -61,8 +61,8 @@
 class Admission(AdmissionCase):
     async def test_a_first_turn_is_refused_with_a_retry_time(self) -> None:
         self.overload(9, 9, 9)
-        refusal, asked = await self.serve()
-        self.assertEqual((refusal.status, asked), (UNAVAILABLE, False))
+        refusal, requested = await self.serve()
+        self.assertEqual((refusal.status, requested), (UNAVAILABLE, False))
         self.assertGreater(refusal.retry_after_s, 0.1)
 
     async def test_a_later_turn_is_accepted(self) -> None:
@@ -71,14 +71,14 @@
 
     async def test_a_turn_that_could_not_begin_in_time_is_refused(self) -> None:
         self.overload(9, 9, 9)
-        refusal, asked = await self.serve("r0", left_s=0.2)
-        self.assertEqual((refusal.status, asked), (UNAVAILABLE, False))
+        refusal, requested = await self.serve("r0", left_s=0.2)
+        self.assertEqual((refusal.status, requested), (UNAVAILABLE, False))
 
     async def test_a_turn_is_refused_if_its_wait_would_exceed_the_limit(self) -> None:
         self.overload(90, 90, 90)
-        for patience_s, asked in ((2.0, False), (8.0, True)):
+        for patience_s, requested in ((2.0, False), (8.0, True)):
             with self.subTest(patience_s=patience_s):
-                self.assertEqual(asked, (await self.serve("r0", patience_s=patience_s))[1])
+                self.assertEqual(requested, (await self.serve("r0", patience_s=patience_s))[1])
 
     async def test_one_engine_with_free_slots_is_enough(self) -> None:
         self.overload(9, 0, 9)
--- a/waxwingglade/ingress/tests/test_caller_gone.py
+++ b/waxwingglade/ingress/tests/test_caller_gone.py
@@ -145,7 +145,7 @@
         entry = await self.begin(FakeTarget())
         await entry.call(PLAIN, "r1")
         removed = await until(lambda: not entry.ingress.open_exchanges, DISCONNECT_TIMEOUT_S)
-        self.assertTrue(removed, "the entry still holds the connection")
+        self.assertTrue(removed, "the connection is still registered")
 
     async def test_the_next_request_of_a_connection_is_served(self) -> None:
         fake = FakeTarget()
