--- a/waxwingglade/ledger/tests/builders.py
+++ b/waxwingglade/ledger/tests/builders.py
@@ -1,4 +1,4 @@
-"""Replicas in one event loop, with links between them that can be cut, delayed and lost."""
+"""Replicas in one event loop, with messages that can be blocked, delayed and lost."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 PROGRAM = ProgramId("program-1")
 FAR_FUTURE = 4e9
 MAX_CARRIED = 100
-"""Messages between replicas that are remembered, with sender and receiver."""
+"""Most messages between replicas that are recorded, with sender and receiver."""
 
 
 class MessageLost(WaxwinggladeError):
@@ -25,19 +25,19 @@
 
 
 class Cluster:
-    """Replicas on folders of their own, and coordinators that reach them.
+    """Replicas, each with its own data folder, and coordinators that send requests to them.
 
     Parameters
     ----------
     size : int
-        Replicas, each in a zone of its own.
+        Number of replicas, each in its own zone.
     seed : int
-        Of the faults.
+        Seed of the faults.
 
     Attributes
     ----------
     delays : dict
-        Seconds by which the answers of some VMs come late.
+        Seconds by which the answers of a VM are delayed.
     """
 
     def __init__(self, size: int = 3, seed: int = 1) -> None:
@@ -54,7 +54,7 @@
         self.set = ReplicaSet(1, tuple(self.members.values()), True)
 
     def add(self, vm: str) -> Replica:
-        """Add a replica with an empty disk; it is no member yet."""
+        """Add a replica with an empty disk, which is not a member yet."""
         folder = Path(self.folder.name) / f"{vm}-{self.random.random()}"
         folder.mkdir()
         replica = Replica(folder)
@@ -63,7 +63,7 @@
         return replica
 
     def joined(self, vm: str) -> ReplicaSet:
-        """Return the set that follows when a new replica with an empty disk joins."""
+        """Add a replica with an empty disk; return the set that follows when it joins."""
         replica = self.add(vm)
         replica.open()
         members = (*self.set.members, self.members[vm])
@@ -75,13 +75,13 @@
         return ReplicaSet(self.set.epoch + 1, rest, False)
 
     async def start(self) -> None:
-        """Open all disks and tell every replica who the members are."""
+        """Open all disks and pass the set of members to every replica."""
         for replica in self.replicas.values():
             replica.open()
         await self.use(self.set)
 
     async def use(self, replicas: ReplicaSet) -> None:
-        """Make a set of members known to every replica."""
+        """Pass a set of members to every replica."""
         self.set = replicas
         for replica in self.replicas.values():
             await replica.adopt_members(replicas)
@@ -93,7 +93,7 @@
         self.folder.cleanup()
 
     async def restart(self, vm: str) -> Replica:
-        """Stop a replica and open its disk anew."""
+        """Stop a replica and open its disk again."""
         old = self.replicas[vm]
         folder = old.journal.folder
         await old.stop()
@@ -112,14 +112,14 @@
         )
 
     async def ask(self, sender: str, member: Member, message: Any) -> Any:
-        """Carry a request and its answer, unless one of them is lost."""
+        """Deliver a request and its answer, unless one of them is lost."""
         if sender != member.vm:
             self.carried.append((sender, member.vm, message))
         self._lose(sender, member.vm)
         await asyncio.sleep(self.random.random() * 0.002 + self.delays.get(member.vm, 0.0))
         replica = self.replicas.get(member.vm)
         if replica is None or replica.disk != member.disk:
-            raise MessageLost("gone or wiped")
+            raise MessageLost("stopped or wiped")
         answer = await replica.handle(message)
         self._lose(member.vm, sender)
         return answer
@@ -131,12 +131,12 @@
             raise MessageLost(f"{sender} to {receiver}")
 
     def isolate(self, vm: str) -> None:
-        """Cut a replica off from all others, both ways."""
+        """Partition a replica from all others, in both directions."""
         for other in self.replicas:
             self.cut |= {(vm, other), (other, vm)}
 
     def heal(self) -> None:
-        """End all cuts."""
+        """End all partitions."""
         self.cut.clear()
 
 
@@ -148,12 +148,12 @@
 
 
 def turn(number: int, previous: int | None = None, expires_at: float = FAR_FUTURE) -> Turn:
-    """Return a whole turn."""
+    """Return a completed turn."""
     before = TurnId(f"turn-{previous}") if previous is not None else None
     name = TurnId(f"turn-{number}")
     return Turn(name, before, b"asked %d" % number, b"answered %d\n" % number, expires_at)
 
 
 def end(number: int, used: int = 60, previous: int | None = None) -> EndTurn:
-    """Return a request to end a turn and to keep it."""
+    """Return a request to end a turn and to store it."""
     return EndTurn(TurnId(f"turn-{number}"), PROGRAM, used, turn(number, previous))
--- a/waxwingglade/ledger/tests/crowds.py
+++ b/waxwingglade/ledger/tests/crowds.py
@@ -1,6 +1,6 @@
-"""Callers of one program that begin and end turns at once, through entries of all zones.
+"""Callers of one program that begin and end turns concurrently, through entries of all zones.
 
-They run in virtual time, on disks that flush in memory, so that a seed always is the same run.
+They run in virtual time with disks in memory, so that a seed always gives the same run.
 """
 
 import asyncio
@@ -32,27 +32,27 @@
 
 MEMBERS = 5
 ONE_WAY_S = 0.0014
-"""One way between two zones, in seconds."""
+"""One-way latency between two zones in seconds."""
 
 FLUSH_S = 0.012
-"""Seconds that a slow disk takes for a flush."""
+"""Duration of a flush of a slow disk in seconds."""
 
 TURN_S = 0.4
-"""Seconds that an engine works on a turn."""
+"""Seconds for which an engine runs a turn."""
 
 RETRY_S = 0.25
-"""Mean seconds after which a refused turn is sent again."""
+"""Mean seconds before a refused turn is retried."""
 
 MAX_ATTEMPTS = 3
 
 
 class MemoryJournal:
-    """A disk that flushes what is written together, as a ledger's does, and takes its time for it.
+    """A journal in memory that flushes records in groups, as the journal on disk, with a delay.
 
     Parameters
     ----------
     disk : str
-        Name of its content.
+        Name of the content of the disk.
     """
 
     def __init__(self, disk: str) -> None:
@@ -61,19 +61,19 @@
         self.flushing: asyncio.Task[None] | None = None
 
     def replay(self) -> Iterator[tuple[Place, bytes]]:
-        """Return what is on the disk, which is empty."""
+        """Return no records, since the disk is empty."""
         return iter(())
 
     def start(self) -> None:
-        """Begin to write."""
+        """Do nothing; the first append starts the writer."""
 
     async def stop(self) -> None:
-        """Leave what is not flushed."""
+        """Discard records that are not flushed."""
         if self.flushing is not None:
             self.flushing.cancel()
 
     def append(self, _content: bytes) -> asyncio.Future[Place]:
-        """Write with the next flush."""
+        """Append a record to the next flush."""
         future: asyncio.Future[Place] = asyncio.get_running_loop().create_future()
         self.pending.append(future)
         if self.flushing is None or self.flushing.done():
@@ -90,7 +90,7 @@
 
 
 class TimedCluster(Cluster):
-    """Replicas whose disks and ways take the same time in each run."""
+    """Replicas whose flushes and messages take the same time in each run."""
 
     def add(self, vm: str) -> Replica:
         """Add a replica with an empty disk."""
@@ -109,7 +109,7 @@
 
 @contextlib.contextmanager
 def virtual_clocks(seed: int) -> Iterator[None]:
-    """Let the ledger read the time of the running loop, and draw by a seed."""
+    """Let the ledger use the time of the running loop and a seeded random generator."""
     random.seed(seed)
 
     def now() -> float:
@@ -122,7 +122,7 @@
 
 
 class ClusterLinks:
-    """Links of entries to the processes of a cluster; what is asked goes on after its caller left.
+    """Links of entries to the processes of a cluster; requests continue after a caller's timeout.
 
     Parameters
     ----------
@@ -150,7 +150,7 @@
         return await self.cluster.replicas[vm].note_end(message)
 
     async def stop(self) -> None:
-        """End what is still being worked on."""
+        """Cancel requests in progress."""
         for task in self.in_progress:
             task.cancel()
         await asyncio.gather(*self.in_progress, return_exceptions=True)
@@ -162,7 +162,7 @@
         self.vm = vm
 
     async def request(self, message: Any, timeout_s: float) -> Any:
-        """Ask, and give up after some seconds."""
+        """Return the answer to a request; raise `LinkFailed` after a timeout."""
         task = asyncio.ensure_future(self.links.answer(self.vm, message))
         self.links.in_progress.add(task)
         task.add_done_callback(self.links.in_progress.discard)
@@ -176,23 +176,23 @@
 
 
 class Crowd:
-    """Sub-agents of one program, each of which asks for a turn through an entry of some zone.
+    """Sub-agents of one program, each of which runs a turn through the entry of a random zone.
 
     Parameters
     ----------
     seed : int
-        Decides on zones and moments.
+        Seed of the zones and the times of requests.
     budget, most_tokens : int
         Tokens of the program, and the most that one turn generates.
 
     Attributes
     ----------
     ended : list of (bool, float)
-        Of each turn that ran: whether it was kept, and the seconds until that was known.
+        Of each turn that ran: whether it was stored, and the seconds until the answer.
     begun : int
         Turns that were granted.
     undecided : int
-        Tries on which the ledger did not decide.
+        Attempts for which the ledger gave no decision.
     """
 
     def __init__(self, seed: int, budget: int = 380, most_tokens: int = 136) -> None:
@@ -212,7 +212,7 @@
         self.undecided = 0
 
     async def run(self, agents: int) -> None:
-        """Let some agents begin within a few hundredths of a second, and go on until all end."""
+        """Start some agents within 50 ms, and wait until all end."""
         await self.cluster.start()
         await asyncio.gather(*(self._agent(number) for number in range(agents)))
 
@@ -250,7 +250,7 @@
 
 
 def run_crowd(seed: int, agents: int) -> Crowd:
-    """Let a crowd of agents run to its end, and return what came of it."""
+    """Run a crowd of agents to its end, and return the crowd with its results."""
 
     async def run() -> Crowd:
         crowd = Crowd(seed)
--- a/waxwingglade/ledger/tests/logged.py
+++ b/waxwingglade/ledger/tests/logged.py
@@ -1,4 +1,4 @@
-"""What is logged while a test runs."""
+"""Collects log lines while a test runs."""
 
 import contextlib
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 @contextlib.contextmanager
 def logged_lines(event: str) -> Iterator[list[dict[str, Any]]]:
-    """Collect the fields of all lines of one kind."""
+    """Collect the fields of all log lines with an event."""
     lines: list[dict[str, Any]] = []
 
     def collect(message: Any) -> None:
--- a/waxwingglade/ledger/tests/machines.py
+++ b/waxwingglade/ledger/tests/machines.py
@@ -30,12 +30,12 @@
 }
 
 SWITCH_S = 0.0002
-"""Seconds after which a thread gives way to another."""
+"""Seconds after which the interpreter switches threads."""
 
 
 @contextlib.contextmanager
 def quick_times() -> Iterator[None]:
-    """Let members be suspected, replaced and removed within fractions of a second."""
+    """Shorten all periods, so that members are replaced and removed within a second."""
     with contextlib.ExitStack() as patches:
         for name, value in QUICK.items():
             patches.enter_context(mock.patch(f"waxwingglade.ledger.membership.{name}", value))
@@ -47,13 +47,13 @@
 
 @contextlib.contextmanager
 def quick_disks(most_s: float) -> Iterator[None]:
-    """Let flushes take some time and nothing else, however busy the real disk is."""
+    """Replace flushes by random delays, so that the load of the real disk has no effect."""
 
     def flush(_file: int) -> None:
         time.sleep(random.random() * most_s)
 
     before_s = sys.getswitchinterval()
-    # The threads that write would otherwise wait 5 ms for a busy loop, each time.
+    # The writing threads would otherwise wait 5 ms for a busy event loop at each flush.
     sys.setswitchinterval(SWITCH_S)
     try:
         with mock.patch("os.fdatasync", flush), mock.patch("os.fsync", flush):
@@ -63,7 +63,7 @@
 
 
 class Machine:
-    """A replica with its watcher and its membership, as in a process."""
+    """A replica with its watcher and its membership, as in a ledger process."""
 
     def __init__(self, cluster: "Machines", vm: str) -> None:
         self.cluster = cluster
@@ -87,7 +87,7 @@
         self.tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
-        """Read the disk and begin to follow and to change."""
+        """Read the disk, and start to follow the store and to change the set of members."""
         self.replica.open()
         self.watcher.start()
         self.tasks = [
@@ -118,17 +118,17 @@
 
 
 class RejectingStore(MemoryStore):
-    """The same store, for a machine that it turns away."""
+    """The same store, as seen by a machine whose calls it rejects."""
 
     def __init__(self, store: MemoryStore) -> None:
         self.__dict__ = store.__dict__
 
     def _call(self) -> None:
-        raise StoreUnavailable("turned away", may_have_run=False)
+        raise StoreUnavailable("rejected", may_have_run=False)
 
 
 class Machines(Cluster):
-    """Machines that join and leave."""
+    """Machines that join and leave the ledger."""
 
     def __init__(self) -> None:
         super().__init__(size=0)
@@ -143,18 +143,18 @@
         return machine
 
     async def remove_machine(self, vm: str) -> None:
-        """Stop a machine for good."""
+        """Stop a machine and remove it."""
         await self.machines.pop(vm).stop()
         del self.replicas[vm]
 
     async def ask(self, sender: str, member: Member, message: Any) -> Any:
-        """Carry a request, unless the receiver is down."""
+        """Deliver a request, unless the receiver is down."""
         if member.vm not in self.replicas:
             raise MessageLost("down")
         return await super().ask(sender, member, message)
 
     def reject_store_calls(self, vm: str) -> None:
-        """Let the store refuse all calls of a machine."""
+        """Let the store reject all calls of a machine."""
         machine = self.machines[vm]
         machine.watcher.store = machine.membership.store = RejectingStore(self.store)
 
@@ -167,7 +167,7 @@
         return watcher.view.replicas
 
     def vms(self) -> set[str]:
-        """Return the VMs of a settled set, or nothing."""
+        """Return the VMs of the settled set; none while the set is not settled."""
         replicas = self.current_set
         return {member.vm for member in replicas.members} if replicas.settled else set()
 
--- a/waxwingglade/ledger/tests/random_sets.py
+++ b/waxwingglade/ledger/tests/random_sets.py
@@ -1,4 +1,4 @@
-"""Callers that continue turns through all replicas while the set of members changes, by a seed."""
+"""Callers that continue turns through all replicas during seeded changes of the set of members."""
 
 import asyncio
 import itertools
@@ -25,31 +25,32 @@
 
 CALLERS = 16
 SPENDERS = 4
-"""Callers whose turns have a budget, two of them one together; accounts cost most of the time."""
+"""Callers whose turns have a budget, which two callers share; accounts take most of the time."""
 
 BUDGET, MOST_TOKENS = 600, 40
 LOSS = 0.01
-"""Share of messages that are lost, and again of answers."""
+"""Share of requests that are lost, and share of answers that are lost."""
 
 MAX_ANSWER_DELAY_S = 0.03
-"""Most seconds by which the answers of a machine come late, drawn anew for each change."""
+"""Longest delay of a machine's answers in seconds, drawn again for each change."""
 
 MAX_NOTICE_DELAY_S = 0.1
-"""Most seconds after which a machine learns of a new set; on VMs its watch decides that."""
+"""Longest delay in seconds until a machine receives a new set; on VMs it depends on the watch."""
 
 SETTLED_S = 10.0
-"""Seconds within which the set has its three members again after a change."""
+"""Seconds within which the set must have three members again after a change."""
 
 MAX_VERIFIED = 40
-"""Kept turns that are continued once more at the end, through every replica."""
+"""Most stored turns that are continued again at the end, through every replica."""
 
 THINK_S = 0.01
 NEWEST = 2
-"""Turns of which one is continued; users go on from the newest, or from the one before it."""
+"""Number of newest turns from which the continued one is drawn; users continue one of the last
+two."""
 
 
 class LateMachine(Machine):
-    """A machine that learns of a new set a little later than others."""
+    """A machine that receives a new set with a random delay."""
 
     def _changed(self) -> None:
         replicas = self.watcher.view.replicas
@@ -63,21 +64,21 @@
 
 
 class RandomSets:
-    """Three members and spares, callers, and one change after the other.
+    """Three members, spare machines, callers and consecutive changes of the set.
 
     Parameters
     ----------
     seed : int
-        Decides on the changes, the losses and what callers do, not on how they interleave.
+        Seed of the changes, the losses and the actions of callers, but not of their interleaving.
 
     Attributes
     ----------
     kept : list of TurnId
-        Turns that were acknowledged as kept, in this order.
+        Turns that were acknowledged as stored, in this order.
     broken : list of str
-        Promises that were broken.
+        Violations that were found.
     changes : int
-        Changes of members that were brought about.
+        Number of completed changes of the set.
     """
 
     def __init__(self, seed: int) -> None:
@@ -97,7 +98,7 @@
         self.refused = 0
 
     async def run(self, seconds: float) -> None:
-        """Let callers work while the set changes for some seconds; then look for all turns."""
+        """Run callers while the set changes for some seconds; then verify a sample of turns."""
         for number in range(3):
             self._add_machine(f"vm-{number}")
         await self._until_settled()
@@ -127,7 +128,7 @@
     # Callers
 
     async def _caller(self, number: int) -> None:
-        """Continue turns, each through a replica drawn anew."""
+        """Continue turns, each through a random replica."""
         for generation in itertools.count():
             program = (
                 ProgramId(f"program-{number // 2}-{generation}") if number < SPENDERS else None
@@ -147,12 +148,12 @@
         if isinstance(begun, BudgetSpent):
             return False
         if isinstance(begun, NoSuchTurn):
-            self.broken.append(f"{previous} was kept and is denied")
+            self.broken.append(f"{previous} was stored and is denied")
         if not isinstance(begun, TurnBegun):
             self.refused += 1
             return True
         if begun.chain != self._chain(previous):
-            self.broken.append(f"{name}: another prompt than that of {previous}")
+            self.broken.append(f"{name}: the chain is not that of {previous}")
         used = self.draw.choice([0, 10, MOST_TOKENS])
         if program is not None:
             self.handed_out[program] += used
@@ -171,7 +172,7 @@
         return tuple(reversed(chain))
 
     async def _ask(self, request: Callable[[Coordinator], Awaitable[Any]]) -> Any:
-        """Ask a replica that is up; None if it is killed meanwhile."""
+        """Send a request to a running replica; return None if it is stopped meanwhile."""
         vm = self.draw.choice(list(self.coordinators) or [""])
         if not vm:
             await asyncio.sleep(THINK_S)
@@ -185,7 +186,7 @@
         return None if task.cancelled() else task.result()
 
     async def _verify_kept(self, name: TurnId) -> None:
-        """Continue a kept turn through every replica."""
+        """Verify that a stored turn can be continued through every replica."""
         for vm, coordinator in self.coordinators.items():
             async with asyncio.timeout(SETTLED_S):
                 while True:
@@ -194,7 +195,7 @@
                         break
                     await asyncio.sleep(THINK_S)
             if begun != TurnBegun(self._chain(name)):
-                self.broken.append(f"{name} was kept and is gone at {vm}")
+                self.broken.append(f"{name} was stored and is missing at {vm}")
 
     # Changes
 
@@ -220,7 +221,7 @@
             await self._remove_machine(vm)
 
     async def _retire(self) -> None:
-        """Empty a machine for which another stands by."""
+        """Retire a machine while a spare one is on standby."""
         leaving = self._any_member()
         self._add_machine(self._spare_name())
         self.machines.store.put(f"op/retire/{leaving}", b"{}")
@@ -228,14 +229,14 @@
         self.machines.store.put(f"op/retire/{leaving}", None)
 
     async def _wipe(self) -> None:
-        """Lose a disk; the machine starts again with an empty one."""
+        """Restart a machine with an empty disk."""
         vm = self._any_member()
         await self._remove_machine(vm)
         self._add_machine(vm)
         await self._until(lambda: self._holds_place(vm))
 
     async def _succeed(self) -> None:
-        """Cut a member off until another of its zone stands in, or has not for a while."""
+        """Partition a member for a while, so that a spare machine of its zone may join."""
         vm = self._any_member()
         spare = self._spare_name(vm)
         self._add_machine(spare)
@@ -244,7 +245,7 @@
         self.machines.heal()
 
     async def _restart(self) -> None:
-        """Kill a machine and start it again."""
+        """Stop a machine and start it again with its disk."""
         vm = self._any_member()
         folder = self.machines.replicas[vm].journal.folder
         await self._remove_machine(vm)
@@ -256,7 +257,7 @@
         return self.draw.choice(sorted(self.machines.vms()))
 
     def _spare_name(self, beside: str | None = None) -> str:
-        """Return a name for a new machine, in the zone of another or in any."""
+        """Return a name for a new machine, in the zone of another one or in a random zone."""
         zone = beside[-1] if beside else str(self.draw.randrange(3))
         return f"vm-{next(self.spares)}-{zone}"
 
@@ -304,7 +305,7 @@
         )
 
     def _cancel_requests(self, vm: str) -> None:
-        """End the requests under way at a machine: nobody hears of them."""
+        """Cancel the requests in progress at a machine; they return None."""
         self.coordinators.pop(vm, None)
         for task in list(self.in_progress[vm]):
             task.cancel()
--- a/waxwingglade/ledger/tests/test_catch_up.py
+++ b/waxwingglade/ledger/tests/test_catch_up.py
@@ -1,8 +1,8 @@
-"""What goes between VMs when a replica reads what the others hold.
+"""Data that is transferred between VMs when a replica catches up with the members.
 
-What happened: after two disks of a fleet were lost, 3.7 GB went between zones within seconds, for
-some 20,000 turns, and turns waited for ledger processes that had no processor time left.  A replica
-with an empty disk read all turns from each of the members at the same time.
+Guards against reading each turn from every member at the same time.  After the loss of two disks
+that transferred 3.7 GB between zones within seconds, for about 20,000 turns, and ledger processes
+had no processor time left for turns.
 """
 
 import asyncio
@@ -31,13 +31,13 @@
         self.fail_after = 0
 
     async def hold(self, vms: list[str], names: range, asked: bytes = SMALL) -> None:
-        """Let some replicas hold turns."""
+        """Store turns at some replicas."""
         for vm in vms:
             turns = [Turn(TurnId(f"t{name}"), None, asked, b"", FAR_FUTURE) for name in names]
             await self.cluster.replicas[vm].store_fetched(Fetched(tuple(turns)))
 
     async def ask(self, member: Member, message: Any, timeout_s: float) -> Any:
-        """Ask a member, and count what it answers."""
+        """Send a request to a member, and count the turns in its answer."""
         if isinstance(message, Fetch) and member.vm in self.failing:
             if self.fail_after <= 0:
                 raise MessageLost("failing")
@@ -48,14 +48,14 @@
         return answer
 
     async def read(self) -> set[TurnId]:
-        """Let a replica with an empty disk catch up; return what it holds."""
+        """Let a replica with an empty disk catch up; return the names of its turns."""
         joiner = self.cluster.add("vm-9")
         joiner.open()
         await catch_up(joiner, self.cluster.set, self.ask, lambda _: None)
         return set(joiner.turns)
 
     def names(self, count: int) -> set[TurnId]:
-        """Return the names of the first turns."""
+        """Return the names of the first `count` turns."""
         return {TurnId(f"t{number}") for number in range(count)}
 
     async def test_each_turn_is_read_once(self) -> None:
@@ -70,7 +70,7 @@
         self.assertEqual(await self.read(), self.names(24))
         self.assertEqual(max(self.carried.values()), 1)
 
-    async def test_what_only_a_majority_holds_is_read(self) -> None:
+    async def test_turns_that_only_a_majority_has_are_read(self) -> None:
         everyone = list(self.cluster.replicas)
         for first in range(5):
             vms = [everyone[(first + place) % MEMBERS] for place in range(3)]
@@ -78,26 +78,26 @@
         self.assertEqual(await self.read(), self.names(500))
         self.assertEqual(max(self.carried.values()), 1)
 
-    async def test_what_a_member_was_asked_for_in_vain_is_read_from_another(self) -> None:
+    async def test_turns_that_one_member_fails_to_send_are_read_from_another(self) -> None:
         everyone = list(self.cluster.replicas)
         await self.hold(everyone, range(TURNS))
         self.failing = {"vm-0", "vm-3"}
         self.fail_after = 1
         self.assertEqual(await self.read(), self.names(TURNS))
 
-    async def test_too_few_members_are_no_catching_up(self) -> None:
+    async def test_catching_up_from_too_few_members_fails(self) -> None:
         await self.hold(list(self.cluster.replicas), range(TURNS))
         self.failing = {"vm-0", "vm-1", "vm-3"}
         with self.assertRaises(WaxwinggladeError):
             await self.read()
 
-    async def test_a_member_that_is_slow_does_not_hold_up_the_rest(self) -> None:
+    async def test_a_slow_member_does_not_delay_the_rest(self) -> None:
         await self.hold(list(self.cluster.replicas), range(TURNS))
         self.cluster.delays["vm-2"] = 5.0
         async with asyncio.timeout(3.0):
             self.assertEqual(await self.read(), self.names(TURNS))
 
-    async def test_a_member_that_falls_silent_in_the_middle_does_not_either(self) -> None:
+    async def test_a_member_that_stops_answering_does_not_delay_the_rest(self) -> None:
         await self.hold(list(self.cluster.replicas), range(TURNS))
         answer = self.cluster.ask
 
@@ -110,7 +110,7 @@
         async with asyncio.timeout(4.0):
             self.assertEqual(await self.read(), self.names(TURNS))
 
-    async def test_what_expires_meanwhile_is_not_waited_for(self) -> None:
+    async def test_turns_that_expire_meanwhile_are_not_waited_for(self) -> None:
         everyone = list(self.cluster.replicas)
         await self.hold(everyone, range(100))
         for vm in everyone:
--- a/waxwingglade/ledger/tests/test_changing_sets.py
+++ b/waxwingglade/ledger/tests/test_changing_sets.py
@@ -1,21 +1,14 @@
-"""What is kept while the set of members changes.
-
-Users saw a conversation end: its last turn had been answered whole, and a fifth of a second later
-the next one was answered that no such turn exists.  No log of it is left; the order of events is
-the one that the code allows.  A replica with an empty disk had read what the others held, and
-joined.  One member learnt of the new set first, so it refused the copy of a turn that the two
-others still kept under the set before, which made it durable.  Then the next turn was begun through
-the member that had refused.  It did not hold the turn, neither did the new member, and two of four
-members without it were taken for a proof that it was never kept.
-
-The cause: evidence about what a set kept was judged by the size of the set that follows it.  Of a
-set that is not settled, the new member knows nothing of what came before, and a majority of the set
-before may include the member that was removed.
-
-The evidence: the record shows the turn answered whole, and the refusal 192 ms later and 12 ms after
-the next turn was sent, so enough members had said that they were without it.  Two of three members
-of a settled set can't both be without a turn that two of them hold, so the set had just changed.
-On that rule the first test gets the refusal that users saw.
+"""Turns that are stored while the set of members changes.
+
+Guards against denying a stored turn just after a change of the set.  A replica with an empty disk
+catches up and joins a set of three.  One member receives the new set first and refuses the copy of
+a turn, which the two others still store under the previous set, so that the turn is durable.  The
+next turn then begins through the member that refused.  Neither this member nor the new one has the
+turn, and two of four members without it were taken as proof that it does not exist.
+
+The fault was to judge the members without a turn by the size of the new set.  While a set is not
+settled, the new member may lack turns of the previous set, and a majority of the previous set may
+include a member that was removed.
 """
 
 import asyncio
@@ -34,18 +27,18 @@
 from waxwingglade.ledger.tests.builders import Cluster, begin, end, turn
 
 LATE_S = 0.02
-"""Delay of those members whose answers come last."""
+"""Delay in seconds of the members whose answers come last."""
 
 
 class ChangingSets(unittest.IsolatedAsyncioTestCase):
     async def start(self, size: int) -> None:
-        """Start a settled set of some members, vm-0 and so on."""
+        """Start a settled set of `size` members, vm-0 and so on."""
         self.cluster = Cluster(size)
         self.addAsyncCleanup(self.cluster.close)
         await self.cluster.start()
 
     async def keep_before(self, vms: list[str], following: ReplicaSet) -> None:
-        """Keep a turn under the present set at some members; others know the next already."""
+        """Store a turn under the current set at some members; others already use the next set."""
         for vm, replica in self.cluster.replicas.items():
             if vm not in vms:
                 await replica.adopt_members(following)
@@ -55,14 +48,14 @@
         self.assertEqual(holders, set(vms))
 
     async def join_after_keeping(self) -> None:
-        """Let vm-3 join a set of three right after vm-0 and vm-1 have kept a turn without vm-2."""
+        """Let vm-3 join a set of three just after vm-0 and vm-1, but not vm-2, stored a turn."""
         await self.start(3)
         following = self.cluster.joined("vm-3")
         await self.keep_before(["vm-0", "vm-1"], following)
         await self.cluster.use(following)
 
     async def catch_up(self, vm: str) -> None:
-        """Let a replica read what the others of its set hold."""
+        """Let a replica read the data of the other members."""
         await catch_up(
             self.cluster.replicas[vm],
             self.cluster.replicas[vm].replicas,
@@ -70,13 +63,13 @@
             lambda _: None,
         )
 
-    async def test_a_turn_kept_just_before_a_member_joined_is_known_just_after(self) -> None:
+    async def test_a_turn_stored_just_before_a_member_joined_is_found_just_after(self) -> None:
         await self.join_after_keeping()
         self.cluster.delays = {"vm-0": LATE_S, "vm-1": LATE_S}
         answer = await self.cluster.coordinator("vm-2").begin(begin(2, previous="turn-1"))
         self.assertEqual(answer, TurnBegun((turn(1),)))
 
-    async def test_a_turn_that_was_never_kept_is_denied_while_a_member_joins(self) -> None:
+    async def test_a_turn_that_was_never_stored_is_denied_while_a_member_joins(self) -> None:
         await self.start(3)
         following = self.cluster.joined("vm-3")
         await self.cluster.use(following)
@@ -88,8 +81,8 @@
         self.assertEqual((lines[0]["previous"], lines[0]["joining"]), ("turn-9", ["vm-3"]))
         self.assertGreaterEqual(set(lines[0]["without_it"]), {"vm-2"})
 
-    async def test_a_turn_kept_by_a_new_member_of_five_is_not_denied(self) -> None:
-        """Three of five hold it; two of the four older members do not."""
+    async def test_a_turn_stored_by_a_new_member_of_five_is_not_denied(self) -> None:
+        """Three of five members have the turn; two of the four older members do not."""
         await self.start(4)
         following = self.cluster.joined("vm-4")
         await self.cluster.use(following)
@@ -108,7 +101,7 @@
         answer = await self.cluster.coordinator("vm-2").begin(begin(2, previous="turn-1"))
         self.assertIsInstance(answer, Unavailable)
 
-    async def test_a_turn_kept_just_before_a_member_was_removed_is_known_just_after(self) -> None:
+    async def test_a_turn_stored_just_before_a_member_was_removed_is_found_just_after(self) -> None:
         await self.start(3)
         following = self.cluster.without("vm-2")
         await self.keep_before(["vm-0", "vm-2"], following)
@@ -117,8 +110,8 @@
         answer = await self.cluster.coordinator("vm-1").begin(begin(2, previous="turn-1"))
         self.assertEqual(answer, TurnBegun((turn(1),)))
 
-    async def test_to_have_read_the_new_member_does_not_count(self) -> None:
-        """It has read under the set before, while more was still being kept there."""
+    async def test_reading_the_new_member_does_not_count(self) -> None:
+        """The new member caught up under the previous set, which stored further turns meanwhile."""
         await self.join_after_keeping()
         self.cluster.isolate("vm-0")
         self.cluster.isolate("vm-1")
@@ -128,8 +121,8 @@
         await self.catch_up("vm-2")
         self.assertIn("turn-1", self.cluster.replicas["vm-2"].turns)
 
-    async def test_a_copy_is_not_vouched_for_once_a_newer_set_is_known(self) -> None:
-        """Whoever read this replica under the newer set may not have been told of it."""
+    async def test_a_copy_is_not_acknowledged_once_a_newer_set_is_known(self) -> None:
+        """A replica that read this one under the newer set may not have received the turn."""
         await self.start(3)
         replica = self.cluster.replicas["vm-0"]
         keeping = asyncio.create_task(replica.keep(Keep(self.cluster.set.epoch, turn(1))))
@@ -138,7 +131,7 @@
         self.assertIsInstance(await keeping, OtherEpoch)
 
     async def test_a_replica_that_counts_itself_as_read_refuses_older_sets_durably(self) -> None:
-        """Else it could keep turns under an older set again after a loss of power."""
+        """Otherwise it could store turns under an older set after a loss of power."""
         await self.start(3)
         replica = self.cluster.replicas["vm-0"]
         following = self.cluster.joined("vm-3")
@@ -159,15 +152,15 @@
 
 
 class StaleCoordinator(unittest.IsolatedAsyncioTestCase):
-    """A turn was kept under the set that follows the one by which the coordinator goes.
+    """A turn is stored under a newer set than the one that the coordinator uses.
 
-    The members that have not heard of the new set answer under the old one, and are without the
-    turn. Of an old set of even size the witnesses are only half, and the other half and the member
-    that joined are a majority of the new set: half of a set is no proof.
+    Members that have not received the new set answer under the old one and do not have the turn.
+    In an old set of even size they may be half of the members, while the other half and the joined
+    member are a majority of the new set.  So half of a set does not prove that a turn is missing.
     """
 
     async def start(self, size: int, settled: bool = True) -> Cluster:
-        """Start a set of some members, of which the last one has joined."""
+        """Start a set of `size` members; the last one joined last."""
         cluster = Cluster(size)
         self.addAsyncCleanup(cluster.close)
         if not settled:
@@ -179,7 +172,7 @@
     async def deny(
         self, cluster: Cluster, following: ReplicaSet, knowing: list[str], asker: str
     ) -> None:
-        """Keep a turn under the next set, continue it by the set before; it is not denied."""
+        """Store a turn under the next set, and check that the previous set does not deny it."""
         for vm in knowing:
             await cluster.replicas[vm].adopt_members(following)
         ended = await cluster.coordinator(knowing[0]).end(end(1))
@@ -203,7 +196,7 @@
         cluster = await self.start(4)
         await self.deny(cluster, cluster.without("vm-3"), ["vm-0", "vm-1"], "vm-3")
 
-    async def test_four_that_it_thinks_unsettled_become_three(self) -> None:
-        """The asker has not heard that the set of four was settled, either."""
+    async def test_four_that_the_asker_sees_as_unsettled_become_three(self) -> None:
+        """The asker has not received the settled set of four, either."""
         cluster = await self.start(4, settled=False)
         await self.deny(cluster, cluster.without("vm-1"), ["vm-0", "vm-3"], "vm-2")
--- a/waxwingglade/ledger/tests/test_coordinator.py
+++ b/waxwingglade/ledger/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Budgets and turns through cuts, losses, restarts and races of coordinators."""
+"""Budgets and turns under partitions, lost messages, restarts and concurrent coordinators."""
 
 import asyncio
 import unittest
@@ -39,14 +39,14 @@
         answer = await self.two.begin(begin(2, previous="turn-1"))
         self.assertEqual(answer, TurnBegun((turn(1),)))
 
-    async def test_a_chain_comes_whole_and_oldest_first(self) -> None:
+    async def test_a_chain_is_complete_and_oldest_first(self) -> None:
         await self.one.end(end(1))
         await self.one.end(end(2, previous=1))
         await self.two.end(end(3, previous=2))
         answer = await self.two.begin(begin(4, previous="turn-3"))
         self.assertEqual(answer, TurnBegun((turn(1), turn(2, 1), turn(3, 2))))
 
-    async def test_a_chain_that_is_here_is_asked_of_nobody_else(self) -> None:
+    async def test_a_chain_stored_locally_causes_no_request(self) -> None:
         await self.one.end(end(1))
         await self.one.begin(begin(2, previous="turn-1"))
         asked = [message for _, _, message in self.cluster.carried if isinstance(message, Find)]
@@ -57,7 +57,7 @@
         self.cluster.isolate("vm-0")
         self.assertIsInstance(await self.one.begin(begin(2, previous="turn-9")), Unavailable)
 
-    async def test_a_turn_kept_by_two_of_three_survives_the_loss_of_either(self) -> None:
+    async def test_a_turn_stored_by_two_of_three_survives_the_loss_of_either(self) -> None:
         self.cluster.isolate("vm-2")
         self.assertTrue((await self.one.end(end(1))).kept)
         self.cluster.heal()
@@ -65,7 +65,7 @@
         answer = await self.two.begin(begin(2, previous="turn-1"))
         self.assertEqual(answer, TurnBegun((turn(1),)))
 
-    async def test_a_turn_without_a_majority_is_not_kept(self) -> None:
+    async def test_a_turn_without_a_majority_is_not_stored(self) -> None:
         self.cluster.isolate("vm-0")
         ended = await self.one.end(end(1))
         self.assertFalse(ended.kept or ended.settled)
@@ -88,15 +88,15 @@
             await self.one.begin(begin(number, TURN, BUDGET))
         asked = {receiver for _, receiver, _ in self.cluster.carried}
         self.assertEqual(len(asked), 1, "one of the two others")
-        with self.subTest("and at one that was left out so far, in the same round, if it is gone"):
+        with self.subTest("and at the remaining one in the same round, if that one is unreachable"):
             self.cluster.isolate(asked.pop())
             self.cluster.carried.clear()
             self.assertIsInstance(await self.one.begin(begin(3, TURN, BUDGET)), TurnBegun)
             kinds = [type(message) for _, _, message in self.cluster.carried]
             self.assertEqual(kinds, [Accept, Accept])
 
-    async def test_a_change_that_held_outlives_one_that_met_no_majority(self) -> None:
-        """The first has the lower name; the second followed its process's own last proposal."""
+    async def test_a_committed_change_survives_one_without_a_majority(self) -> None:
+        """The committed change has the lower name; the other follows one of its own process."""
         self.one.accounts.name, self.two.accounts.name = "zz", "aa"
         await self.one.begin(begin(1, TURN, BUDGET))
         self.cluster.isolate("vm-0")
@@ -108,7 +108,7 @@
         answer = await third.begin(begin(4, TURN, BUDGET))
         self.assertIsInstance(answer, BudgetSpent)
 
-    async def test_what_was_accepted_elsewhere_is_taken_in_below_a_promise(self) -> None:
+    async def test_an_account_accepted_elsewhere_is_stored_below_a_promise(self) -> None:
         replica = self.cluster.replicas["vm-0"]
         promise = Ballot(5, "x")
         await replica.prepare(Prepare(self.cluster.set.epoch, PROGRAM, promise))
@@ -118,12 +118,12 @@
         slot = replica.slots[PROGRAM]
         self.assertEqual((slot.promised, slot.account), (promise, account))
 
-    async def test_a_budget_is_not_called_spent_by_a_side_without_a_majority(self) -> None:
+    async def test_a_budget_is_not_reported_spent_without_a_majority(self) -> None:
         await self.one.begin(begin(1, BUDGET, BUDGET))
         self.cluster.isolate("vm-0")
         self.assertIsInstance(await self.one.begin(begin(2, TURN, BUDGET)), Unavailable)
 
-    async def test_settled_tokens_are_free_again_elsewhere(self) -> None:
+    async def test_released_tokens_are_available_to_another_coordinator(self) -> None:
         await self.one.begin(begin(1, BUDGET, BUDGET))
         self.assertIsInstance(await self.two.begin(begin(2, TURN, BUDGET)), BudgetSpent)
         await self.one.end(end(1, used=0))
@@ -145,8 +145,8 @@
         await self.cluster.replicas["vm-2"].adopt_members(newer)
         self.assertIsInstance(await self.one.begin(begin(1)), Unavailable)
 
-    async def test_a_set_of_members_is_durable_before_it_is_vouched_for(self) -> None:
-        """A second request under a new set waits for the first one's write."""
+    async def test_a_set_of_members_is_durable_before_a_request_under_it_is_answered(self) -> None:
+        """A second request under a new set waits for the write of the first one."""
         replica = self.cluster.replicas["vm-0"]
         newer = self.cluster.set.__class__(2, self.cluster.set.members, True)
         first = asyncio.create_task(replica.adopt_members(newer))
@@ -155,7 +155,7 @@
         self.assertTrue(replica.members_written.done())
         await first
 
-    async def test_old_segments_go_and_what_is_kept_stays(self) -> None:
+    async def test_old_segments_are_removed_and_retained_data_stays(self) -> None:
         replica = self.cluster.replicas["vm-0"]
         await self.one.begin(begin(7, 600, BUDGET))
         with mock.patch("waxwingglade.ledger.journal.SEGMENT_BYTES", 1):
@@ -172,7 +172,7 @@
         self.assertEqual(replica.slots[PROGRAM].account.open, {"turn-7": 600})
         self.assertEqual(replica.replicas, self.cluster.set)
 
-    async def test_expired_turns_go_and_the_ancestors_of_kept_ones_stay(self) -> None:
+    async def test_expired_turns_are_removed_and_ancestors_of_retained_ones_stay(self) -> None:
         replica = self.cluster.replicas["vm-0"]
         await replica._store_turn(turn(1, expires_at=10.0))
         await replica._store_turn(turn(2, previous=1, expires_at=1000.0))
@@ -185,7 +185,7 @@
 
 
 class RandomFaults(unittest.IsolatedAsyncioTestCase):
-    """Budgets and kept turns under lost messages, cuts and restarts, for many seeds."""
+    """Budgets and stored turns under lost messages, partitions and restarts, for several seeds."""
 
     async def test_no_token_too_many_and_no_turn_lost(self) -> None:
         for seed in range(6):
@@ -224,5 +224,5 @@
         cluster.loss = 0.0
         for number in kept:
             answer = await coordinators[0].turns.find(TurnId(f"turn-{number}"))
-            self.assertIsNotNone(answer, f"turn {number} was kept and is gone")
+            self.assertIsNotNone(answer, f"turn {number} was stored and is missing")
         await cluster.close()
--- a/waxwingglade/ledger/tests/test_journal.py
+++ b/waxwingglade/ledger/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""What the journal makes of a disk after losses of power."""
+"""The journal: recovery after a loss of power, flushes, segments and failing disks."""
 
 import asyncio
 import os
@@ -30,7 +30,7 @@
         await asyncio.gather(*(journal.append(content) for content in contents))
         return journal
 
-    async def test_records_come_back_in_order_and_can_be_read_by_place(self) -> None:
+    async def test_records_are_replayed_in_order_and_can_be_read_by_location(self) -> None:
         journal, _ = await self._opened()
         place = await journal.append(b"first")
         await journal.append(b"second")
@@ -40,7 +40,7 @@
         self.assertEqual(again.read(place), b"first")
         self.assertEqual(again.disk, journal.disk)
 
-    async def test_a_torn_tail_is_cut_and_written_over(self) -> None:
+    async def test_a_truncated_tail_is_discarded_and_overwritten(self) -> None:
         journal = await self._written(b"whole", b"torn")
         await journal.stop()
         segment = next(self.folder.glob("*.ledger"))
@@ -53,7 +53,7 @@
         _, contents = await self._opened()
         self.assertEqual(contents, [b"whole", b"later"])
 
-    async def test_nothing_after_a_damaged_frame_counts(self) -> None:
+    async def test_records_after_a_damaged_frame_are_discarded(self) -> None:
         journal = await self._written(b"one" * 10, b"two" * 10, b"three" * 10)
         await journal.stop()
         segment = next(self.folder.glob("*.ledger"))
@@ -69,7 +69,7 @@
         self.assertNotEqual(again.disk, journal.disk)
         self.assertEqual(contents, [])
 
-    async def test_segments_follow_one_another_and_old_ones_go(self) -> None:
+    async def test_a_full_segment_is_followed_by_another_and_old_ones_are_removed(self) -> None:
         with mock.patch("waxwingglade.ledger.journal.SEGMENT_BYTES", 1000):
             journal = await self._written(*(b"x" * 400 for _ in range(3)))
             place = await journal.append(b"last")
@@ -79,12 +79,12 @@
         _, contents = await self._opened()
         self.assertEqual(contents, [b"last"])
 
-    async def test_a_record_that_may_wait_is_flushed_with_others_or_in_its_time(self) -> None:
+    async def test_a_delayed_record_is_flushed_with_others_or_after_its_delay(self) -> None:
         journal, _ = await self._opened()
         before = journal.flushes
-        patient = journal.append(b"patient", 5.0)
+        delayed = journal.append(b"patient", 5.0)
         await journal.append(b"urgent")
-        self.assertTrue(patient.done())
+        self.assertTrue(delayed.done())
         self.assertEqual(before + 1, journal.flushes)
         async with asyncio.timeout(2.0):
             await journal.append(b"alone", 0.05)
@@ -93,8 +93,8 @@
         _, contents = await self._opened()
         self.assertEqual(contents, [b"patient", b"urgent", b"alone"])
 
-    async def test_a_flush_that_takes_long_is_logged(self) -> None:
-        """A disk that stands still for seconds looks like a lost majority otherwise."""
+    async def test_a_slow_flush_is_logged(self) -> None:
+        """Without the log line, a disk that stalls for seconds looks like a lost majority."""
         journal, _ = await self._opened()
 
         def flush(_file: int) -> None:
@@ -108,7 +108,7 @@
         self.assertGreaterEqual(lines[0]["seconds"], SLOW_FLUSH_S)
         self.assertGreaterEqual(journal.longest_flush_s, SLOW_FLUSH_S)
 
-    async def test_a_disk_that_refuses_writes_is_tried_again(self) -> None:
+    async def test_a_failed_write_is_retried(self) -> None:
         journal, _ = await self._opened()
         real = os.fdatasync
         refusals = iter([OSError(28, "no space left"), OSError(5, "input/output error")])
--- a/waxwingglade/ledger/tests/test_ledger_logs.py
+++ b/waxwingglade/ledger/tests/test_ledger_logs.py
@@ -1,4 +1,4 @@
-"""What the logs tell of a turn that took the ledger long."""
+"""Log lines about turns that the ledger is slow to begin or to end."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 class OneUnresponsiveLink:
-    """Links of which the first that is used gives no answer."""
+    """Links to replicas; the first one that is used gives no answer."""
 
     def __init__(self) -> None:
         self.unresponsive = ""
@@ -36,7 +36,7 @@
 
 
 class EntryLogsTest(unittest.IsolatedAsyncioTestCase):
-    async def test_whom_a_turn_was_sent_to_and_what_each_answered(self) -> None:
+    async def test_the_asked_replicas_and_their_answers_are_logged(self) -> None:
         replicas = [Replica(f"d{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(3)]
         client = LedgerClient(OneUnresponsiveLink(), lambda: replicas, ZoneId("zone"))
         with logged_lines("ledger slow to answer") as lines:
@@ -56,7 +56,7 @@
         self.coordinator = self.cluster.coordinator("vm-0")
         await self.coordinator.begin(begin(1))
 
-    async def test_members_that_kept_a_turn_from_a_majority(self) -> None:
+    async def test_members_without_an_answer_are_logged(self) -> None:
         self.cluster.isolate("vm-0")
         with logged_lines("turn not kept") as lines:
             await self.coordinator.end(end(1))
@@ -64,7 +64,7 @@
         self.assertLessEqual({"vm-1", "vm-2"}, set(line["silent"]))
         self.assertIn("of 3 members answered", line["reason"])
 
-    async def test_an_account_that_held_up_the_end_of_a_kept_turn(self) -> None:
+    async def test_an_account_that_delays_the_end_of_a_stored_turn_is_logged(self) -> None:
         async def never_in_time(_message: Any) -> None:
             await asyncio.sleep(20.0)
 
--- a/waxwingglade/ledger/tests/test_lost_promise.py
+++ b/waxwingglade/ledger/tests/test_lost_promise.py
@@ -1,4 +1,4 @@
-"""Promises for an account outlive the loss of a disk that gave one of them."""
+"""Promises for an account survive the loss of a disk that made one of them."""
 
 import unittest
 from typing import Any
@@ -21,11 +21,11 @@
 
 BUDGET = 1000
 LOST, SPARE, LATE = "vm-4", "vm-5", "vm-2"
-"""VMs whose disk is lost, that takes its place, and whose answers come too late for that."""
+"""The VM whose disk is lost, the one that replaces it, and one whose answers are too late."""
 
 
 class LostPromiseTest(unittest.IsolatedAsyncioTestCase):
-    """Two proposals are stuck, each accepted by a minority, when a disk is lost and replaced."""
+    """A disk is lost and replaced while a minority has accepted each of two proposals."""
 
     async def asyncSetUp(self) -> None:
         self.cluster = Cluster(5)
@@ -46,7 +46,7 @@
     async def propose(
         self, ballot: Ballot, tokens: int, promising: list[str], accepting: list[str]
     ) -> None:
-        """Bring some members to promise a ballot, and fewer to accept a reservation under it."""
+        """Let some members promise a ballot, and fewer of them accept a reservation under it."""
         replicas, epoch = self.cluster.replicas, self.cluster.set.epoch
         for vm in promising:
             self.assertIsInstance(
@@ -60,7 +60,7 @@
             self.assertIsInstance(answer, Accepted)
 
     async def replace(self) -> None:
-        """Put a member with an empty disk in the place of one that is lost."""
+        """Replace the lost member by one with an empty disk."""
         joined = self.cluster.joined(SPARE)
         self.cluster.isolate(LOST)
         del self.cluster.replicas[LOST]
@@ -68,7 +68,7 @@
         await self.settle(self.cluster.without(LOST), [SPARE, "vm-0", "vm-1"])
 
     async def settle(self, replicas: ReplicaSet, reading: list[str]) -> None:
-        """Bring a set into force, with some members that read what the others hold."""
+        """Make a set current, let some members catch up, and settle it."""
         await self.cluster.use(replicas)
         for vm in reading:
 
@@ -80,7 +80,7 @@
             await catch_up(self.cluster.replicas[vm], replicas, ask, lambda _: None)
         await self.cluster.use(msgspec.structs.replace(replicas, settled=True))
 
-    async def test_a_turn_that_was_begun_is_not_lost_to_an_older_proposal(self) -> None:
+    async def test_a_turn_that_has_begun_is_not_overwritten_by_an_older_proposal(self) -> None:
         one = self.cluster.coordinator("vm-0")
         one.accounts.numbers[PROGRAM] = self.lower.number
         self.cluster.isolate(LATE)
@@ -90,13 +90,13 @@
         account = await self.account_seen_by_late()
         self.assertIn("turn-9", account.open)
 
-    async def test_an_account_is_not_read_that_may_not_come_to_hold(self) -> None:
+    async def test_an_account_that_may_not_be_committed_is_not_read(self) -> None:
         seen = await self.cluster.coordinator("vm-0").accounts.read(PROGRAM)
-        holding = await self.account_seen_by_late()
-        self.assertIn(seen, (None, holding))
+        committed = await self.account_seen_by_late()
+        self.assertIn(seen, (None, committed))
 
     async def account_seen_by_late(self) -> Any:
-        """Return the account that the late member brings to hold with two that know the least."""
+        """Return the account that the late member commits together with two outdated members."""
         self.cluster.cut = {(LATE, "vm-1"), (LATE, SPARE)}
         late = self.cluster.coordinator(LATE)
         await late.accounts.change(PROGRAM, lambda account: (account, None))
--- a/waxwingglade/ledger/tests/test_membership.py
+++ b/waxwingglade/ledger/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The set of members through wiped disks, additions, retirements and cuts, on a store in memory."""
+"""The set of members under wiped disks, additions, retirements and partitions."""
 
 import asyncio
 import unittest
@@ -33,7 +33,7 @@
                 await asyncio.sleep(0.01)
 
     async def keep(self, vm: str, number: int) -> None:
-        """Keep a turn through a coordinator, trying until it is kept."""
+        """Store a turn through a coordinator, and retry until it is stored."""
         coordinator = self.machines.coordinator(vm)
         async with asyncio.timeout(WAIT_LIMIT_S):
             while not (await coordinator.end(end(number))).kept:
@@ -58,7 +58,7 @@
         """Return the name of a machine's disk."""
         return self.machines.replicas[vm].disk
 
-    async def test_a_wiped_disk_joins_as_another_member_and_holds_everything(self) -> None:
+    async def test_a_wiped_disk_joins_as_another_member_with_all_data(self) -> None:
         self.machines.isolate("vm-2")
         await self.keep("vm-0", 1)
         self.machines.heal()
@@ -74,7 +74,7 @@
         await self.machines.remove_machine("vm-1")
         await self.find("vm-0", 1)
 
-    async def test_a_machine_that_is_added_stands_by(self) -> None:
+    async def test_an_added_machine_is_on_standby(self) -> None:
         await self.machines.add_machine("vm-9")
         await asyncio.sleep(0.2)
         self.assertEqual(self.machines.vms(), {"vm-0", "vm-1", "vm-2"})
@@ -87,7 +87,7 @@
         await self.machines.remove_machine("vm-1")
         await self.find("vm-10", 1)
 
-    async def test_a_standby_joins_before_a_machine_is_emptied(self) -> None:
+    async def test_a_standby_joins_before_a_machine_is_retired(self) -> None:
         await self.keep("vm-0", 1)
         await self.machines.add_machine("vm-9")
         await asyncio.sleep(0.1)
@@ -96,8 +96,8 @@
         await self.until(lambda: b"completed" in self.machines.store.items["status/vm-1"].value)
         self.assertEqual(self.machines.vms(), {"vm-0", "vm-2", "vm-9"})
 
-    async def test_a_wipe_right_after_an_emptying_without_standby(self) -> None:
-        """Two members are left; the disk of one is lost while a new machine joins."""
+    async def test_a_wipe_just_after_a_retirement_without_standby(self) -> None:
+        """Two members remain; the disk of one is lost while a new machine joins."""
         await self.keep("vm-0", 1)
         self.machines.store.put("op/retire/vm-1", b"{}")
         await self.until(lambda: self.machines.vms() == {"vm-0", "vm-2"})
@@ -112,7 +112,7 @@
         )
 
     async def test_a_set_that_is_too_small_grows_at_once(self) -> None:
-        """A member is replaced in its zone while the set has one member fewer than wanted."""
+        """A member is replaced while the set has one member fewer than wanted."""
         with mock.patch("waxwingglade.ledger.membership.REPLACE_FROM_OTHER_ZONE_S", 1000.0):
             self.machines.store.put("op/retire/vm-1", b"{}")
             await self.until(lambda: self.machines.vms() == {"vm-0", "vm-2"})
@@ -122,14 +122,14 @@
             await self.until(lambda: {"vm-2", "vm-10"} <= self.machines.vms())
             await self.find("vm-10", 1)
 
-    async def test_a_cut_machine_stays_while_no_other_can_stand_in(self) -> None:
+    async def test_a_partitioned_machine_stays_without_a_replacement(self) -> None:
         self.machines.isolate("vm-2")
         await asyncio.sleep(0.6)
         self.assertEqual(self.machines.vms(), {"vm-0", "vm-1", "vm-2"})
         await self.keep("vm-0", 1)
         self.machines.heal()
 
-    async def test_no_set_changes_while_the_store_is_away(self) -> None:
+    async def test_the_set_does_not_change_while_the_store_is_unavailable(self) -> None:
         self.machines.store.unavailable = True
         await self.machines.remove_machine("vm-0")
         await self.machines.add_machine("vm-10")
@@ -139,13 +139,12 @@
         self.machines.store.unavailable = False
         await self.until(lambda: self.machines.vms() == {"vm-1", "vm-2", "vm-10"})
 
-    async def test_a_member_that_is_cut_off_denies_nothing_on_its_own_word(self) -> None:
-        """A machine is emptied with nobody to stand in; a zone is cut off; a new machine joins
-        outside.
+    async def test_a_partitioned_member_denies_no_turn_alone(self) -> None:
+        """A machine retires without a successor, a zone is partitioned, and a new machine joins.
 
-        Turns are kept outside by two of three.  Inside, the one member that is there still goes by
-        the set of two, of which half is no majority of the next set but meets every majority of its
-        own.
+        Two of three members outside the partition store turns.  The member inside still uses the
+        set of two.  It is half of that set and meets each of its majorities, but it is no majority
+        of the next set.
         """
         self.machines.store.put("op/retire/vm-1", b"{}")
         await self.until(lambda: self.machines.vms() == {"vm-0", "vm-2"})
@@ -159,8 +158,8 @@
         answer = await self.machines.coordinator("vm-2").begin(begin(2, previous="turn-1"))
         self.assertNotIsInstance(answer, NoSuchTurn)
 
-    async def test_a_set_is_settled_though_the_store_turns_its_first_member_away(self) -> None:
-        """By signs of life that member leads, and a wiped disk needed all others for long."""
+    async def test_a_set_is_settled_though_the_store_rejects_its_first_member(self) -> None:
+        """The member answers pings, and would lead if the store did not reject its calls."""
         first, other, _ = (member.vm for member in self.machines.current_set.members)
         self.machines.reject_store_calls(first)
         await self.machines.remove_machine(other)
@@ -169,7 +168,7 @@
         await self.until(lambda: self.machines.current_set.settled)
         await self.until(lambda: len(self.machines.vms()) == 3)
 
-    async def test_members_are_asked_for_a_sign_of_life_though_one_is_silent(self) -> None:
+    async def test_members_are_pinged_though_one_is_unresponsive(self) -> None:
         membership = self.machines.machines["vm-0"].membership
         asked: list[str] = []
 
@@ -185,8 +184,8 @@
 
 
 class CatchUpTest(unittest.IsolatedAsyncioTestCase):
-    async def test_to_have_caught_up_means_that_accounts_are_on_the_disk(self) -> None:
-        """An account that is being written for one member is skipped for the next as if held."""
+    async def test_accounts_are_durable_after_catching_up(self) -> None:
+        """An account that is being written is skipped at the next member as if it were durable."""
         cluster = Cluster()
         self.addAsyncCleanup(cluster.close)
         await cluster.start()
@@ -209,7 +208,7 @@
                     lambda _: None,
                 )
 
-    async def test_a_member_that_never_answers_holds_nothing_up(self) -> None:
+    async def test_a_member_that_never_answers_delays_nothing(self) -> None:
         cluster = Cluster()
         self.addAsyncCleanup(cluster.close)
         await cluster.start()
@@ -233,8 +232,8 @@
     raise MessageLost("down")
 
 
-class WitnessesTest(unittest.TestCase):
-    def test_every_majority_meets_the_witnesses(self) -> None:
+class BlockingSizeTest(unittest.TestCase):
+    def test_every_majority_meets_a_set_of_the_blocking_size(self) -> None:
         for size in range(1, 12):
             majority = size // 2 + 1
             self.assertGreater(blocking_size_of(size) + majority, size)
--- a/waxwingglade/ledger/tests/test_node.py
+++ b/waxwingglade/ledger/tests/test_node.py
@@ -1,4 +1,4 @@
-"""A ledger process that has more to do than it can answer in time, and one that stops."""
+"""A ledger process under overload, and one that stops."""
 
 import asyncio
 import tempfile
@@ -34,14 +34,14 @@
 
 BEGIN = BeginTurn(TurnId("t"), ProgramId("p"), 40, 100)
 LATE_S = 2.0
-"""Seconds by which a busy machine may be late."""
+"""Most seconds by which a busy machine may be late."""
 
 ANSWER_TIMEOUT_S = 10.0
-"""Seconds for an answer; nothing here takes as long unless it never comes."""
+"""Timeout for an answer in seconds; only a lost answer exceeds it."""
 
 
 class NodeTest(unittest.IsolatedAsyncioTestCase):
-    """A ledger process whose turns begin when a test lets them."""
+    """A ledger process that delays the begin of turns until a test allows it."""
 
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -65,7 +65,7 @@
 
 
 class SheddingTest(NodeTest):
-    async def test_turns_beyond_a_bound_are_refused_at_once_and_others_still_end(self) -> None:
+    async def test_turns_beyond_the_limit_are_refused_and_others_still_end(self) -> None:
         begun = [asyncio.create_task(self.node.answer(BEGIN)) for _ in range(MAX_BEGINNING)]
         await asyncio.sleep(0)
         self.assertEqual(await self.node.answer(BEGIN), Busy())
@@ -89,17 +89,17 @@
         self.addAsyncCleanup(self.end)
 
     async def end(self) -> None:
-        """Stop, where a test has not."""
+        """Stop the process, unless a test has done so."""
         await self.stop()
 
     def stop(self) -> "asyncio.Task[None]":
-        """Begin to stop."""
+        """Start to stop the process."""
         if self.stopped is None:
             self.stopped = asyncio.create_task(self._stop())
         return self.stopped
 
     async def _stop(self) -> None:
-        # The last step waits for all sockets, and those of the test are closed after it.
+        # Ending the context waits for all sockets, and those of the test are closed later.
         with mock.patch.object(self.node, "context"):
             await self.node.stop()
 
@@ -109,14 +109,14 @@
         return self.links.to(self.address)
 
     async def under_way(self, message: Any) -> "asyncio.Future[Any]":
-        """Send a request, and return the future of its answer once the process works on it."""
+        """Send a request; return the future of its answer once the process handles it."""
         asking = self.link.post(message, ANSWER_TIMEOUT_S)
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
             while not self.node.server.running:
                 await asyncio.sleep(0.005)
         return asking
 
-    async def test_what_is_under_way_is_answered_and_what_comes_is_refused(self) -> None:
+    async def test_requests_in_progress_are_answered_and_new_ones_are_refused(self) -> None:
         begun = await self.under_way(BEGIN)
         with mock.patch("waxwingglade.ledger.node.FINISH_TIMEOUT_S", 2 * ANSWER_TIMEOUT_S):
             stopped = self.stop()
@@ -127,7 +127,7 @@
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await stopped
 
-    async def test_what_does_not_end_holds_up_no_stop(self) -> None:
+    async def test_a_request_that_does_not_end_delays_no_stop(self) -> None:
         begun = await self.under_way(BEGIN)
         began_at = time.monotonic()
         await self.stop()
@@ -135,7 +135,7 @@
         begun.cancel()
 
     async def until_up_to_date(self) -> None:
-        """Wait until the process has reported its followers all that the store holds."""
+        """Wait until the process has sent its followers the current content of the store."""
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
             while not (
                 self.node.replica.replicas.settled and self.node.cached_view.view.targets.revision
@@ -143,14 +143,14 @@
                 await asyncio.sleep(0.005)
         await asyncio.sleep(3 * UPDATE_INTERVAL_S)
 
-    async def test_a_follower_is_answered_at_once_and_sent_elsewhere(self) -> None:
+    async def test_a_follower_is_answered_at_once_when_the_process_stops(self) -> None:
         await self.until_up_to_date()
         view = self.node.cached_view.view
         follow = Follow(view.version, view.targets.revision, view.replicas.epoch, ANSWER_TIMEOUT_S)
         reported = await self.under_way(follow)
         await asyncio.sleep(3 * UPDATE_INTERVAL_S)
-        self.assertFalse(reported.done(), "there was news")
-        # An answer at the end of its wait, or of the time for what is under way, would be too late.
+        self.assertFalse(reported.done(), "there was an update")
+        # An answer at the end of the wait of the follower, or of `FINISH_TIMEOUT_S`, is too late.
         with mock.patch("waxwingglade.ledger.node.FINISH_TIMEOUT_S", 2 * ANSWER_TIMEOUT_S):
             stopped = self.stop()
             async with asyncio.timeout(LATE_S):
@@ -159,7 +159,7 @@
 
 
 class StoppingOnDaemonLoopTest(OnDaemonLoop, StoppingTest):
-    """The same on the event loop of the daemons."""
+    """The same tests on the event loop of the daemons."""
 
 
 if __name__ == "__main__":
--- a/waxwingglade/ledger/tests/test_one_set.py
+++ b/waxwingglade/ledger/tests/test_one_set.py
@@ -1,4 +1,4 @@
-"""One set of members for each epoch, whatever comes between."""
+"""One set of members for each epoch, also with concurrent changes."""
 
 import asyncio
 import unittest
@@ -15,13 +15,12 @@
 
 
 class OneSetForEachEpoch(unittest.IsolatedAsyncioTestCase):
-    """A change that took long must not be written over one that came meanwhile.
+    """Guards against a slow change that overwrites one that was made in the meantime.
 
-    Two replicas joined a set of two at once.  One was still reading when it heard of the other's
-    change, and wrote its own over it: two sets of one epoch, each with members that went by it, and
-    a budget was reserved in full under both.  The cause: the set that a change follows was read
-    before catching up, and the revision under which it was written after.  With real periods and
-    600 turns to read, three of ten runs wrote one epoch twice.
+    It happens when two replicas join a set of two at the same time.  One is still catching up when
+    it receives the change of the other, and then overwrites that change if it reads the previous
+    set before and the revision after catching up.  Members then use two sets of one epoch, and a
+    budget is reserved in full under both.
     """
 
     async def asyncSetUp(self) -> None:
@@ -29,7 +28,7 @@
         self.addAsyncCleanup(self.machines.stop_all)
 
     async def open(self, vms: list[str]) -> None:
-        """Add machines whose replicas run, and that look and deliver only when told."""
+        """Add machines that check and receive sets of members only when a test lets them."""
         for vm in vms:
             self.machines.add(vm)
             machine = self.machines.machines[vm] = Machine(self.machines, vm)
@@ -44,7 +43,7 @@
         self.machines.store.put(KEYS.replicas, msgspec.json.encode(replicas))
 
     async def deliver(self, vms: list[str]) -> None:
-        """Let watches bring what the store holds."""
+        """Deliver the content of the store to machines, as their watches do."""
         for vm in vms:
             machine = self.machines.machines[vm]
             machine.watcher.apply_replicas(self.machines.store.items[KEYS.replicas])
@@ -52,7 +51,7 @@
             await machine.replica.adopt_members(machine.watcher.view.replicas)
 
     def stall_fetches(self, vm: str) -> tuple[asyncio.Event, asyncio.Event]:
-        """Let what a machine reads from others come late."""
+        """Delay the turns and accounts that a machine fetches from others."""
         membership = self.machines.machines[vm].membership
         ask, stalled, go_on = membership.ask, asyncio.Event(), asyncio.Event()
 
@@ -66,7 +65,7 @@
         return stalled, go_on
 
     async def two_join(self) -> None:
-        """Let two replicas join a set of two at once."""
+        """Let two replicas join a set of two at the same time."""
         await self.open(["vm-0", "vm-1", "vm-2", "vm-3"])
         self.write(ReplicaSet(1, self.members(["vm-0", "vm-1"]), True))
         await self.deliver(["vm-0", "vm-1", "vm-2", "vm-3"])
@@ -80,24 +79,24 @@
         go_on.set()
         await joining
 
-    async def test_two_that_join_at_once_do_not_write_one_epoch_twice(self) -> None:
+    async def test_two_concurrent_joins_do_not_write_one_epoch_twice(self) -> None:
         await self.two_join()
         self.assertEqual(
             [member.vm for member in self.machines.current_set.members], ["vm-0", "vm-1", "vm-2"]
         )
 
-    async def test_two_that_join_at_once_do_not_spend_a_budget_twice(self) -> None:
+    async def test_two_concurrent_joins_do_not_spend_a_budget_twice(self) -> None:
         await self.two_join()
         await self.deliver(["vm-1", "vm-2", "vm-3"])
         self.machines.cut |= {("vm-0", "vm-1"), ("vm-1", "vm-0")}
-        whole = {"tokens": 940, "budget": 1000}
+        request = {"tokens": 940, "budget": 1000}
         granted = []
         for vm, number in (("vm-0", 1), ("vm-1", 2)):
-            answer = await self.machines.coordinator(vm).begin(begin(number, **whole))
+            answer = await self.machines.coordinator(vm).begin(begin(number, **request))
             granted.append(isinstance(answer, TurnBegun))
         self.assertLess(sum(granted), 2, "940 of 1000 tokens were reserved twice")
 
-    async def test_to_settle_late_does_not_bring_an_older_set_back(self) -> None:
+    async def test_settling_late_does_not_restore_an_older_set(self) -> None:
         vms = ["vm-0", "vm-1", "vm-2", "vm-3"]
         await self.open(vms)
         four = ReplicaSet(2, self.members(vms), False, self.machines.members["vm-3"].disk)
@@ -112,7 +111,7 @@
         membership = self.machines.machines["vm-0"].membership
         settling = asyncio.create_task(membership._check())
         await stalled.wait()
-        # Meanwhile the others, which took vm-0 for silent, settle the set and remove a member.
+        # Meanwhile the others, for which vm-0 is unresponsive, settle the set and remove a member.
         for vm in vms[1:]:
             membership.synced[self.machines.members[vm].disk] = 2
             membership.last_seen_at[self.machines.members[vm].disk] = membership.clock()
--- a/waxwingglade/ledger/tests/test_random_sets.py
+++ b/waxwingglade/ledger/tests/test_random_sets.py
@@ -1,10 +1,8 @@
-"""No turn that was kept is denied and no budget exceeded, while members join, are wiped and
-removed.
+"""No stored turn is denied and no budget exceeded while members join, are wiped and removed.
 
-A turn that was kept just before the set changed was denied just after, and users found it first.
-Nothing ran callers that go on at once from the newest turn, through other replicas, while a member
-joins beside live ones.  In the soak a member only ever joined for one whose disk was lost, so the
-two others had to hold all that was kept.
+Guards against denying a turn that was stored just before a change of the set.  That needs callers
+who continue the newest turn at once through another replica, while a member joins beside running
+ones.  In the soak test members join only for lost disks, so the two others have all stored turns.
 """
 
 import asyncio
@@ -17,16 +15,16 @@
 
 SEEDS = range(1, 5)
 SECONDS = 13.0
-"""Seconds of changes for each seed; all run at the same time."""
+"""Duration of changes for each seed in seconds; all seeds run concurrently."""
 
 FLUSH_S = 0.002
-"""Most seconds that a flush of a disk takes."""
+"""Longest duration of a flush in seconds."""
 
 
 class RandomSetsTest(unittest.TestCase):
-    """Not on the loop of unittest: its debug mode makes tasks some ten times slower."""
+    """Runs outside the event loop of unittest, whose debug mode makes tasks ten times slower."""
 
-    def test_no_kept_turn_is_denied_and_no_budget_exceeded(self) -> None:
+    def test_no_stored_turn_is_denied_and_no_budget_exceeded(self) -> None:
         for run in asyncio.run(run_all()):
             with self.subTest(seed=run.seed):
                 self.assertEqual(run.broken, [])
@@ -35,9 +33,9 @@
 
 
 async def run_all() -> list[RandomSets]:
-    """Run all seeds at the same time."""
+    """Run all seeds concurrently."""
     runs = [RandomSets(seed) for seed in SEEDS]
-    # What all replicas of all seeds log takes longer than what they do.
+    # Logging of all replicas of all seeds takes longer than their other work.
     logger.disable("waxwingglade.ledger")
     with quick_times(), quick_disks(FLUSH_S):
         try:
--- a/waxwingglade/ledger/tests/test_rounds.py
+++ b/waxwingglade/ledger/tests/test_rounds.py
@@ -1,4 +1,4 @@
-"""Rounds among replicas of which some refuse and others are silent."""
+"""Rounds among replicas when some refuse and others do not answer."""
 
 import asyncio
 import unittest
@@ -19,7 +19,7 @@
 MESSAGE = Accept(1, ProgramId("p"), Ballot(1, "a"), NEW_ACCOUNT)
 NO_ANSWER = None
 SOON_S = 2.0
-"""Seconds for an outcome that waits for nobody, on a busy machine; the silent never answer."""
+"""Timeout in seconds of a round without waiting; unresponsive members never answer."""
 
 
 class RoundsTest(unittest.IsolatedAsyncioTestCase):
@@ -27,7 +27,7 @@
         self.members = [Member(f"d{n}", f"vm-{n}", f"a-{n}", ZoneId("z")) for n in range(5)]
 
     async def outcome(self, answers: list[Any], first: int = 3) -> list[Any]:
-        """Ask members for a majority, each with an answer of its own."""
+        """Run a round with one given answer for each member; return the good answers."""
         by_disk = dict(zip([member.disk for member in self.members], answers, strict=True))
 
         async def ask(member: Member, _message: Any, _timeout_s: float) -> Any:
@@ -40,17 +40,17 @@
         async with asyncio.timeout(SOON_S):
             return await rounds.majority(self.members, first, MESSAGE, Accepted)
 
-    async def test_nobody_is_waited_for_who_cannot_decide_it_any_more(self) -> None:
-        """A zone is cut off, and its member silent, while two processes change one account.
+    async def test_a_member_that_cannot_decide_the_round_is_not_waited_for(self) -> None:
+        """Guards against waiting for a partitioned zone while two processes change one account.
 
-        A round that was lost took 0.25 s then, three of them the 0.9 s after which a turn is given
-        up, and turns that waited so filled the processes.
+        A lost round would take 0.25 s, and three of them nearly the 0.9 s after which a turn times
+        out.  Waiting turns would then exhaust the capacity of the processes.
         """
         refusal = Rejected(Ballot(2, "b"))
         good = await self.outcome([Accepted(), refusal, refusal, refusal, NO_ANSWER])
         self.assertEqual([Accepted()], good)
 
-    async def test_a_silent_member_that_may_decide_it_is_waited_for(self) -> None:
+    async def test_a_member_that_may_decide_the_round_is_waited_for(self) -> None:
         with self.assertRaises(TimeoutError):
             await self.outcome(
                 [Accepted(), Accepted(), Rejected(Ballot(2, "b")), NO_ANSWER, NO_ANSWER]
--- a/waxwingglade/ledger/tests/test_signs_of_life.py
+++ b/waxwingglade/ledger/tests/test_signs_of_life.py
@@ -1,4 +1,4 @@
-"""Whose silence counts: neither that of a new member nor that of the time one stood still."""
+"""Time since a member was last seen, for new members and after a stall of this process."""
 
 import asyncio
 import unittest
@@ -57,7 +57,7 @@
         await asyncio.Event().wait()
 
     def mark_seen(self, *members: Member) -> None:
-        """Let members give a sign of life now."""
+        """Record that members are seen now."""
         for each in members:
             self.membership.unresponsive_s(each)
             self.membership.last_seen_at[each.disk] = self.clock()
@@ -66,7 +66,7 @@
         """Return whether the replica would join."""
         return self.membership._is_needed(self.replica.replicas)
 
-    async def test_a_member_that_has_just_joined_is_not_silent(self) -> None:
+    async def test_a_member_that_has_just_joined_is_not_unresponsive(self) -> None:
         """Guards against a second replica that joins beside the first for one lost member."""
         self.clock.now += JOIN_BESIDE_S + 0.1
         self.mark_seen(MEMBERS[0], MEMBERS[2])
@@ -76,8 +76,8 @@
         self.clock.now += REMOVE_AFTER_S
         self.assertTrue(self.is_needed())
 
-    async def test_a_standstill_is_not_the_silence_of_others(self) -> None:
-        """Guards against joining for a member that answered while this process stood still."""
+    async def test_a_stall_does_not_make_others_unresponsive(self) -> None:
+        """Guards against joining for a member that answered while this process stalled."""
         self.mark_seen(*MEMBERS)
         self.clock.now += JOIN_BESIDE_S + 0.1
         self.membership.discount_stall(JOIN_BESIDE_S)
@@ -85,8 +85,8 @@
         self.clock.now += JOIN_BESIDE_S
         self.assertTrue(self.is_needed())
 
-    async def test_a_member_that_joins_again_is_not_silent(self) -> None:
-        """Guards against counting the time in which it was no member and nobody asked it."""
+    async def test_a_member_that_joins_again_is_not_unresponsive(self) -> None:
+        """Guards against counting the time before it joined, when it was not pinged."""
         for members in ((*MEMBERS, JOINED), MEMBERS, (*MEMBERS, JOINED)):
             self.clock.now += REMOVE_AFTER_S
             self.replica.replicas = ReplicaSet(self.replica.replicas.epoch + 1, members, True)
--- a/waxwingglade/ledger/tests/test_standby.py
+++ b/waxwingglade/ledger/tests/test_standby.py
@@ -1,7 +1,7 @@
-"""A ledger process on standby asks for little, and is there when it is needed.
+"""A standby ledger process makes few calls, and joins when it is needed.
 
-Processes of a fleet that has more disks than the ledger has members, on loopback and on a store in
-memory.
+The processes of a fleet with more disks than the ledger has members run on loopback, with a store
+in memory.
 """
 
 import asyncio
@@ -29,19 +29,19 @@
 TURNS = 400
 OBSERVED_S = 4.0
 MAX_WATCHES = 4
-"""Watches of a process on standby in that time."""
+"""Most watches of a standby process during `OBSERVED_S`."""
 
 REPLACED_S = 4.0
-"""Seconds within which a replacement must count."""
+"""Seconds within which a replacement must be complete."""
 
 EMPTIED_S = 9.0
-"""Seconds of an operator's order to empty a VM, the least that are given."""
+"""Shortest time limit in seconds of an operator's order to empty a VM."""
 
 WAIT_LIMIT_S = 20.0
 
 
 class WaitingStore(MemoryStore):
-    """The store of one process, which waits for news as the platform's does."""
+    """The store of one process, whose watches wait for updates as those of the platform do."""
 
     def __init__(self, shared: MemoryStore) -> None:
         self.__dict__ = {**shared.__dict__, "watches": 0}
@@ -99,16 +99,16 @@
         await self.nodes.pop(vm).stop()
 
     async def stop_all(self) -> None:
-        """Stop what still runs."""
+        """Stop all processes."""
         for vm in list(self.nodes):
             await self.stop(vm)
 
     def candidate_of(self, zone: str) -> Item:
-        """Return who last said in a zone that it is about to join."""
+        """Return the last claim to join in a zone."""
         return self.shared.items[KEYS.candidates + zone]
 
     def members(self) -> set[str]:
-        """Return the members of the settled set; none while it is not."""
+        """Return the members of the settled set; none while the set is not settled."""
         node = next(iter(self.nodes.values()))
         replicas = node.watcher.view.replicas
         return {member.vm for member in replicas.members} if replicas.settled else set()
@@ -122,7 +122,7 @@
                 await asyncio.sleep(CHECK_INTERVAL_S)
 
     def standbys(self) -> list[LedgerNode]:
-        """Return the processes that are no members."""
+        """Return the processes that are not members."""
         return [node for vm, node in self.nodes.items() if vm not in self.members()]
 
     async def test_it_makes_few_calls_to_the_store(self) -> None:
@@ -133,12 +133,12 @@
         for node, count in zip(standbys, before, strict=True):
             self.assertLessEqual(node.store.watches - count, MAX_WATCHES)
 
-    async def test_it_joins_in_time_for_a_member_that_has_gone(self) -> None:
+    async def test_it_joins_in_time_for_a_stopped_member(self) -> None:
         await asyncio.sleep(1.0)
         await self.stop("vm-b-1")
         await self.until(lambda: "vm-b-2" in self.members(), REPLACED_S)
 
-    async def test_it_joins_in_time_for_a_member_that_is_to_be_emptied(self) -> None:
+    async def test_it_joins_in_time_for_a_retiring_member(self) -> None:
         await asyncio.sleep(1.0)
         self.shared.put("op/retire/vm-c-1", b"{}")
         await self.until(
@@ -146,18 +146,18 @@
         )
 
     async def hold_turns(self) -> None:
-        """Let all members hold some turns."""
+        """Store some turns at all members."""
         names = [TurnId(f"t{number}") for number in range(TURNS)]
         kept = tuple(Turn(name, None, b"x" * 1000, b"", FAR_FUTURE) for name in names)
         for vm in self.members():
             await self.nodes[vm].replica.store_fetched(Fetched(kept))
 
     def readers(self) -> set[str]:
-        """Return the processes that have read what the members hold, and are no members."""
+        """Return the processes that have read the turns of the members, but are not members."""
         holding = {vm for vm, node in self.nodes.items() if node.replica.turns}
         return holding - self.members()
 
-    async def test_one_of_a_zone_reads_what_the_members_hold(self) -> None:
+    async def test_one_replica_of_a_zone_reads_the_data_of_the_members(self) -> None:
         for number in (3, 4):
             await self.start(f"vm-b-{number}", "b")
         await asyncio.sleep(1.0)
@@ -169,20 +169,20 @@
         self.assertEqual(self.readers(), set())
 
     def is_replaced(self, lost: str) -> bool:
-        """Return whether the set is settled without a disk, and as large as wanted."""
+        """Return whether the set is settled without a lost disk, and has the wanted size."""
         replicas = self.nodes["vm-a-1"].watcher.view.replicas
         disks = {member.disk for member in replicas.members}
         return replicas.settled and len(disks) == WANTED and lost not in disks
 
-    async def test_a_candidate_that_has_gone_holds_its_zone_up_only_shortly(self) -> None:
+    async def test_a_candidate_that_fails_blocks_its_zone_only_briefly(self) -> None:
         await asyncio.sleep(1.0)
         await self.stop("vm-b-1")
         await asyncio.sleep(1.0)
         self.shared.put(KEYS.candidates + "b", b"a disk that is gone")
         await self.until(lambda: "vm-b-2" in self.members(), REPLACED_S)
 
-    async def test_a_candidate_that_can_not_read_gives_way(self) -> None:
-        """It reaches the store and hears the members, and nothing else of them."""
+    async def test_a_candidate_that_cannot_read_pauses(self) -> None:
+        """It reaches the store, and members answer its pings but no other requests."""
         await asyncio.sleep(1.0)
         candidate = self.nodes["vm-b-2"]
         ask = candidate.ask_member
@@ -199,7 +199,7 @@
         await self.start("vm-b-3", "b")
         await self.until(lambda: "vm-b-3" in self.members())
 
-    async def test_one_that_hears_no_majority_is_no_candidate(self) -> None:
+    async def test_a_replica_without_a_responsive_majority_is_no_candidate(self) -> None:
         await asyncio.sleep(1.0)
         standby = self.nodes["vm-b-2"]
         before = self.candidate_of("b")
@@ -210,7 +210,7 @@
         self.assertEqual(self.candidate_of("b"), before)
 
     async def test_half_of_an_even_set_is_enough_to_read_from(self) -> None:
-        """It holds one of every majority, and nobody else is left to join beside."""
+        """Half of an even set includes a member of every majority, and no other member responds."""
         await asyncio.sleep(1.0)
         standby = self.nodes["vm-b-2"]
         await standby.membership.candidacy.claim(standby.replica.replicas)
@@ -226,7 +226,7 @@
         ):
             await standby.membership._join(standby.replica.replicas)
 
-    async def test_it_knows_a_version_that_came_while_it_stood_by(self) -> None:
+    async def test_it_receives_a_version_published_while_on_standby(self) -> None:
         await asyncio.sleep(1.0)
         self.shared.put(KEYS.configuration, b'{"version": 2}')
         await self.until(
