--- a/waxwingglade/ledger/membership.py
+++ b/waxwingglade/ledger/membership.py
@@ -2,8 +2,8 @@
 
 The store holds the set of members under one key.  A set changes by one member at a time, by
 compare-and-swap, and only once it is settled.  A set is settled when a majority of its members has
-read the data of the others, which refuse requests under older sets from then on.  So every majority
-of a set includes a member that holds whatever earlier sets acknowledged.
+read the data of the others.  From then on these members refuse requests under older sets, so every
+majority of a set includes a member that has all data that earlier sets acknowledged.
 
 A wiped disk gets a new name and counts as a new member.  It reads the data of the others and joins;
 then the member with its old name is removed.
@@ -87,7 +87,7 @@
     own : Member
         This process's replica.
     replica : Replica
-        Its state.
+        Stores the set of members and the data of this process.
     watcher : Watcher
         Provides the sets of members and the retiring VMs in the store.
     store : Store
@@ -376,7 +376,7 @@
         return len(replicas.members) > self.wanted or self.clock() - asked_at > STANDBY_JOIN_WAIT_S
 
     def _leads(self, without: Member | None = None) -> bool:
-        """Return whether this is the first responsive member, which alone writes to the store.
+        """Return whether this is the first responsive member, so that not all call the store.
 
         A member that does not reach the store is skipped, as no set would be settled otherwise.
         """
--- a/waxwingglade/ledger/replica.py
+++ b/waxwingglade/ledger/replica.py
@@ -455,7 +455,7 @@
             await self._drop_segments()
 
     def forget_expired(self) -> None:
-        """Remove expired turns and accounts from memory."""
+        """Remove expired turns and accounts from the index and from memory."""
         now = self.wall_clock()
         for name, where in list(self.turns.items()):
             if where.expires_at + EXPIRY_MARGIN_S < now:
