--- a/waxwingglade/ledger/tests/test_account.py
+++ b/waxwingglade/ledger/tests/test_account.py
@@ -1,4 +1,4 @@
-"""The rules of a program's account."""
+"""Tests of the functions that change a program's account."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class AccountTest(unittest.TestCase):
-    def test_reservations_count_until_they_are_settled(self) -> None:
+    def test_reservations_count_until_they_are_resolved(self) -> None:
         account, first = reserve(NEW_ACCOUNT, ONE, 60, 100, 0.0)
         account, second = reserve(account, TWO, 60, 100, 0.0)
         self.assertEqual((first, second), (Reservation.GRANTED, Reservation.SPENT))
@@ -42,19 +42,19 @@
         self.assertEqual(outcome, Reservation.ENDED)
         self.assertEqual(committed(account), 0)
 
-    def test_a_budget_of_exactly_one_turn_holds_it(self) -> None:
+    def test_a_budget_of_exactly_one_turn_suffices_for_it(self) -> None:
         _, outcome = reserve(NEW_ACCOUNT, ONE, 100, 100, 0.0)
         self.assertEqual(outcome, Reservation.GRANTED)
 
-    def test_the_engine_of_the_last_turn_that_ran_is_known(self) -> None:
+    def test_the_engine_of_the_last_turn_that_ran_is_recorded(self) -> None:
         account = resolve_reservation(NEW_ACCOUNT, end(ONE, 10, "engine-1"), 0.0)
         self.assertEqual(account.target, "engine-1")
         account = resolve_reservation(account, end(TWO, 0), 0.0)
-        self.assertEqual(account.target, "engine-1", "a turn that was not run moves nothing")
+        self.assertEqual(account.target, "engine-1", "a turn that was not run has no engine")
         account = resolve_reservation(account, end(THREE, 10, "engine-2"), 0.0)
         self.assertEqual(account.target, "engine-2")
 
-    def test_the_engine_that_failed_the_last_turn_is_known_until_one_is_whole(self) -> None:
+    def test_the_engine_that_failed_the_last_turn_is_recorded_until_one_completes(self) -> None:
         account = resolve_reservation(NEW_ACCOUNT, end(ONE, 0, failed_at="engine-1"), 0.0)
         self.assertEqual(account.failed_at, "engine-1")
         account = resolve_reservation(account, end(TWO, 10, "engine-2"), 0.0)
--- a/waxwingglade/ledger/tests/test_accounts.py
+++ b/waxwingglade/ledger/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Accounts that many change at the same time, through one process and through several."""
+"""Tests of concurrent changes of an account, through one process and through several."""
 
 import asyncio
 import unittest
@@ -30,17 +30,17 @@
         self.addAsyncCleanup(self.cluster.close)
         await self.cluster.start()
 
-    async def test_changes_that_come_together_are_proposed_together(self) -> None:
+    async def test_concurrent_changes_are_batched_into_one_proposal(self) -> None:
         one = self.cluster.coordinator("vm-0")
         turns = [begin(number, TURN, BUDGET) for number in range(AGENTS)]
         answers = await asyncio.gather(*(one.begin(turn) for turn in turns))
         self.assertEqual([TurnBegun()] * AGENTS, answers)
-        # One proposal with what came first, and one with all that came meanwhile.
+        # One proposal with the first change, and one with all changes that arrive meanwhile.
         carried = [message for _, _, message in self.cluster.carried]
         proposals = {message.ballot for message in carried if isinstance(message, Accept)}
         self.assertLessEqual(len(proposals), 2)
 
-    async def test_a_change_whose_caller_has_left_holds_up_no_other(self) -> None:
+    async def test_a_change_whose_caller_has_disconnected_delays_no_other(self) -> None:
         one = self.cluster.coordinator("vm-0")
         leaving = asyncio.create_task(one.begin(begin(0, TURN, BUDGET)))
         await asyncio.sleep(0)
@@ -49,7 +49,7 @@
         leaving.cancel()
         self.assertIsInstance(await following, TurnBegun)
 
-    async def test_no_waiting_change_is_forgotten_without_a_majority(self) -> None:
+    async def test_every_pending_change_fails_without_a_majority(self) -> None:
         one = self.cluster.coordinator("vm-0")
         self.cluster.isolate("vm-0")
         turns = [begin(number, TURN, BUDGET) for number in range(AGENTS)]
@@ -59,7 +59,7 @@
 
 
 class RefusalTest(unittest.IsolatedAsyncioTestCase):
-    """A turn for which the budget has no room changes nothing, and neither does its refusal."""
+    """A turn that exceeds the budget is refused without a write."""
 
     async def asyncSetUp(self) -> None:
         self.cluster = Cluster()
@@ -72,11 +72,11 @@
         self.cluster.carried.clear()
 
     def promise(self, vm: str, number: int = 1_000) -> Coroutine[Any, Any, Any]:
-        """Let a member promise the ballot of a proposal that is under way."""
+        """Make a member promise the ballot of a proposal in progress."""
         message = Prepare(self.cluster.set.epoch, PROGRAM, Ballot(number, "another"))
         return self.cluster.replicas[vm].prepare(message)
 
-    async def test_a_refusal_is_not_proposed_by_who_has_seen_the_account(self) -> None:
+    async def test_a_refusal_is_not_proposed_if_the_account_is_cached(self) -> None:
         await self.two.begin(begin(98, TURN, BUDGET))
         self.cluster.carried.clear()
         flushes = [each.journal.flushes for each in self.cluster.replicas.values()]
@@ -87,7 +87,7 @@
         self.assertFalse(kinds & {Prepare, Accept})
         self.assertEqual(flushes, [each.journal.flushes for each in self.cluster.replicas.values()])
 
-    async def test_whoever_made_the_last_change_goes_on_without_asking_for_promises(self) -> None:
+    async def test_the_process_that_made_the_last_change_asks_for_no_promises(self) -> None:
         await self.two.begin(begin(99, TURN, BUDGET))
         await self.one.end(end(0, used=TURN))
         await self.two.begin(begin(98, TURN, BUDGET))
@@ -95,18 +95,18 @@
         await self.one.end(end(1, used=TURN))
         self.assertNotIn(Prepare, {type(message) for _, _, message in self.cluster.carried})
 
-    async def test_tokens_that_were_settled_elsewhere_are_not_refused(self) -> None:
+    async def test_tokens_that_were_released_by_another_process_are_granted(self) -> None:
         await self.two.begin(begin(99, TURN, BUDGET))
         await self.one.end(end(0, used=0))
         self.assertIsInstance(await self.two.begin(begin(98, TURN, BUDGET)), TurnBegun)
 
-    async def test_an_account_that_another_is_about_to_change_is_not_read(self) -> None:
+    async def test_an_account_that_another_process_is_about_to_change_is_not_read(self) -> None:
         self.assertIsNotNone(await self.two.accounts.read(PROGRAM))
         await self.promise("vm-0")
         await self.promise("vm-1")
         self.assertIsNone(await self.two.accounts.read(PROGRAM))
 
-    async def test_what_a_minority_has_accepted_is_not_read(self) -> None:
+    async def test_an_account_that_only_a_minority_has_accepted_is_not_read(self) -> None:
         accounts = [await each.accounts.read(PROGRAM) for each in (self.one, self.two)]
         ballot = Ballot(1_000, "another")
         await self.promise("vm-2")
@@ -118,7 +118,7 @@
         )
         self.assertEqual(accounts[0], accounts[1])
 
-    async def test_no_account_is_read_by_a_side_without_a_majority(self) -> None:
+    async def test_no_account_is_read_in_a_partition_without_a_majority(self) -> None:
         self.cluster.isolate("vm-1")
         self.assertIsNone(await self.two.accounts.read(PROGRAM))
 
@@ -129,13 +129,13 @@
         self.assertIsNone(await self.one.accounts.read(PROGRAM))
 
 
-class PauseTest(unittest.TestCase):
-    """A process makes way for about as long as others take, which depends on their disks."""
+class BackoffTest(unittest.TestCase):
+    """The back-off scales with the duration of a proposal, which depends on the disks."""
 
     def longest(self, proposal_s: float, conflicts: int) -> float:
         return max(_backoff_s(proposal_s, conflicts) for _ in range(1_000))
 
-    def test_it_is_longer_where_proposals_take_longer(self) -> None:
+    def test_it_is_longer_if_proposals_take_longer(self) -> None:
         self.assertGreater(self.longest(0.05, 1), 0.05)
         self.assertLess(self.longest(0.002, 1), 2.01 * FIRST_PAUSE_S)
 
--- a/waxwingglade/ledger/tests/test_client.py
+++ b/waxwingglade/ledger/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The ledger as an entry uses it, on links that a test answers."""
+"""Tests of the ledger client on fake links."""
 
 import asyncio
 import time
@@ -28,10 +28,10 @@
 
 
 class FakeLinks:
-    """Links whose peers are cut off, have too much to do, or answer that a turn has ended."""
+    """Links whose peers are partitioned, are busy, or answer that a turn has ended."""
 
     def __init__(self) -> None:
-        self.cut_off = True
+        self.partitioned = True
         self.busy = False
         self.asked: list[Any] = []
 
@@ -42,14 +42,14 @@
     async def request(self, body: Any, timeout_s: float) -> Any:
         """Answer a request, or fail."""
         await asyncio.sleep(0)
-        if self.cut_off:
-            raise LinkFailed("cut off", sent=True)
+        if self.partitioned:
+            raise LinkFailed("partitioned", sent=True)
         self.asked.append(body)
         return Busy() if self.busy else TurnEnded(True, True)
 
 
-class SettlingLinks:
-    """Links to replicas of which the one that is asked first knows no members."""
+class MemberlessLinks:
+    """Links to replicas; the replica that is asked first has no set of members."""
 
     def __init__(self) -> None:
         self.asked: list[str] = []
@@ -64,19 +64,19 @@
         return mock.Mock(request=request)
 
 
-class NotingLinks:
-    """Links to replicas that settle nothing and note all that they are told."""
+class RecordingLinks:
+    """Links to replicas that record the ends of turns, and do not answer anything else."""
 
     def __init__(self) -> None:
-        self.noted: dict[str, list[EndTurn]] = {}
-        self.silent: set[str] = set()
+        self.recorded: dict[str, list[EndTurn]] = {}
+        self.unresponsive: set[str] = set()
 
     def to(self, address: str) -> mock.Mock:
         """Return the link to a peer."""
 
         async def request(body: Any, _timeout_s: float) -> Any:
-            if isinstance(body, NoteEnd) and address not in self.silent:
-                self.noted.setdefault(address, []).append(body.end)
+            if isinstance(body, NoteEnd) and address not in self.unresponsive:
+                self.recorded.setdefault(address, []).append(body.end)
                 return EndNoted()
             await asyncio.sleep(20.0)
             return None
@@ -84,60 +84,60 @@
         return mock.Mock(request=request)
 
 
-class TellingTest(unittest.IsolatedAsyncioTestCase):
-    """What a majority does not settle at once is told to every replica."""
+class NotificationTest(unittest.IsolatedAsyncioTestCase):
+    """Every replica is notified of an end if the reservation is not resolved at once."""
 
     async def asyncSetUp(self) -> None:
         patch = mock.patch("waxwingglade.ledger.client.NOTIFY_DELAY_S", 0.05)
         patch.start()
         self.addCleanup(patch.stop)
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(3)]
-        self.links = NotingLinks()
+        self.links = RecordingLinks()
         self.client = LedgerClient(self.links, lambda: replicas, ZoneId("zone"))
         self.addAsyncCleanup(self.client.finish, 0.0)
         self.all = {f"a-{n}": [MESSAGE] for n in range(3)}
 
-    async def test_the_end_of_a_turn_on_which_the_ledger_did_not_decide(self) -> None:
+    async def test_all_replicas_are_notified_at_once_of_an_undecided_turn(self) -> None:
         self.client.resolve_refused(MESSAGE)
         for _ in range(3):
             await asyncio.sleep(0)
-        self.assertEqual(self.all, self.links.noted)
+        self.assertEqual(self.all, self.links.recorded)
 
-    async def test_a_refusal_waits_for_a_majority_to_note_the_end(self) -> None:
-        self.links.silent = {"a-0"}
+    async def test_a_refusal_waits_until_a_majority_has_recorded_the_end(self) -> None:
+        self.links.unresponsive = {"a-0"}
         self.assertTrue(await self.client.wait_until_recorded(self.client.resolve_refused(MESSAGE)))
-        self.assertEqual({"a-1", "a-2"}, set(self.links.noted))
+        self.assertEqual({"a-1", "a-2"}, set(self.links.recorded))
 
-    async def test_a_refusal_does_not_wait_long_for_replicas_that_are_silent(self) -> None:
-        self.links.silent = {"a-0", "a-1"}
+    async def test_a_refusal_does_not_wait_long_for_unresponsive_replicas(self) -> None:
+        self.links.unresponsive = {"a-0", "a-1"}
         asked_at = time.monotonic()
         self.assertFalse(
             await self.client.wait_until_recorded(self.client.resolve_refused(MESSAGE))
         )
         self.assertLess(time.monotonic() - asked_at, REPLICA_TIMEOUT_S)
 
-    async def test_a_turn_that_no_target_took_does_not_wait_long_to_be_settled(self) -> None:
+    async def test_a_turn_that_was_not_run_does_not_wait_long_to_be_resolved(self) -> None:
         asked_at = time.monotonic()
         await self.client.resolve_first(MESSAGE)
         self.assertLess(time.monotonic() - asked_at, REPLICA_TIMEOUT_S)
-        self.assertEqual(self.all, self.links.noted, "everybody is told meanwhile")
+        self.assertEqual(self.all, self.links.recorded, "all replicas are notified meanwhile")
 
-    async def test_an_end_that_is_not_settled_in_time(self) -> None:
+    async def test_all_replicas_are_notified_if_resolving_takes_long(self) -> None:
         self.client.resolve_later(MESSAGE)
         await asyncio.sleep(0.02)
-        self.assertEqual({}, self.links.noted)
+        self.assertEqual({}, self.links.recorded)
         await asyncio.sleep(0.06)
-        self.assertEqual(self.all, self.links.noted)
+        self.assertEqual(self.all, self.links.recorded)
 
-    async def test_what_a_process_that_ends_has_not_settled(self) -> None:
+    async def test_all_replicas_are_notified_of_unresolved_ends_at_shutdown(self) -> None:
         self.client.resolve_later(MESSAGE)
         await asyncio.sleep(0)
         await self.client.finish(0.0)
-        self.assertEqual(self.all, self.links.noted)
+        self.assertEqual(self.all, self.links.recorded)
         self.assertFalse(self.client.resolving)
 
 
-class SettlingTest(unittest.IsolatedAsyncioTestCase):
+class ResolvingTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         for name, value in (
             ("RESOLVE_TIMEOUT_S", 0.02),
@@ -150,24 +150,24 @@
         replica = Replica("disk", "vm", "address", ZoneId("zone"))
         self.client = LedgerClient(self.links, lambda: [replica], ZoneId("zone"))
 
-    async def test_a_process_that_ends_waits_for_what_it_settles(self) -> None:
+    async def test_shutdown_waits_for_reservations_to_be_resolved(self) -> None:
         self.client.resolve_later(MESSAGE)
         await asyncio.sleep(0.03)
-        self.links.cut_off = False
+        self.links.partitioned = False
         await self.client.finish(20.0)
         self.assertEqual(self.links.asked, [MESSAGE])
         self.assertFalse(self.client.resolving)
 
-    async def test_a_replica_that_could_not_settle_is_asked_last_the_next_time(self) -> None:
+    async def test_a_replica_that_failed_to_resolve_is_asked_last_the_next_time(self) -> None:
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(2)]
-        links = SettlingLinks()
+        links = MemberlessLinks()
         client = LedgerClient(links, lambda: replicas, ZoneId("zone"))
         client.resolve_later(MESSAGE)
         await client.finish(20.0)
         self.assertEqual(2, len(links.asked))
         self.assertEqual(2, len(set(links.asked)))
 
-    async def test_a_replica_that_keeps_turns_is_not_avoided_for_an_account_that_is_held_up(
+    async def test_a_replica_that_stores_turns_is_not_avoided_for_a_delayed_account(
         self,
     ) -> None:
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(2)]
@@ -178,7 +178,7 @@
         self.assertEqual({}, client.avoided)
         await client.finish(0.0)
 
-    async def test_a_replica_that_keeps_no_turn_is_avoided(self) -> None:
+    async def test_a_replica_that_does_not_store_a_turn_is_avoided(self) -> None:
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(2)]
         links = mock.Mock()
         links.to.return_value.request = mock.AsyncMock(return_value=TurnEnded(False, True))
@@ -187,9 +187,9 @@
         self.assertEqual({"a-0", "a-1"}, set(client.avoided))
         await client.finish(0.0)
 
-    async def test_where_all_failed_lately_the_last_one_is_asked_last(self) -> None:
+    async def test_if_all_failed_recently_the_last_one_to_fail_is_asked_last(self) -> None:
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(3)]
-        links = SettlingLinks()
+        links = MemberlessLinks()
         client = LedgerClient(links, lambda: replicas, ZoneId("zone"))
         first = client._in_order(MESSAGE)[0]
         client.avoided = {each.address: client.clock() + 0.9 for each in replicas if each != first}
@@ -199,26 +199,26 @@
         self.assertNotEqual(first.address, links.asked[1])
         self.assertEqual(2, len(links.asked))
 
-    async def test_but_not_for_ever(self) -> None:
+    async def test_shutdown_stops_resolving_at_its_timeout(self) -> None:
         self.client.resolve_later(MESSAGE)
         await self.client.finish(0.02)
         self.assertFalse(self.client.resolving)
-        self.links.cut_off = False
+        self.links.partitioned = False
         await asyncio.sleep(0.1)
         self.assertEqual(self.links.asked, [])
 
-    async def test_no_more_replicas_are_asked_once_two_have_too_much_to_do(self) -> None:
+    async def test_no_more_replicas_are_asked_once_two_are_busy(self) -> None:
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(5)]
         client = LedgerClient(self.links, lambda: replicas, ZoneId("zone"))
-        self.links.cut_off, self.links.busy = False, True
+        self.links.partitioned, self.links.busy = False, True
         begin = BeginTurn(TurnId("t"), ProgramId("p"), 40, 100)
         self.assertEqual(await client.begin(begin, 20.0), Busy())
         self.assertEqual(len(self.links.asked), MAX_BUSY_ANSWERS)
 
-    async def test_a_turn_is_kept_though_all_replicas_have_too_much_to_do_at_first(self) -> None:
+    async def test_a_turn_is_stored_though_all_replicas_are_busy_at_first(self) -> None:
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(3)]
         client = LedgerClient(self.links, lambda: replicas, ZoneId("zone"))
-        self.links.cut_off, self.links.busy = False, True
+        self.links.partitioned, self.links.busy = False, True
         ending = asyncio.create_task(client.end(end(1), 20.0))
         await asyncio.sleep(0.2)
         self.assertFalse(ending.done())
@@ -227,34 +227,34 @@
         asked = [each for each in self.links.asked if isinstance(each, EndTurn) and each.kept]
         self.assertLessEqual(len(asked), 3 * MAX_BUSY_ANSWERS + 1, "replicas are given time")
 
-    async def test_replicas_are_asked_to_keep_a_turn_until_its_caller_has_no_time_left(
+    async def test_replicas_are_asked_to_store_a_turn_until_its_caller_has_no_time_left(
         self,
     ) -> None:
         replica = Replica("disk", "vm", "address", ZoneId("zone"))
         loop = asyncio.get_running_loop()
-        keeps_at = loop.time() + 2.35
+        stores_at = loop.time() + 2.35
         links = mock.Mock()
 
         async def request(_body: Any, _timeout_s: float) -> TurnEnded:
-            return TurnEnded(loop.time() >= keeps_at, True)
+            return TurnEnded(loop.time() >= stores_at, True)
 
         links.to.return_value.request = request
         client = LedgerClient(links, lambda: [replica], ZoneId("zone"))
         self.assertTrue(await client.end(end(1), 2.8))
 
-    async def test_a_turn_that_somebody_may_have_begun_is_not_called_busy(self) -> None:
+    async def test_busy_is_not_returned_if_a_replica_may_have_begun_the_turn(self) -> None:
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(3)]
         client = LedgerClient(self.links, lambda: replicas, ZoneId("zone"))
         begin = BeginTurn(TurnId("t"), ProgramId("p"), 40, 100)
         asking = asyncio.create_task(client.begin(begin, 0.3))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        self.links.cut_off, self.links.busy = False, True
+        self.links.partitioned, self.links.busy = False, True
         self.assertIsInstance(await asking, Unavailable)
         self.assertTrue(self.links.asked)
 
-    async def test_a_turn_is_begun_as_long_as_its_caller_has_time(self) -> None:
-        """Guards against refusing it after a limit of the entry's own."""
+    async def test_beginning_a_turn_is_retried_as_long_as_its_caller_has_time(self) -> None:
+        """Guards against a refusal at a shorter timeout of the entry."""
         replicas = [Replica(f"disk-{n}", f"vm-{n}", f"a-{n}", ZoneId("zone")) for n in range(3)]
         loop = asyncio.get_running_loop()
         begins_at = loop.time() + 1.4
@@ -270,14 +270,14 @@
         self.assertEqual(TurnBegun(), await client.begin(begin, 3.0))
         self.assertLess(links.to.return_value.request.await_count, 30, "replicas are given time")
 
-    async def test_a_turn_is_confirmed_where_it_was_begun(self) -> None:
+    async def test_the_replica_that_began_a_turn_is_asked_first_to_confirm_it(self) -> None:
         replicas = [Replica(f"d{n}", f"vm-{n}", f"a-{n}", ZoneId(f"z{n % 3}")) for n in range(9)]
         client = LedgerClient(self.links, lambda: replicas, ZoneId("z1"))
         for replica in replicas:
             message = ConfirmTurn(TurnId("t"), ProgramId("p"), replica.disk)
             self.assertEqual(replica, client._in_order(message)[0])
 
-    async def test_entries_of_a_zone_ask_the_same_replica_of_it_for_a_program(self) -> None:
+    async def test_entries_of_a_zone_ask_the_same_replica_for_a_program(self) -> None:
         replicas = [Replica(f"d{n}", f"vm-{n}", f"a-{n}", ZoneId(f"z{n % 3}")) for n in range(9)]
         first = set()
         for order in (replicas, replicas[::-1]):
--- a/waxwingglade/ledger/tests/test_client_accounts.py
+++ b/waxwingglade/ledger/tests/test_client_accounts.py
@@ -1,4 +1,4 @@
-"""Turns belong to the client account that made them."""
+"""Tests that only the client account that owns a turn can continue it."""
 
 import unittest
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class ClientAccountTest(unittest.IsolatedAsyncioTestCase):
-    """A turn is continued by the client account that made it, and by no other."""
+    """A turn can be continued only by the client account that created it."""
 
     async def asyncSetUp(self) -> None:
         self.cluster = Cluster()
@@ -27,13 +27,13 @@
         asked = msgspec.structs.replace(begin(9, previous=f"turn-{number}"), client=client)
         return await self.coordinator.begin(asked)
 
-    async def test_another_account_is_told_that_there_is_no_such_turn(self) -> None:
+    async def test_for_another_account_the_turn_does_not_exist(self) -> None:
         await self.keep(1, "shop")
         for client in ("garage", None):
             self.assertEqual(NoSuchTurn(), await self.continued(1, client))
         self.assertIsInstance(await self.continued(1, "shop"), TurnBegun)
 
-    async def test_it_stays_so_over_a_restart(self) -> None:
+    async def test_the_owner_survives_a_restart(self) -> None:
         await self.keep(1, "shop")
         for vm in list(self.cluster.replicas):
             await self.cluster.restart(vm)
@@ -41,11 +41,11 @@
         self.assertEqual(NoSuchTurn(), await self.continued(1, "garage"))
         self.assertIsInstance(await self.continued(1, "shop"), TurnBegun)
 
-    async def test_a_turn_kept_without_accounts_may_go_on(self) -> None:
+    async def test_a_turn_stored_without_an_account_can_be_continued(self) -> None:
         await self.keep(1, None)
         self.assertIsInstance(await self.continued(1, "shop"), TurnBegun)
 
-    def test_a_turn_written_before_there_were_accounts_is_read(self) -> None:
+    def test_a_record_of_a_version_without_client_accounts_is_read(self) -> None:
         old = msgspec.msgpack.encode(["t", ["turn-1", None, b"asked", b"answered", 4e9, "i-1"]])
         record = decode(old)
         assert isinstance(record, TurnRecord)
