--- a/waxwingglade/decisions/health.py
+++ b/waxwingglade/decisions/health.py
@@ -78,7 +78,7 @@
 
 
 def may_eject(table: TargetTable, view: TargetView) -> bool:
-    """Return whether each pool of `view` stays within its maximum share of ejected targets."""
+    """Return whether ejecting `view` keeps its pools within their maximum ejected share."""
     return all(_ejected_in(table, pool) + 1 <= _floor(table, pool) for pool in view.pools)
 
 
--- a/waxwingglade/decisions/pause.py
+++ b/waxwingglade/decisions/pause.py
@@ -3,7 +3,7 @@
 The expected duration of a tool's pauses is estimated from its past pauses.  Cache is retained for
 any pause up to the bound on idle cache, since targets themselves evict the least recently used
 blocks; docs/decisions.md gives the measurement of a rule that released cache sooner.  If a tool
-usually takes longer than the bound, the cache would expire unused, so it is released at once.
+usually takes longer than the bound, its pauses outlast the cache, which is released at once.
 """
 
 import statistics
--- a/waxwingglade/decisions/placement.py
+++ b/waxwingglade/decisions/placement.py
@@ -4,7 +4,8 @@
 moves to a less busy engine needs a prefill of its whole history there, and the prefill blocks all
 other turns of that engine.  If the cost is only the turn's own time, most turns move: four fifths
 of all prefill tokens are then histories that another engine has cached, the engines are busy with
-prefill long after a burst has ended, and the score of a day is 0.47; see docs/placement.md.
+prefill long after a burst has ended, and the mean worth of a day's programs is 0.47; see
+docs/placement.md.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
--- a/waxwingglade/decisions/route.py
+++ b/waxwingglade/decisions/route.py
@@ -17,7 +17,7 @@
     view : TargetView
         The target.
     cost_s : float
-        Expected seconds of the call at the target, plus the cost of unused cache elsewhere.
+        Expected seconds of the call at the target, plus the weighted cost of wasted prefill.
     cached_tokens : int
         Estimated prompt tokens in the target's cache.
     source : TargetView or None
--- a/waxwingglade/decisions/targets.py
+++ b/waxwingglade/decisions/targets.py
@@ -202,7 +202,7 @@
         return not view.leaving and view.ejected_until <= self.clock()
 
     def any_usable(self, pool: Pool) -> bool:
-        """Return whether any target of `pool` may get new work, now or after others end."""
+        """Return whether any target of `pool` may get new work, regardless of its load."""
         return any(self.usable(view) for view in self.pools.get(pool, {}).values())
 
     def limit(self, view: TargetView, urgency: Urgency) -> int:
--- a/waxwingglade/decisions/tests/test_books.py
+++ b/waxwingglade/decisions/tests/test_books.py
@@ -84,15 +84,15 @@
 class OutputLengthTrackerTest(unittest.TestCase):
     def test_lengths_are_estimated_by_class_and_model_and_stated_ones_do_not_change(self):
         clock, tracker = FakeClock(), OutputLengthTracker()
-        asked = make_work(clock)
-        asked.expected_output_tokens = 0
-        tracker.fill_in_expected_output(asked)
-        self.assertEqual(DEFAULT_OUTPUT_TOKENS, asked.expected_output_tokens)
-        tracker.observe(asked, 500)
-        tracker.observe(asked, 600)
-        asked.expected_output_tokens = 0
-        tracker.fill_in_expected_output(asked)
-        self.assertTrue(500 < asked.expected_output_tokens < 600)
+        call = make_work(clock)
+        call.expected_output_tokens = 0
+        tracker.fill_in_expected_output(call)
+        self.assertEqual(DEFAULT_OUTPUT_TOKENS, call.expected_output_tokens)
+        tracker.observe(call, 500)
+        tracker.observe(call, 600)
+        call.expected_output_tokens = 0
+        tracker.fill_in_expected_output(call)
+        self.assertTrue(500 < call.expected_output_tokens < 600)
         stated = make_work(clock)
         tracker.fill_in_expected_output(stated)
         self.assertEqual(8, stated.expected_output_tokens)
