--- a/bench/turns/policies.py
+++ b/bench/turns/policies.py
@@ -128,7 +128,7 @@
 
     def __init__(self, figures: EngineFigures, output: float) -> None:
         super().__init__()
-        self.usual_events = output / figures.stride
+        self.mean_events = output / figures.stride
         event_s = figures.stride * figures.step_s
         self.event_gap.intercept, self.event_gap.slope = event_s, event_s * figures.crowding
         self.prefill.intercept, self.prefill.slope = event_s, 1000 / figures.read_per_s
--- a/waxwingglade/decisions/engine_speed.py
+++ b/waxwingglade/decisions/engine_speed.py
@@ -51,12 +51,12 @@
     def __init__(self) -> None:
         self.event_gap = FadingLinearFit(EVENT_GAP_PRIOR)
         self.prefill = FadingLinearFit(PREFILL_PRIOR)
-        self.usual_events = DEFAULT_EVENTS
+        self.mean_events = DEFAULT_EVENTS
 
     def observe(self, turn: CompletedTurn) -> float:
         """Update the estimates with a turn; return how many times slower than usual it was."""
         load = min(1.0, turn.load)
-        self.usual_events += EVENTS_SMOOTHING * (turn.events - self.usual_events)
+        self.mean_events += EVENTS_SMOOTHING * (turn.events - self.mean_events)
         if turn.load < 1.0:
             # At a full engine the time to the first event includes the time in its queue.
             self.prefill.observe(turn.prefill_tokens / TOKENS_PER_UNIT, turn.first_event_s)
@@ -73,11 +73,11 @@
 
     def generation_s(self, load: float) -> float:
         """Return the seconds of an average turn's generation at a load, as a share of slots."""
-        return self.usual_events * self.event_gap.predict(min(1.0, load))
+        return self.mean_events * self.event_gap.predict(min(1.0, load))
 
     def disturbance_s(self, slots: int) -> float:
         """Return the seconds by which an additional turn delays each other turn at an engine."""
-        return self.usual_events * self.event_gap.slope / slots
+        return self.mean_events * self.event_gap.slope / slots
 
 
 __all__ = ["CompletedTurn", "EngineSpeed"]
