--- a/waxwingglade/ingress/streaming.py
+++ b/waxwingglade/ingress/streaming.py
@@ -167,9 +167,9 @@
         return
     wait_limit_s = min(serving.route.patience_s, serving.time_left())
     share = balancer.ranks_of(service.name).share_up_to(serving.route.rank)
-    waiting = AdmissionRequest(wait_limit_s, is_first, share)
+    request = AdmissionRequest(wait_limit_s, is_first, share)
     retry_s = retry_after_s(
-        balancer.speed_of(service.name), balancer.engines(service.name), waiting
+        balancer.speed_of(service.name), balancer.engines(service.name), request
     )
     if retry_s is not None:
         raise Refusal(UNAVAILABLE, "not run: the engines have all that they can do", retry_s)
