--- a/waxwingglade/ledger/rounds.py
+++ b/waxwingglade/ledger/rounds.py
@@ -127,7 +127,7 @@
         refused = 0
         # Unresponsive members that can no longer decide the round are not waited for.  Otherwise a
         # partitioned zone costs `ROUND_TIMEOUT_S` for each overtaken proposal, and three of these
-        # exceed the time in which a turn must begin.
+        # use up the time in which a turn may begin.
         while request.open and len(good) + request.left(order) >= needed:
             answered = await request.next(HEDGE_S if len(request.asked) < len(order) else None)
             if answered is None:
--- a/waxwingglade/ledger/tests/builders.py
+++ b/waxwingglade/ledger/tests/builders.py
@@ -45,7 +45,7 @@
         self.folder = tempfile.TemporaryDirectory()
         self.replicas: dict[str, Replica] = {}
         self.members: dict[str, Member] = {}
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked: set[tuple[str, str]] = set()
         self.carried: deque[tuple[str, str, Any]] = deque(maxlen=MAX_CARRIED)
         self.loss = 0.0
         self.delays: dict[str, float] = {}
@@ -127,17 +127,17 @@
     def _lose(self, sender: str, receiver: str) -> None:
         if sender == receiver:
             return
-        if (sender, receiver) in self.cut or self.random.random() < self.loss:
+        if (sender, receiver) in self.blocked or self.random.random() < self.loss:
             raise MessageLost(f"{sender} to {receiver}")
 
     def isolate(self, vm: str) -> None:
         """Partition a replica from all others, in both directions."""
         for other in self.replicas:
-            self.cut |= {(vm, other), (other, vm)}
+            self.blocked |= {(vm, other), (other, vm)}
 
     def heal(self) -> None:
         """End all partitions."""
-        self.cut.clear()
+        self.blocked.clear()
 
 
 def begin(number: int, tokens: int = 100, budget: int = 1000, previous: str = "") -> BeginTurn:
--- a/waxwingglade/ledger/tests/random_sets.py
+++ b/waxwingglade/ledger/tests/random_sets.py
@@ -75,7 +75,7 @@
     ----------
     kept : list of TurnId
         Turns that were acknowledged as stored, in this order.
-    broken : list of str
+    violations : list of str
         Violations that were found.
     changes : int
         Number of completed changes of the set.
@@ -93,7 +93,7 @@
         self.turns: dict[TurnId, Turn] = {}
         self.kept: list[TurnId] = []
         self.handed_out: defaultdict[ProgramId, int] = defaultdict(int)
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.changes = 0
         self.refused = 0
 
@@ -106,18 +106,20 @@
         callers = [asyncio.create_task(self._caller(number)) for number in range(CALLERS)]
         end_at = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end_at:
-            actions = [*3 * [self._retire], *2 * [self._succeed], self._wipe, self._restart]
+            actions = [*3 * [self._retire], *2 * [self._partition], self._wipe, self._restart]
             await self._change(self.draw.choice(actions))
         for caller in callers:
             caller.cancel()
         ends = await asyncio.gather(*callers, return_exceptions=True)
-        self.broken += [repr(each) for each in ends if not isinstance(each, asyncio.CancelledError)]
+        self.violations += [
+            repr(each) for each in ends if not isinstance(each, asyncio.CancelledError)
+        ]
         self.machines.loss = 0.0
         verified = self.draw.sample(self.kept, min(MAX_VERIFIED, len(self.kept)))
         await asyncio.gather(*(self._verify_kept(name) for name in verified))
         for program, tokens in self.handed_out.items():
             if tokens > BUDGET:
-                self.broken.append(f"{program}: {tokens} tokens of {BUDGET}")
+                self.violations.append(f"{program}: {tokens} tokens of {BUDGET}")
 
     async def stop(self) -> None:
         """Stop all machines."""
@@ -148,12 +150,12 @@
         if isinstance(begun, BudgetSpent):
             return False
         if isinstance(begun, NoSuchTurn):
-            self.broken.append(f"{previous} was stored and is denied")
+            self.violations.append(f"{previous} was stored and is denied")
         if not isinstance(begun, TurnBegun):
             self.refused += 1
             return True
         if begun.chain != self._chain(previous):
-            self.broken.append(f"{name}: the chain is not that of {previous}")
+            self.violations.append(f"{name}: the chain is not that of {previous}")
         used = self.draw.choice([0, 10, MOST_TOKENS])
         if program is not None:
             self.handed_out[program] += used
@@ -195,7 +197,7 @@
                         break
                     await asyncio.sleep(THINK_S)
             if begun != TurnBegun(self._chain(name)):
-                self.broken.append(f"{name} was stored and is missing at {vm}")
+                self.violations.append(f"{name} was stored and is missing at {vm}")
 
     # Changes
 
@@ -211,7 +213,9 @@
                 await self._remove_spares()
                 await self._until_settled()
         except TimeoutError:
-            self.broken.append(f"{action.__name__}: the members are {self.machines.current_set}")
+            self.violations.append(
+                f"{action.__name__}: the members are {self.machines.current_set}"
+            )
             raise
         self.changes += 1
 
@@ -233,9 +237,9 @@
         vm = self._any_member()
         await self._remove_machine(vm)
         self._add_machine(vm)
-        await self._until(lambda: self._holds_place(vm))
+        await self._until(lambda: self._is_member(vm))
 
-    async def _succeed(self) -> None:
+    async def _partition(self) -> None:
         """Partition a member for a while, so that a spare machine of its zone may join."""
         vm = self._any_member()
         spare = self._spare_name(vm)
@@ -261,7 +265,7 @@
         zone = beside[-1] if beside else str(self.draw.randrange(3))
         return f"vm-{next(self.spares)}-{zone}"
 
-    def _holds_place(self, vm: str) -> bool:
+    def _is_member(self, vm: str) -> bool:
         return any(
             m.disk == self.machines.replicas[vm].disk for m in self.machines.current_set.members
         )
--- a/waxwingglade/ledger/tests/test_lost_promise.py
+++ b/waxwingglade/ledger/tests/test_lost_promise.py
@@ -84,7 +84,7 @@
         one = self.cluster.coordinator("vm-0")
         one.accounts.numbers[PROGRAM] = self.lower.number
         self.cluster.isolate(LATE)
-        self.cluster.cut |= {("vm-0", "vm-3"), ("vm-3", "vm-0")}
+        self.cluster.blocked |= {("vm-0", "vm-3"), ("vm-3", "vm-0")}
         self.assertIsInstance(await one.begin(begin(9, 50, BUDGET)), TurnBegun)
         self.cluster.heal()
         account = await self.account_seen_by_late()
@@ -97,7 +97,7 @@
 
     async def account_seen_by_late(self) -> Any:
         """Return the account that the late member commits together with two outdated members."""
-        self.cluster.cut = {(LATE, "vm-1"), (LATE, SPARE)}
+        self.cluster.blocked = {(LATE, "vm-1"), (LATE, SPARE)}
         late = self.cluster.coordinator(LATE)
         await late.accounts.change(PROGRAM, lambda account: (account, None))
         return late.accounts.last[PROGRAM].account
--- a/waxwingglade/ledger/tests/test_one_set.py
+++ b/waxwingglade/ledger/tests/test_one_set.py
@@ -88,7 +88,7 @@
     async def test_two_concurrent_joins_do_not_spend_a_budget_twice(self) -> None:
         await self.two_join()
         await self.deliver(["vm-1", "vm-2", "vm-3"])
-        self.machines.cut |= {("vm-0", "vm-1"), ("vm-1", "vm-0")}
+        self.machines.blocked |= {("vm-0", "vm-1"), ("vm-1", "vm-0")}
         request = {"tokens": 940, "budget": 1000}
         granted = []
         for vm, number in (("vm-0", 1), ("vm-1", 2)):
--- a/waxwingglade/ledger/tests/test_random_sets.py
+++ b/waxwingglade/ledger/tests/test_random_sets.py
@@ -27,7 +27,7 @@
     def test_no_stored_turn_is_denied_and_no_budget_exceeded(self) -> None:
         for run in asyncio.run(run_all()):
             with self.subTest(seed=run.seed):
-                self.assertEqual(run.broken, [])
+                self.assertEqual(run.violations, [])
                 self.assertGreater(run.changes, 0)
                 self.assertGreater(len(run.kept), 0)
 
--- a/waxwingglade/ledger/tests/test_rounds.py
+++ b/waxwingglade/ledger/tests/test_rounds.py
@@ -43,7 +43,7 @@
     async def test_a_member_that_cannot_decide_the_round_is_not_waited_for(self) -> None:
         """Guards against waiting for a partitioned zone while two processes change one account.
 
-        A lost round would take 0.25 s, and three of them nearly the 0.9 s after which a turn times
+        A lost round would take 0.25 s, and three of them the 0.9 s after which a turn times
         out.  Waiting turns would then exhaust the capacity of the processes.
         """
         refusal = Rejected(Ballot(2, "b"))
