--- a/waxwingglade/ledger/account.py
+++ b/waxwingglade/ledger/account.py
@@ -82,17 +82,17 @@
     return msgspec.structs.replace(account, unconfirmed=unconfirmed, touched_at=now), True
 
 
-def expire(account: Account, lapsed: Mapping[TurnId, str], now: float) -> Account:
+def expire(account: Account, expired: Mapping[TurnId, str], now: float) -> Account:
     """End turns whose reservations expired unconfirmed; their callers have received no token.
 
     Parameters
     ----------
-    lapsed : mapping
+    expired : mapping
         Turns that are never going to be confirmed, each with the incarnation of the process that
         reported so.
     """
     for turn, granter in account.unconfirmed.items():
-        if lapsed.get(turn) == granter:
+        if expired.get(turn) == granter:
             account = resolve_reservation(account, EndTurn(turn, failed_at=account.failed_at), now)
     return account
 
--- a/waxwingglade/ledger/client.py
+++ b/waxwingglade/ledger/client.py
@@ -143,7 +143,7 @@
         reservation to resolve.
         """
         end_at = self.clock() + timeout_s
-        if message.client is not None and (spent := self.quotas.known_spent(message.client)):
+        if message.client is not None and (spent := self.quotas.cached_refusal(message.client)):
             return spent
         with self._log_if_slow(message) as asked:
             answer = await self._ask_in_order(message, end_at, lambda _: True, asked)
@@ -219,8 +219,8 @@
         The caller is refused only afterwards: otherwise its next turn, at another entry, would
         count a reservation whose end only this process has recorded.
         """
-        settling = self._start(self._resolve_now(message))
-        await asyncio.wait({settling}, timeout=RECORDED_TIMEOUT_S)
+        resolving = self._start(self._resolve_now(message))
+        await asyncio.wait({resolving}, timeout=RECORDED_TIMEOUT_S)
 
     def resolve_refused(self, message: EndTurn) -> list[asyncio.Task[bool]]:
         """Resolve the reservation that may exist for a turn on which the ledger did not decide.
@@ -228,18 +228,18 @@
         All replicas are notified at once, since the refused caller may retry before a majority has
         resolved the reservation.  Returns the tasks that notify them, for `wait_until_recorded`.
         """
-        telling = self.notify_all(message)
+        notifying = self.notify_all(message)
         self._start(self._resolve_now(message, notified=True))
-        return telling
+        return notifying
 
-    async def wait_until_recorded(self, telling: list[asyncio.Task[bool]]) -> bool:
+    async def wait_until_recorded(self, notifying: list[asyncio.Task[bool]]) -> bool:
         """Wait until a majority has recorded a turn's end, for `RECORDED_TIMEOUT_S` at most.
 
         An end that is durable at a majority survives a restart of this process and of the replicas.
         Returns whether a majority has recorded the end.
         """
-        missing = len(telling) // 2 + 1
-        open_tasks = set(telling)
+        missing = len(notifying) // 2 + 1
+        open_tasks = set(notifying)
         end_at = self.clock() + RECORDED_TIMEOUT_S
         while missing > 0 and open_tasks and (left_s := end_at - self.clock()) > 0:
             done, open_tasks = await asyncio.wait(
@@ -269,11 +269,13 @@
         for message in self.unresolved.values():
             self.notify_all(message)
         self.unresolved.clear()
-        telling = list(self.resolving)
-        _, late = await asyncio.wait(telling, timeout=SHUTDOWN_TIMEOUT_S) if telling else ((), ())
+        notifying = list(self.resolving)
+        _, late = (
+            await asyncio.wait(notifying, timeout=SHUTDOWN_TIMEOUT_S) if notifying else ((), ())
+        )
         for task in late:
             task.cancel()
-        await asyncio.gather(*telling, return_exceptions=True)
+        await asyncio.gather(*notifying, return_exceptions=True)
 
     def _start(self, coroutine: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
         task = start_task(coroutine)
@@ -302,15 +304,17 @@
 
     async def _resolve_now(self, message: EndTurn, notified: bool = False) -> None:
         self.unresolved[message.turn] = message
-        telling = asyncio.get_running_loop().call_later(NOTIFY_DELAY_S, self.notify_all, message)
+        delayed_notice = asyncio.get_running_loop().call_later(
+            NOTIFY_DELAY_S, self.notify_all, message
+        )
         if notified:
-            telling.cancel()
+            delayed_notice.cancel()
         try:
             answer = await self._ask_in_order(
                 message, self.clock() + RESOLVE_TIMEOUT_S, lambda _: True, []
             )
         finally:
-            telling.cancel()
+            delayed_notice.cancel()
         if isinstance(answer, TurnEnded) and answer.settled:
             self.unresolved.pop(message.turn, None)
             return
--- a/waxwingglade/ledger/confirmations.py
+++ b/waxwingglade/ledger/confirmations.py
@@ -32,38 +32,38 @@
 
     Attributes
     ----------
-    life : str
+    incarnation : str
         Name of this incarnation, which begins with the name of the disk.
     confirmable_until : dict
         Monotonic time until which each turn may be confirmed, by program; infinite while the turn
         is being begun.
     confirmed : dict
         Turns that are confirmed, by program, including those confirmed by earlier incarnations.
-    lapsed : dict
+    expired : dict
         Turns that were reported as expired, by program.
     """
 
     def __init__(self, disk: str, write: Write, clock: Clock = monotonic) -> None:
-        self.life = f"{disk}:{secrets.token_hex(4)}"
+        self.incarnation = f"{disk}:{secrets.token_hex(4)}"
         self.write = write
         self.clock = clock
         self.confirmable_until: dict[ProgramId, dict[TurnId, float]] = {}
         self.confirmed: dict[ProgramId, set[TurnId]] = {}
-        self.lapsed: dict[ProgramId, set[TurnId]] = {}
+        self.expired: dict[ProgramId, set[TurnId]] = {}
 
     def begin(self, program: ProgramId, turn: TurnId) -> bool:
         """Record that a turn is being begun; return False if it is recorded or expired already."""
-        if turn in self.lapsed.get(program, ()) or turn in self.confirmable_until.get(program, ()):
+        if turn in self.expired.get(program, ()) or turn in self.confirmable_until.get(program, ()):
             return False
         self.confirmable_until.setdefault(program, {})[turn] = float("inf")
         return True
 
-    def begun(self, program: ProgramId, turn: TurnId) -> None:
+    def record_begun(self, program: ProgramId, turn: TurnId) -> None:
         """Record that a turn has begun and may be confirmed from now on."""
         # The program may have been removed meanwhile, if its account is old.
         self.confirmable_until.setdefault(program, {})[turn] = self.clock() + CONFIRM_TIMEOUT_S
 
-    def not_begun(self, program: ProgramId, turn: TurnId) -> None:
+    def record_not_begun(self, program: ProgramId, turn: TurnId) -> None:
         """Record that a turn can't be confirmed here any more, or has not begun here."""
         turns = self.confirmable_until.get(program, {})
         turns.pop(turn, None)
@@ -77,7 +77,7 @@
             return False
         # Marked as confirmed before the write, so that the turn does not expire during the write.
         self.confirmed.setdefault(program, set()).add(turn)
-        self.not_begun(program, turn)
+        self.record_not_begun(program, turn)
         await self.write(program, turn)
         return True
 
@@ -89,14 +89,14 @@
         beginning = self.confirmable_until.get(program, {})
         confirmed = self.confirmed.get(program, set())
         known = tuple(turn for turn in turns if turn in confirmed)
-        lapsed = tuple(
+        expired = tuple(
             turn
             for turn in turns
             if turn not in confirmed and beginning.get(turn, float("-inf")) <= now
         )
-        if lapsed:
-            self.lapsed.setdefault(program, set()).update(lapsed)
-        return known, lapsed
+        if expired:
+            self.expired.setdefault(program, set()).update(expired)
+        return known, expired
 
     def all_confirmed(self) -> Iterator[tuple[ProgramId, TurnId]]:
         """Yield every confirmed turn with its program."""
@@ -107,8 +107,8 @@
     def remove_ended(self, program: ProgramId, account: Account) -> None:
         """Remove the turns that have ended according to an account that a majority accepted."""
         for turn in set(self.confirmable_until.get(program, ())).intersection(account.closed):
-            self.not_begun(program, turn)
-        for known in (self.confirmed, self.lapsed):
+            self.record_not_begun(program, turn)
+        for known in (self.confirmed, self.expired):
             turns = known.get(program)
             if turns is None:
                 continue
@@ -118,13 +118,13 @@
 
     def remove(self, program: ProgramId) -> None:
         """Remove a program whose account is removed."""
-        for known in (self.confirmed, self.lapsed, self.confirmable_until):
+        for known in (self.confirmed, self.expired, self.confirmable_until):
             known.pop(program, None)
 
 
-def disk_of(life: str) -> str:
+def disk_of(incarnation: str) -> str:
     """Return the name of the disk of an incarnation of a process."""
-    return life.partition(":")[0]
+    return incarnation.partition(":")[0]
 
 
 __all__ = ["CONFIRM_TIMEOUT_S", "Confirmations", "disk_of"]
--- a/waxwingglade/ledger/quota_client.py
+++ b/waxwingglade/ledger/quota_client.py
@@ -19,14 +19,14 @@
 )
 from waxwingglade.transport.links import Links
 
-TAKE_S = 0.15
+MEMBER_TIMEOUT_S = 0.15
 """Timeout in seconds of a request to one member, after which another member is asked."""
 
-SPENT_S = 0.25
+MAX_REFUSAL_CACHE_S = 0.25
 """Maximum time in seconds for which an account that all members refused is refused here without a
 new request to the members."""
 
-ASK_FOR_S = 0.9
+TAKE_TIMEOUT_S = 0.9
 """Timeout in seconds to obtain a grant, over all members that are asked."""
 
 
@@ -72,12 +72,12 @@
         self, client: ClientAccountId, timeout_s: float
     ) -> QuotaTaken | QuotaSpent | Unavailable:
         """Obtain a grant for a request within the limit of its client account."""
-        if (spent := self.known_spent(client)) is not None:
+        if (spent := self.cached_refusal(client)) is not None:
             return spent
-        end_at = self.clock() + min(timeout_s, ASK_FOR_S)
+        end_at = self.clock() + min(timeout_s, TAKE_TIMEOUT_S)
         return await self.take_from(self.in_order(random.random().hex()), client, None, end_at)
 
-    def known_spent(self, client: ClientAccountId) -> QuotaSpent | None:
+    def cached_refusal(self, client: ClientAccountId) -> QuotaSpent | None:
         """Return the cached refusal of an account whose quota was recently used up everywhere."""
         left_s = self.spent.get(client, 0.0) - self.clock()
         return QuotaSpent(left_s) if left_s > 0 else None
@@ -105,14 +105,14 @@
             left_s = end_at - self.clock()
             if left_s <= 0:
                 break
-            answer = await self._ask(member, TakeQuota(client), min(TAKE_S, left_s))
+            answer = await self._ask(member, TakeQuota(client), min(MEMBER_TIMEOUT_S, left_s))
             if isinstance(answer, QuotaTaken):
                 return answer
             if isinstance(answer, QuotaSpent) and (spent is None or answer.retry_s < spent.retry_s):
                 spent = answer
         if spent is None:
             return Unavailable("no member granted or refused the request")
-        self.spent[client] = self.clock() + min(SPENT_S, spent.retry_s)
+        self.spent[client] = self.clock() + min(MAX_REFUSAL_CACHE_S, spent.retry_s)
         return spent
 
     async def begin_program(self, client: ClientAccountId) -> QuotaSpent | None:
@@ -126,7 +126,7 @@
             return None
         member = max(members, key=lambda each: weight(client, each.disk))
         message = BeginProgram(client, self.refused.pop(client, 0))
-        answer = await self._ask(member, message, TAKE_S)
+        answer = await self._ask(member, message, MEMBER_TIMEOUT_S)
         return answer if isinstance(answer, QuotaSpent) else None
 
     def record_refused(self, client: ClientAccountId) -> None:
--- a/waxwingglade/ledger/quotas.py
+++ b/waxwingglade/ledger/quotas.py
@@ -73,23 +73,23 @@
         clock: Clock = monotonic,
     ) -> None:
         self.rules = rules
-        self.part_rules = QuotaShareRules(MAX_VIEW_AGE_S, rules.window_s, usual_members)
+        self.quota_share_rules = QuotaShareRules(MAX_VIEW_AGE_S, rules.window_s, usual_members)
         self.cached_view = cached_view
         self.replica = replica
         self.bootstrap = bootstrap
         self.clock = clock
-        self.parts = QuotaShare(self.part_rules, replica.disk)
+        self.quota_share = QuotaShare(self.quota_share_rules, replica.disk)
         self.view: View | None = None
         self.accounts: dict[ClientAccountId, ClientAccount] = {}
-        self.program_size = ProgramLength()
+        self.program_length = ProgramLength()
         self.starts: dict[ClientAccountId, ProgramStarts] = {}
         self.refusals = Sampler(REFUSALS_LOGGED_PER_S)
 
     def open(self) -> None:
         """Restore the state from the disk."""
         joined_before = self.bootstrap or self.replica.counts
-        self.parts = QuotaShare(
-            self.part_rules, self.replica.disk, joined_before, self.replica.largest_set
+        self.quota_share = QuotaShare(
+            self.quota_share_rules, self.replica.disk, joined_before, self.replica.largest_set
         )
 
     async def take(self, message: TakeQuota) -> QuotaTaken | QuotaSpent | Unavailable:
@@ -113,14 +113,14 @@
         starts = self.starts.setdefault(account.name, ProgramStarts())
         starts.record_refused(message.refused, now)
         most = self.rules.most(account.rate_per_s, account.burst)
-        verdict = may_begin(starts, most, self.rules, now, self.program_size.mean_requests)
+        verdict = may_begin(starts, most, self.rules, now, self.program_length.mean_requests)
         if account.rate_per_s <= 0 or verdict.granted:
             return QuotaTaken()
         return QuotaSpent(verdict.retry_s)
 
     def _account(self, client: ClientAccountId) -> ClientAccount | Unavailable:
         """Return a client account, or the reason why it is unavailable."""
-        self._take_view()
+        self._update_view()
         if self.cached_view.incomplete_s > MAX_VIEW_AGE_S:
             return Unavailable("limits were confirmed too long ago")
         return self.accounts.get(client) or Unavailable("the client account is not known")
@@ -136,16 +136,16 @@
             return Granted()
         now = self.clock()
         most = self.rules.most(account.rate_per_s, account.burst)
-        part = self.parts.share_of(most, client, now)
+        share = self.quota_share.share_of(most, client, now)
         grants = self.replica.grants.setdefault(client, Grants())
-        verdict = decide(grants, part, self.rules, now)
+        verdict = decide(grants, share, self.rules, now)
         if not verdict.granted:
-            self._log(account, part, grants)
+            self._log(account, share, grants)
             return QuotaSpent(verdict.retry_s)
         grants.record(now)
         if not grants.recently_refused(now):
             # Programs that were refused end early, and would bias the average length.
-            self.program_size.record(is_first)
+            self.program_length.record(is_first)
         return Granted(now, self.replica.record_grant(client, now))
 
     def give_back(self, client: ClientAccountId, granted: Granted) -> None:
@@ -155,32 +155,32 @@
 
     def update_from_view(self) -> None:
         """Update members and accounts from the view, and store what must survive a restart."""
-        self._take_view()
+        self._update_view()
         if self.cached_view.view.replicas.epoch:
-            self._note_counting(self.clock())
+            self._store_counting(self.clock())
 
-    def _take_view(self) -> None:
+    def _update_view(self) -> None:
         view = self.cached_view.view
         if view is self.view:
             return
         self.view = view
         members = [member.disk for member in view.replicas.members]
-        self.parts.update_members(view.replicas.epoch, members, self.clock())
+        self.quota_share.update_members(view.replicas.epoch, members, self.clock())
         accounts = (view.configuration.accounts if view.configuration else None) or ()
         self.accounts = {account.name: account for account in reversed(accounts)}
 
-    def _note_counting(self, now: float) -> None:
+    def _store_counting(self, now: float) -> None:
         """Store whether this process has been a member for long enough to grant its share."""
-        settled = self.parts.settled(now)
+        settled = self.quota_share.settled(now)
         if settled != self.replica.counts:
             self.replica.record_counting(settled)
 
-    def _log(self, account: ClientAccount, part: int, grants: Grants) -> None:
+    def _log(self, account: ClientAccount, share: int, grants: Grants) -> None:
         if self.refusals.allows():
             logger.bind(
                 account=account.name,
                 rate_per_s=account.rate_per_s,
-                part=part,
+                part=share,
                 granted=len(grants.times),
                 left_out=self.refusals.take_left_out(),
             ).info("over the limit here")
--- a/waxwingglade/ledger/reservations.py
+++ b/waxwingglade/ledger/reservations.py
@@ -73,24 +73,24 @@
             return await self._reserve_or_wait(message, program)
         granter = ""
         try:
-            judgement = await self._reserve_or_wait(message, program)
-            granter = judgement.granter
+            result = await self._reserve_or_wait(message, program)
+            granter = result.granter
         finally:
-            if granter == confirmations.life:
-                confirmations.begun(program, turn)
+            if granter == confirmations.incarnation:
+                confirmations.record_begun(program, turn)
             else:
-                confirmations.not_begun(program, turn)
-        return judgement
+                confirmations.record_not_begun(program, turn)
+        return result
 
     async def _reserve_or_wait(self, message: BeginTurn, program: ProgramId) -> ReservationResult:
         """Try to reserve a turn's tokens; wait while unconfirmed reservations may still expire."""
         counted: set[TurnId] = set()
-        lapsed: dict[TurnId, str] = {}
-        granter = self.accounts.confirmations.life if message.confirms else ""
+        expired: dict[TurnId, str] = {}
+        granter = self.accounts.confirmations.incarnation if message.confirms else ""
 
         def change(account: Account) -> tuple[Account, ReservationResult]:
             now = self.wall_clock()
-            account = expire(account, lapsed, now)
+            account = expire(account, expired, now)
             most_tokens, budget = message.most_tokens, message.budget
             changed, outcome = reserve(
                 account, message.turn, most_tokens, budget, now, granter, counted
@@ -101,32 +101,32 @@
 
         while True:
             refused = await self._refuse_without_write(program, change)
-            judgement = refused or await self.accounts.change(program, change)
-            if judgement.exceeds_budget and await self._check_ends(message, judgement.account):
-                judgement = await self.accounts.change(program, change)
-            if judgement.outcome is not Reservation.PENDING:
+            result = refused or await self.accounts.change(program, change)
+            if result.exceeds_budget and await self._check_ends(message, result.account):
+                result = await self.accounts.change(program, change)
+            if result.outcome is not Reservation.PENDING:
                 break
-            while judgement.outcome is Reservation.PENDING:
+            while result.outcome is Reservation.PENDING:
                 # Uses the account of the last attempt: each new read may write to the account, and
                 # the waiting turns would delay the others.
-                account = judgement.account
-                if not await self._check_confirmations(program, account, counted, lapsed):
+                account = result.account
+                if not await self._check_confirmations(program, account, counted, expired):
                     await asyncio.sleep(CHECK_INTERVAL_S)
-                _, judgement = change(account)
-            if judgement.outcome is Reservation.SPENT:
+                _, result = change(account)
+            if result.outcome is Reservation.SPENT:
                 break
-        if lapsed:
-            logger.bind(turn=message.turn, program=program, lapsed=sorted(lapsed)).info(
+        if expired:
+            logger.bind(turn=message.turn, program=program, lapsed=sorted(expired)).info(
                 "reservations expired"
             )
-        return judgement
+        return result
 
     async def _check_confirmations(
         self,
         program: ProgramId,
         account: Account,
         counted: set[TurnId],
-        lapsed: dict[TurnId, str],
+        expired: dict[TurnId, str],
     ) -> bool:
         """Ask the processes that began a program's turns which of these are confirmed or expired.
 
@@ -134,12 +134,12 @@
 
         Parameters
         ----------
-        counted, lapsed : set, dict
+        counted, expired : set, dict
             Confirmed and expired turns; extended.  A turn counts as confirmed if the process that
             began it is no member any more.
         """
         members = {member.disk: member for member in self.accounts.rounds.members().members}
-        known_before = len(counted) + len(lapsed)
+        known_before = len(counted) + len(expired)
         for granter in set(account.unconfirmed.values()):
             turns = tuple(turn for turn, each in account.unconfirmed.items() if each == granter)
             member = members.get(disk_of(granter))
@@ -149,8 +149,8 @@
             answer = await self.accounts.rounds.ask_one(member, JudgeTurns(program, turns))
             if isinstance(answer, Judged):
                 counted.update(answer.confirmed)
-                lapsed.update(dict.fromkeys(answer.lapsed, granter))
-        return len(counted) + len(lapsed) > known_before
+                expired.update(dict.fromkeys(answer.lapsed, granter))
+        return len(counted) + len(expired) > known_before
 
     async def _refuse_without_write(
         self,
@@ -164,14 +164,14 @@
         times again.
         """
         accounts = self.accounts
-        _, judgement = change(accounts.with_received_ends(program, await accounts.cached(program)))
-        if judgement.outcome is Reservation.GRANTED:
+        _, result = change(accounts.with_received_ends(program, await accounts.cached(program)))
+        if result.outcome is Reservation.GRANTED:
             return None
         account = await accounts.read(program)
         if account is None:
             return None
-        _, judgement = change(accounts.with_received_ends(program, account))
-        return None if judgement.outcome is Reservation.GRANTED else judgement
+        _, result = change(accounts.with_received_ends(program, account))
+        return None if result.outcome is Reservation.GRANTED else result
 
     async def _check_ends(self, message: BeginTurn, account: Account) -> bool:
         """Check whether an open reservation that blocks a turn belongs to a turn that has ended.
--- a/waxwingglade/ledger/turns.py
+++ b/waxwingglade/ledger/turns.py
@@ -74,7 +74,7 @@
                     continue
                 if answer.whole:
                     return answer.chain
-                partial.update({part.turn: part for part in answer.chain})
+                partial.update({each.turn: each for each in answer.chain})
                 if not answer.chain:
                     absent.add(member.disk)
                 if (chain := _join(partial, turn)) is not None:
@@ -119,16 +119,16 @@
         return None
 
 
-def _join(parts: dict[TurnId, Turn], last: TurnId) -> tuple[Turn, ...] | None:
+def _join(turns: dict[TurnId, Turn], last: TurnId) -> tuple[Turn, ...] | None:
     """Return the complete chain up to a turn; None if any turn of it is missing."""
     chain = []
     wanted: TurnId | None = last
     while wanted is not None:
-        part = parts.get(wanted)
-        if part is None or len(chain) > len(parts):
+        turn = turns.get(wanted)
+        if turn is None or len(chain) > len(turns):
             return None
-        chain.append(part)
-        wanted = part.previous
+        chain.append(turn)
+        wanted = turn.previous
     return tuple(reversed(chain))
 
 
