--- a/waxwingglade/follow/tests/builders.py
+++ b/waxwingglade/follow/tests/builders.py
@@ -1,4 +1,4 @@
-"""A store in memory, and the keys of a small platform."""
+"""An in-memory store, and the keys of a small platform."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 
 SHORT_S = 0.01
 UNRESPONSIVE_S = 0.2
-"""Seconds after which a watch that hears nothing breaks off."""
+"""Seconds after which an unresponsive watch fails."""
 
 
 def decode_configuration(value: bytes) -> Configuration:
@@ -26,7 +26,7 @@
 
 
 def decode_target(key: str, value: bytes) -> Target:
-    """Decode ``ready`` or ``leaving``, and ``ready`` with a time of start behind it."""
+    """Decode ``ready`` or ``leaving``, each optionally followed by a start time."""
     state, _, started = value.partition(b" ")
     if state not in (b"ready", b"leaving"):
         raise FormatError(f"{key}: {value!r}")
@@ -57,7 +57,7 @@
 
 @contextlib.contextmanager
 def quick_pauses() -> Iterator[None]:
-    """Let a watcher ask the store again almost at once."""
+    """Shorten the pauses of watchers between calls of the store."""
     with contextlib.ExitStack() as patches:
         for name in ("WATCH_INTERVAL_S", "FIRST_PAUSE_S", "LONGEST_PAUSE_S"):
             patches.enter_context(mock.patch(f"waxwingglade.follow.watcher.{name}", SHORT_S))
@@ -65,14 +65,14 @@
 
 
 class MemoryStore:
-    """A store that can be taken away and can forget its history.
+    """A store that can become unavailable and compact its history.
 
     Attributes
     ----------
     unavailable : bool
         Whether calls fail.
     unresponsive_key : str or None
-        Key whose watches hear nothing, do not end in time and at last break off.
+        Key whose watches get no events, do not end in time and finally fail.
     """
 
     def __init__(self) -> None:
@@ -95,7 +95,7 @@
             self.items[key] = item
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Drop the history."""
         self.history.clear()
         self.oldest = self.revision
 
@@ -130,10 +130,10 @@
         return Listing(tuple(events), Revision(self.revision))
 
     async def compare_and_swap(self, key: str, revision: Revision, value: bytes) -> Item | None:
-        """Write an item under a condition."""
+        """Write an item if it is still at a revision."""
         self._call()
-        held = self.items.get(key)
-        if (held.revision if held else 0) != revision:
-            return held
+        current = self.items.get(key)
+        if (current.revision if current else 0) != revision:
+            return current
         self.put(key, value)
         return None
--- a/waxwingglade/follow/tests/test_completeness.py
+++ b/waxwingglade/follow/tests/test_completeness.py
@@ -1,6 +1,6 @@
-"""The moment up to which a view is complete is never later than it is.
+"""The time up to which a view is reported as complete is never too late.
 
-A key that was taken away is refused by it, so it must hold however late an answer is read.
+Revoked keys are rejected by this time, so it must be right however late an answer is read.
 """
 
 import asyncio
@@ -24,50 +24,50 @@
 
 
 class FollowerTest(unittest.IsolatedAsyncioTestCase):
-    """One process follows another, on a clock that a test moves."""
+    """One process follows another, on a clock that the test sets."""
 
     def setUp(self) -> None:
         self.now = 100.0
         self.source = CachedView(lambda: self.now)
         self.cached_view = CachedView(lambda: self.now)
         self.follower = FeedFollower(self.cached_view, lambda: [SOURCE], self.ask)
-        self.way_s = (0.0, 0.0)
+        self.delays_s = (0.0, 0.0)
 
     async def ask(self, _address: str, message: Follow, _timeout_s: float) -> Followed:
-        self.now += self.way_s[0]
+        self.now += self.delays_s[0]
         answer = await self.source.answer(message)
-        self.now += self.way_s[1]
+        self.now += self.delays_s[1]
         return answer
 
-    async def test_an_answer_that_was_held_up_makes_nothing_newer(self) -> None:
-        for ways in ((0.0, 3.0), (3.0, 0.0), (1.0, 1.0)):
-            self.way_s = ways
+    async def test_a_delayed_answer_does_not_advance_completeness(self) -> None:
+        for delays in ((0.0, 3.0), (3.0, 0.0), (1.0, 1.0)):
+            self.delays_s = delays
             complete_until = self.now - 0.4
             self.source.merge(configured(1), self.now, complete_until)
             await self.follower._ask(SOURCE)
             self.assertLessEqual(self.cached_view.complete_until, complete_until)
             self.assertGreaterEqual(
-                self.cached_view.complete_until, complete_until - ways[0] - 1e-9
+                self.cached_view.complete_until, complete_until - delays[0] - 1e-9
             )
 
-    async def test_at_random_it_never_runs_ahead_of_what_the_source_knew(self) -> None:
-        chance = random.Random(7)
-        known = [float("-inf")]
+    async def test_random_delays_never_advance_completeness_beyond_the_source(self) -> None:
+        rng = random.Random(7)
+        completeness = [float("-inf")]
         for version in range(1, 200):
-            self.now += chance.random()
-            self.source.merge(configured(version), self.now, self.now - chance.random())
-            known.append(self.source.complete_until)
-            self.way_s = (chance.expovariate(5), chance.expovariate(5))
+            self.now += rng.random()
+            self.source.merge(configured(version), self.now, self.now - rng.random())
+            completeness.append(self.source.complete_until)
+            self.delays_s = (rng.expovariate(5), rng.expovariate(5))
             await self.follower._ask(SOURCE)
             self.assertEqual(version, self.cached_view.view.version)
-            self.assertLessEqual(self.cached_view.complete_until, known[-1] + 1e-9)
+            self.assertLessEqual(self.cached_view.complete_until, completeness[-1] + 1e-9)
 
-    async def test_an_older_process_that_does_not_tell_it_confirms_nothing(self) -> None:
+    async def test_an_answer_without_completeness_confirms_nothing(self) -> None:
         self.follower.ask = mock.AsyncMock(return_value=Followed(configured(1), 0.1))
         await self.follower._ask(SOURCE)
         self.assertEqual(float("-inf"), self.cached_view.complete_until)
 
-    async def test_another_content_of_the_same_version_is_passed_on(self) -> None:
+    async def test_new_content_of_the_same_version_is_replicated(self) -> None:
         self.source.merge(configured(1, 5), self.now)
         await self.follower._ask(SOURCE)
         self.source.merge(configured(1, 6), self.now)
@@ -85,7 +85,7 @@
         self.store.put("op/config", b'{"version": 4}')
         self.watcher = Watcher(self.store, KEYS, clock=lambda: self.now)
 
-    async def test_the_view_is_complete_up_to_when_the_store_was_asked(self) -> None:
+    async def test_the_view_is_complete_up_to_the_request(self) -> None:
         await self.watcher._step(None)
         self.assertEqual(self.now, self.watcher.complete_until)
         asked_at = self.now
@@ -100,7 +100,7 @@
             await self.watcher._step(Revision(self.store.revision))
         self.assertEqual(asked_at, self.watcher.complete_until)
 
-    async def test_with_a_configuration_that_can_not_be_read_it_stands_still(self) -> None:
+    async def test_an_invalid_configuration_stops_completeness(self) -> None:
         revision = await self.watcher._step(None)
         before = self.watcher.complete_until
         self.store.put("op/config", b"nonsense")
@@ -112,7 +112,7 @@
         await self.watcher._step(revision)
         self.assertEqual(self.now, self.watcher.complete_until)
 
-    async def test_without_the_store_it_stands_still(self) -> None:
+    async def test_an_unavailable_store_stops_completeness(self) -> None:
         self.watcher.start()
         self.addAsyncCleanup(self.watcher.stop)
         while self.watcher.complete_until < self.now:
--- a/waxwingglade/follow/tests/test_following.py
+++ b/waxwingglade/follow/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Following the store, and one process following another."""
+"""Tests of a watcher of the store, and of one process that follows another."""
 
 import asyncio
 import time
@@ -23,12 +23,12 @@
 )
 from waxwingglade.follow.watcher import Watcher
 
-PATIENCE_S = 5.0
+WAIT_LIMIT_S = 5.0
 
 
 async def until(condition: Callable[[], bool]) -> None:
     """Wait until a condition holds."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(WAIT_LIMIT_S):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -47,11 +47,11 @@
         await until(lambda: self.names() == {"a", "b"} and self.watcher.view.version == 4)
 
     def targets(self) -> tuple[Target, ...]:
-        """Return the targets that are believed to be there."""
+        """Return the targets in the view."""
         return self.watcher.view.targets.targets
 
     def names(self) -> set[str]:
-        """Return their names."""
+        """Return the names of these targets."""
         return {target.target for target in self.targets()}
 
     async def test_changes_are_seen_and_versions_only_rise(self) -> None:
@@ -62,13 +62,13 @@
         await until(lambda: any(t.leaving for t in self.watcher.view.targets.targets))
         self.assertEqual(self.watcher.view.version, 9)
 
-    async def test_a_configuration_that_cannot_be_read_leaves_the_last_one(self) -> None:
+    async def test_an_invalid_configuration_leaves_the_last_one_in_force(self) -> None:
         self.store.put("op/config", b"nonsense")
         self.store.put("targets/c", b"ready")
         await until(lambda: "c" in self.names())
         self.assertEqual(self.watcher.view.version, 4)
 
-    async def test_what_changed_while_the_history_went_is_read_anew(self) -> None:
+    async def test_changes_before_a_compaction_are_listed_again(self) -> None:
         self.store.unavailable = True
         await until(lambda: self.watcher.in_outage)
         self.store.put("op/config", b'{"version": 9}')
@@ -78,21 +78,21 @@
         await until(lambda: self.watcher.view.version == 9)
         await until(lambda: any(t.leaving for t in self.watcher.view.targets.targets))
 
-    async def test_a_view_is_confirmed_only_with_the_configuration_of_that_time(self) -> None:
+    async def test_a_view_is_confirmed_only_with_its_current_configuration(self) -> None:
         self.store.unresponsive_key = "op/config"
         await asyncio.sleep(4 * SHORT_S)
         written_at = self.now
         self.store.put("op/config", b'{"version": 9}')
         self.now += 1.0
-        silent_until = time.monotonic() + 2 * UNRESPONSIVE_S
+        unresponsive_until = time.monotonic() + 2 * UNRESPONSIVE_S
         while self.watcher.view.version != 9:
             self.assertLessEqual(self.watcher.confirmed_at, written_at)
-            if time.monotonic() > silent_until:
+            if time.monotonic() > unresponsive_until:
                 self.store.unresponsive_key = None
             await asyncio.sleep(0.005)
 
-    async def test_an_entry_that_names_no_target_leaves_the_others(self) -> None:
-        """It is logged once, however often it is written."""
+    async def test_an_invalid_target_entry_leaves_the_others(self) -> None:
+        """The invalid entry is logged once, however often it is written."""
         with mock.patch("waxwingglade.follow.targets.logger.warning") as warned:
             for _ in range(3):
                 self.store.put("targets/b", b"\xff\xfe")
@@ -101,15 +101,15 @@
         self.store.put("targets/b", b"ready")
         await until(lambda: self.names() == {"a", "b"})
 
-    async def test_a_target_that_started_again_is_told(self) -> None:
+    async def test_a_restarted_target_is_published(self) -> None:
         self.store.put("targets/a", b"ready 17")
         await until(lambda: {t.started_ms for t in self.targets()} == {17, None})
 
-    async def test_a_target_that_is_gone_on_a_calm_store_goes_at_once(self) -> None:
+    async def test_a_target_removed_without_an_outage_is_dropped_at_once(self) -> None:
         self.store.put("targets/a", None)
         await until(lambda: self.names() == {"b"})
 
-    async def test_a_target_that_lapsed_in_an_outage_may_come_back(self) -> None:
+    async def test_a_target_that_expired_in_an_outage_may_register_again(self) -> None:
         self.store.unavailable = True
         await until(lambda: self.watcher.in_outage)
         self.store.put("targets/a", None)
@@ -123,8 +123,8 @@
         self.store.put("targets/b", b"ready")
         await until(lambda: self.names() == {"b"})
 
-    async def test_a_target_that_stays_away_is_dropped_with_the_next_change(self) -> None:
-        """Its time may end at a revision that others have already as one with it."""
+    async def test_a_target_that_remains_missing_is_dropped_with_the_next_change(self) -> None:
+        """Its retention may end at a revision at which other processes still list the target."""
         await self.watcher.stop()
         revision = Revision(self.store.revision)
         self.watcher._record_outage("away")
@@ -138,8 +138,8 @@
         await self.watcher._step(revision)
         self.assertEqual(self.names(), {"b", "c"})
 
-    async def test_a_target_that_came_back_is_told_anew(self) -> None:
-        """An entry that followed the store for a while may have dropped it."""
+    async def test_a_target_that_registered_again_is_published_again(self) -> None:
+        """An entry that followed the store for a while may have dropped the target."""
         await self.watcher.stop()
         revision = Revision(self.store.revision)
         self.watcher._record_outage("away")
@@ -149,34 +149,32 @@
         await self.watcher._step(revision)
         self.assertEqual(self.watcher.view.targets.revision, self.store.revision)
 
-    async def test_an_answer_that_lay_here_confirms_only_what_was_known_when_it_was_asked(
+    async def test_an_answer_read_late_confirms_the_view_only_as_of_the_request(
         self,
     ) -> None:
-        """The VM stood still for five seconds, while the answer waited to be read."""
+        """The VM was stalled for five seconds, while the answer waited to be read."""
         await self.watcher.stop()
         watch = self.store.watch
 
-        async def stand_still(prefix: str, after: Revision, wait_s: float) -> Listing:
+        async def stall(prefix: str, after: Revision, wait_s: float) -> Listing:
             answer = await watch(prefix, after, wait_s)
             self.now += 5.0
             return answer
 
         asked_at = self.now
-        with mock.patch.object(self.store, "watch", stand_still):
+        with mock.patch.object(self.store, "watch", stall):
             await self.watcher._step(Revision(self.store.revision))
         self.assertEqual(self.watcher.confirmed_at, asked_at)
 
 
-class BeginningInAnOutage(unittest.IsolatedAsyncioTestCase):
-    """A process that begins to follow the store while that is away, and its targets' entries lapse.
+class StartInAnOutage(unittest.IsolatedAsyncioTestCase):
+    """A process starts to follow the store in an outage, in which the targets' entries expire.
 
-    Users saw a tenth of their programs refused for four seconds after an outage of the store.  The
-    order of events: entries had no source left and began to follow the store themselves; in the
-    outage the entries of all targets lapsed, though the targets lived; the store came back, and the
-    first listing was taken for all there is, by its revision even instead of what others knew
-    better.  Requests were refused for want of a target till the targets had registered again.  The
-    evidence: two of nine plays of a day with such an outage had refusals of that kind, at entries
-    that followed the store.
+    Guards against requests rejected for lack of a target after an outage of the store.  It happens
+    when entries have no source left and start to follow the store themselves.  The entries of all
+    targets expire in the outage, though the targets run.  Then the first listing after the outage
+    must not be accepted as complete, nor replace the better lists of other processes because of its
+    higher revision, until the targets have registered again.
     """
 
     async def asyncSetUp(self) -> None:
@@ -196,7 +194,7 @@
         self.store.put("targets/b", None)
 
     def watch(self, known: TargetList = TargetList()) -> Watcher:
-        """Begin to follow the store."""
+        """Start to follow the store."""
         watcher = Watcher(self.store, KEYS, clock=lambda: self.now, known=known)
         watcher.start()
         self.addAsyncCleanup(watcher.stop)
@@ -206,7 +204,7 @@
         """Return the targets of a view."""
         return {target.target for target in view.targets.targets}
 
-    async def test_what_was_known_before_may_come_back(self) -> None:
+    async def test_targets_of_the_earlier_view_may_register_again(self) -> None:
         watcher = self.watch(self.known.targets)
         self.store.unavailable = False
         await until(lambda: watcher.view.version == 4)
@@ -218,7 +216,7 @@
         await until(lambda: self.names(watcher.view) == {"b"})
         self.assertEqual(self.names(self.known.merged(watcher.view)), {"b"})
 
-    async def test_a_first_listing_does_not_displace_what_others_know(self) -> None:
+    async def test_a_first_listing_does_not_replace_the_lists_of_others(self) -> None:
         watcher = self.watch()
         await until(lambda: watcher.in_outage)
         self.store.put("targets/c", b"ready")
@@ -236,88 +234,88 @@
     async def asyncSetUp(self) -> None:
         self.now = 1000.0
         self.sources = {name: CachedView(lambda: self.now) for name in ("near", "far")}
-        self.gone: set[str] = set()
-        self.alone: set[str] = set()
+        self.unreachable: set[str] = set()
+        self.without_majority: set[str] = set()
         self.own = CachedView(lambda: self.now)
         replicas = [Replica(name, name, name, ZoneId(name)) for name in self.sources]
         self.follower = FeedFollower(self.own, lambda: replicas, self._ask)
 
     async def _ask(self, address: str, message: Follow, timeout_s: float) -> Followed:
         await asyncio.sleep(0)
-        if address in self.gone:
-            raise StoreUnavailable("gone", may_have_run=False)
-        quick = Follow(message.version, message.targets_revision, message.epoch, 0.005)
-        answer = await self.sources[address].answer(quick)
-        return msgspec.structs.replace(answer, quorum=address not in self.alone)
+        if address in self.unreachable:
+            raise StoreUnavailable("unreachable", may_have_run=False)
+        shortened = Follow(message.version, message.targets_revision, message.epoch, 0.005)
+        answer = await self.sources[address].answer(shortened)
+        return msgspec.structs.replace(answer, quorum=address not in self.without_majority)
 
-    def _tell(self, name: str, version: int) -> None:
+    def _publish(self, name: str, version: int) -> None:
         view = View(Configuration(ConfigVersion(version), (), ()), TargetList(Revision(version)))
         self.sources[name].merge(view, self.now)
 
-    async def test_an_answer_that_lay_here_confirms_only_what_was_known_when_it_was_asked(
+    async def test_an_answer_read_late_confirms_the_view_only_as_of_the_request(
         self,
     ) -> None:
-        """This VM stood still for five seconds, while the answer waited to be read."""
-        self._tell("near", 4)
+        """This VM was stalled for five seconds, while the answer waited to be read."""
+        self._publish("near", 4)
         source = self.follower.sources()[0]
         self.follower.source = source.address
         asked_at = self.now
         ask = self.follower.ask
 
-        async def stand_still(address: str, message: Follow, timeout_s: float) -> Followed:
+        async def stall(address: str, message: Follow, timeout_s: float) -> Followed:
             answer = await ask(address, message, timeout_s)
             self.now += 5.0
             return answer
 
-        self.follower.ask = stand_still
+        self.follower.ask = stall
         await self.follower._ask(source)
         self.assertLessEqual(self.own.confirmed_at, asked_at)
 
-    async def test_the_nearest_source_that_knows_enough_is_followed(self) -> None:
-        self._tell("near", 3)
+    async def test_the_nearest_source_with_a_current_view_is_followed(self) -> None:
+        self._publish("near", 3)
         self.follower.start()
         self.addAsyncCleanup(self.follower.stop)
         await until(lambda: self.own.view.version == 3)
-        self.gone.add("near")
-        self._tell("far", 5)
+        self.unreachable.add("near")
+        self._publish("far", 5)
         await until(lambda: self.own.view.version == 5)
         self.assertEqual(self.follower.source, "far")
 
-    async def test_a_source_that_is_cut_off_from_the_store_is_left(self) -> None:
-        self._tell("near", 3)
+    async def test_a_source_partitioned_from_the_store_is_abandoned(self) -> None:
+        self._publish("near", 3)
         self.follower.start()
         self.addAsyncCleanup(self.follower.stop)
         await until(lambda: self.own.view.version == 3)
         self.now += 5.0
-        self._tell("far", 6)
+        self._publish("far", 6)
         await until(lambda: self.own.view.version == 6)
         self.now += 5.0
         await until(lambda: self.follower.exhausted)
         self.assertEqual(self.own.view.version, 6)
 
-    async def test_a_majority_is_lost_when_the_last_source_that_answers_says_so(self) -> None:
+    async def test_a_majority_is_lost_when_the_last_answering_source_reports_it(self) -> None:
         for name in self.sources:
-            self._tell(name, 3)
+            self._publish(name, 3)
         self.follower.start()
         self.addAsyncCleanup(self.follower.stop)
         await until(lambda: self.follower.quorum_age_s == 0.0)
         with self.subTest("another source still reaches it"):
-            self.alone.add("near")
+            self.without_majority.add("near")
             await until(lambda: self.follower.source == "far")
             self.assertEqual(self.follower.quorum_age_s, 0.0)
-        with self.subTest("none does: at once, whatever the time since the last good word"):
-            self.gone.add("far")
+        with self.subTest("none does: at once, whenever a majority was last reported"):
+            self.unreachable.add("far")
             await until(lambda: self.follower.quorum_age_s == float("inf"))
 
-    async def test_news_is_passed_on_at_once_and_only_news(self) -> None:
-        self._tell("near", 3)
+    async def test_updates_are_answered_at_once_and_alone(self) -> None:
+        self._publish("near", 3)
         source = self.sources["near"]
         known = Follow(ConfigVersion(3), Revision(3), 0, 0.0)
         answer = await source.answer(known)
         self.assertIsNone(answer.view.configuration)
         waiting = asyncio.create_task(source.answer(Follow(ConfigVersion(3), Revision(3), 0, 5.0)))
         await asyncio.sleep(0)
-        self._tell("near", 4)
+        self._publish("near", 4)
         async with asyncio.timeout(1.0):
             answer = await waiting
         self.assertEqual(answer.view.version, 4)
--- a/waxwingglade/platform/store.py
+++ b/waxwingglade/platform/store.py
@@ -163,12 +163,12 @@
 
     async def _read_back(self, key: str, value: bytes, error: StoreUnavailable) -> Item | None:
         """Determine by a read whether a write took effect whose answer was lost or a conflict."""
-        held = await self.read(key)
-        if held is not None and held.value == value:
+        current = await self.read(key)
+        if current is not None and current.value == value:
             return None
-        if held is None:
+        if current is None:
             raise error
-        return held
+        return current
 
     async def _call(
         self,
--- a/waxwingglade/platform/tests/silent_store.py
+++ b/waxwingglade/platform/tests/silent_store.py
@@ -1,4 +1,4 @@
-"""The platform's store behind connections that can fall silent, for tests in virtual time."""
+"""A stand-in of the platform's store and connections that stop answering, for virtual time."""
 
 import asyncio
 import base64
@@ -14,14 +14,14 @@
 
 
 class UnresponsiveStore:
-    """Items of the store, and the connections to it.
+    """The configuration in a store, and the state of the connections to the store.
 
     Attributes
     ----------
     unresponsive : bool
-        Whether the store answers nothing; what is asked meanwhile is never answered.
+        Whether the store answers nothing.  Requests in this period are never answered.
     frozen_before : float
-        Time up to which opened connections are silent for good, in seconds of the loop.
+        Connections opened up to this time, in seconds of the loop, never answer again.
     """
 
     def __init__(self) -> None:
@@ -41,21 +41,21 @@
         self.changed = asyncio.Event()
 
     def stop_answering(self) -> None:
-        """Begin not to answer, also not what was asked before."""
+        """Stop answering, including requests sent before."""
         self.unresponsive = True
         self.frozen_before = self.loop.time()
 
     def resume(self) -> None:
-        """Answer what is asked from now on, on connections that are opened from now on."""
+        """Answer requests again, on connections that are opened from now on."""
         self.unresponsive = False
         self.frozen_before = self.loop.time()
 
     def freeze_connections(self) -> None:
-        """Let all open connections fall silent for good."""
+        """Let all open connections stop answering permanently."""
         self.frozen_before = self.loop.time()
 
     def item(self) -> dict[str, Any]:
-        """Return the configuration's item as it goes over the wire."""
+        """Return the item of the configuration in the wire format."""
         value = json.dumps({"version": self.version}).encode()
         return {
             "key": CONFIGURATION_KEY,
@@ -82,7 +82,7 @@
 
 
 class UnresponsiveConnection:
-    """A connection to the store, as `Http1Connection` is used by its client."""
+    """A connection to the store, with the methods of `Http1Connection` that the client uses."""
 
     def __init__(self, store: UnresponsiveStore) -> None:
         self.store = store
@@ -92,12 +92,12 @@
         self.usable = True
 
     def send(self, request: HttpRequest) -> None:
-        """Keep the request."""
+        """Store the path of the request."""
         self.path = request.path
         self.usable = False
 
     async def read_head(self, is_ours: Callable[[HttpResponse], bool]) -> HttpResponse:
-        """Return the answer's head, if there is an answer."""
+        """Return the head of the answer, or wait forever if there is none."""
         await self._wait_while_unresponsive()
         answer = await self.store.answer(self.path)
         await self._wait_while_unresponsive()
@@ -105,29 +105,29 @@
         return HttpResponse(200, [])
 
     async def _wait_while_unresponsive(self) -> None:
-        """Wait for ever if the connection is silent."""
+        """Wait forever if the connection is unresponsive."""
         if self.store.unresponsive or self.opened_at <= self.store.frozen_before:
             await asyncio.Event().wait()
 
     async def read_body(self, limit: int) -> bytes:
-        """Return the answer's body."""
+        """Return the body of the answer."""
         self.usable = True
         return self.body
 
 
 class UnresponsivePool:
-    """Kept connections to the store, as the client's pool."""
+    """A pool of connections to the store, with the interface of the client's pool."""
 
     def __init__(self, store: UnresponsiveStore) -> None:
         self.store = store
         self.idle: list[UnresponsiveConnection] = []
 
     async def take(self, address: str) -> UnresponsiveConnection:
-        """Return a kept connection or a new one."""
+        """Return an idle connection or a new one."""
         return self.idle.pop() if self.idle else UnresponsiveConnection(self.store)
 
     def give_back(self, address: str, connection: UnresponsiveConnection) -> None:
-        """Keep a connection whose answer was read."""
+        """Retain a connection as idle once its answer was read."""
         if connection.usable:
             self.idle.append(connection)
 
--- a/waxwingglade/platform/tests/test_process.py
+++ b/waxwingglade/platform/tests/test_process.py
@@ -1,4 +1,4 @@
-"""What a process does with signals while it starts."""
+"""Handling of signals while a process starts."""
 
 import asyncio
 import os
@@ -28,7 +28,7 @@
     "fault_tolerance": {"machines": 1, "zones": 1},
     "provider": {"address": "127.0.0.1:4"},
 }
-WITHIN_S = 2.0
+LOG_TIMEOUT_S = 2.0
 
 
 class SignalsWhileStarting(unittest.TestCase):
@@ -37,7 +37,7 @@
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "boot.yaml"
         self.write(SETTINGS)
-        # As the program does that starts the process.
+        # The program that starts a process ignores SIGHUP, too.
         before = signal.signal(signal.SIGHUP, signal.SIG_IGN)
         self.addCleanup(signal.signal, signal.SIGHUP, before)
         self.logged: list[dict] = []
@@ -48,7 +48,7 @@
         self.path.write_text(yaml.safe_dump(settings))
 
     def load(self, path: Path) -> NodeSettings:
-        """Read the settings; the file changes, and the process is told, right after the first."""
+        """Read the settings; right after the first read, change the file and send SIGHUP."""
         settings = load_node_settings(path)
         if settings.bootstrap:
             self.write({**SETTINGS, "bootstrap": False})
@@ -56,12 +56,12 @@
         return settings
 
     async def run_until_logged(self, settings: NodeSettings, _stop: asyncio.Event) -> None:
-        async with asyncio.timeout(WITHIN_S):
+        async with asyncio.timeout(LOG_TIMEOUT_S):
             while not self.logged:
                 await asyncio.sleep(0.01)
 
     def test_settings_that_change_right_after_they_were_read_are_noticed(self) -> None:
-        """The signal was ignored between the reading of the file and its handler."""
+        """Guards against a signal that arrives between reading the file and setting its handler."""
         with (
             mock.patch.object(process, "settings_path", lambda: self.path),
             mock.patch.object(process, "load_node_settings", self.load),
--- a/waxwingglade/platform/tests/test_store.py
+++ b/waxwingglade/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store against a stand-in: conditions, lost answers, gaps, pages."""
+"""Tests of the store's client with a stand-in: conditions, lost answers, compaction, pages."""
 
 import unittest
 from unittest import mock
@@ -22,8 +22,8 @@
         item = await self.store.read("own/a")
         self.assertEqual(item.value, b"one")
         self.assertIsNone(await self.store.compare_and_swap("own/a", item.revision, b"two"))
-        held = await self.store.compare_and_swap("own/a", item.revision, b"three")
-        self.assertEqual(held.value, b"two")
+        current = await self.store.compare_and_swap("own/a", item.revision, b"three")
+        self.assertEqual(current.value, b"two")
         self.assertIsNone(await self.store.read("own/none"))
 
     async def test_a_write_whose_answer_was_lost_is_read_back(self) -> None:
@@ -31,14 +31,14 @@
         self.assertIsNone(await self.store.compare_and_swap("own/a", 0, b"one"))
         self.assertEqual(self.standin.value("own/a"), b"one")
 
-    async def test_a_busy_store_did_nothing(self) -> None:
+    async def test_a_busy_store_does_nothing(self) -> None:
         self.standin.fault = StoreFault.BUSY
         with self.assertRaises(StoreUnavailable) as caught:
             await self.store.compare_and_swap("own/a", 0, b"one")
         self.assertFalse(caught.exception.may_have_run)
         self.assertIsNone(self.standin.value("own/a"))
 
-    async def test_a_silent_store_may_have_done_it(self) -> None:
+    async def test_an_unresponsive_store_may_have_run_the_call(self) -> None:
         self.standin.fault = StoreFault.SILENT
         with (
             mock.patch("waxwingglade.platform.store.ANSWER_TIMEOUT_S", 0.05),
@@ -61,7 +61,7 @@
             [("servers/007", False), ("servers/008", True)],
         )
 
-    async def test_a_watch_whose_history_is_gone(self) -> None:
+    async def test_a_watch_after_a_compaction(self) -> None:
         self.standin.put("servers/a", {})
         self.standin.compact()
         with self.assertRaises(HistoryCompacted):
@@ -72,8 +72,8 @@
         await self.store.read("own/a")
         self.assertEqual(self.store.calls, {"list": 1, "read": 1})
 
-    async def test_an_answer_that_is_none_is_a_failure_like_others(self) -> None:
-        """Whoever follows the store would end by it and never hear of a change again."""
+    async def test_an_invalid_answer_is_a_failure_like_others(self) -> None:
+        """Any other error would end the watcher, which then receives no more changes."""
         for status, body in ((200, b"<html>"), (404, b""), (412, b"{}")):
             answer = HttpResponse(status, [], body)
             with (
--- a/waxwingglade/platform/tests/test_store_returns.py
+++ b/waxwingglade/platform/tests/test_store_returns.py
@@ -1,20 +1,12 @@
-"""A configuration that is accepted right after the store was away.
-
-Users saw entries answer 404 for a route that had been confirmed 2.4 s before, and send calls by an
-older version.  The order of events: the store answered nothing for eight seconds, then took five
-versions within 0.2 s.  Each ledger process had asked for the operators' keys during the silence,
-with a call that waited 6.5 s for its answer, so it heard of the new versions only 3.2 s after the
-store was back. Another watch, of the targets, had answers again within a second, and vouched for
-the whole view.
-
-The cause: a question that was asked while the store was silent is never answered, and until it is
-given up nobody learns that the store is back.  So the time after which it is given up, and the
-pause before it is asked again, both count against the two seconds within which a version is in
-force.
-
-The evidence: in a day of our own with that silence the old processes went over to the new versions
-3.20 to 3.31 s after the store's return, saying all the while that their view was 0.2 to 1.6 s old.
-That is 37.30 to 37.41 s of the day; in the users' record the last old answer was given at 37.37 s.
+"""A configuration that is accepted right after an outage of the store.
+
+Guards against entries that use an old configuration too long after the outage, for example answer
+404 for a route of the new one.  A request that is sent while the store is unresponsive is never
+answered, and a process notices the recovery of the store only after the request has timed out.  So
+the timeout and the pause before the next request both count against the two seconds within which a
+version must be in force.  With a timeout of 6.5 s, ledger processes received versions only 3.2 s
+after the recovery of the store.  Meanwhile, a separate watch of the targets was answered within a
+second and confirmed the whole view, so that it seemed current.
 """
 
 import asyncio
@@ -28,8 +20,8 @@
 from waxwingglade.process.tests.virtual_time import run_in_virtual_time
 
 IN_FORCE_S = 1.7
-"""Seconds for a ledger process, of the two in which a version is in force; the rest is for the way
-from there to the entries, of which each has a question waiting."""
+"""Seconds in which a ledger process must have a version, of the two in which it must be in force.
+The rest is for sending it to the entries, each of which has a waiting request."""
 
 UNRESPONSIVE_S = 9.2
 PHASES = 50
@@ -38,16 +30,16 @@
 
 
 class StoreReturns(unittest.TestCase):
-    def test_a_version_is_in_force_soon_whatever_was_silent(self) -> None:
+    def test_a_version_is_in_force_in_time_whatever_was_unresponsive(self) -> None:
         with self.subTest("the store"):
             run_in_virtual_time(self._check_outages(start_in_outage=False))
-        with self.subTest("the store, and the process started meanwhile"):
+        with self.subTest("the store, and the process started in the outage"):
             run_in_virtual_time(self._check_outages(start_in_outage=True))
         with self.subTest("all open connections, while new ones work"):
             run_in_virtual_time(self._check_connections())
 
     async def _check_outages(self, start_in_outage: bool) -> None:
-        """Let the store be silent for a while, at many moments of a round of questions."""
+        """Let the store stop answering for a while, at many moments of a cycle of requests."""
         for phase in range(PHASES):
             store, watcher, _ = self._process()
             if not start_in_outage:
@@ -75,13 +67,13 @@
         return store, Watcher(client, KEYS, clock=store.loop.time), client
 
     async def _follow_first_version(self, watcher: Watcher, store: UnresponsiveStore) -> None:
-        """Start to follow, and wait until the first version is known."""
+        """Start to follow, and wait for the first version."""
         watcher.start()
         while watcher.view.version != store.version:
             await asyncio.sleep(PHASE_S)
 
     async def _check_in_force(self, store: UnresponsiveStore, watcher: Watcher, phase: int) -> None:
-        """Accept a version now; it is known in time, and no older view is vouched for longer."""
+        """Accept a version now; it arrives in time, and no older view is confirmed after that."""
         accepted_at = store.loop.time()
         store.configure(9)
         while watcher.view.version != store.version:
@@ -92,7 +84,7 @@
 
 
 def setUpModule() -> None:
-    """Let every pause be as long as it can be."""
+    """Give every pause its greatest length."""
     patch = mock.patch("waxwingglade.follow.watcher.random.random", return_value=LONGEST_JITTER)
     patch.start()
     unittest.addModuleCleanup(patch.stop)
--- a/waxwingglade/platform/tests/test_wire.py
+++ b/waxwingglade/platform/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Decoding of the platform's names."""
+"""Tests of the decoding of headers, store entries and settings of the platform."""
 
 import json
 import tempfile
@@ -46,7 +46,7 @@
 
 def entry(without: str = "", **fields: object) -> bytes:
     """Return a server's entry with some fields replaced, or one left out."""
-    whole = {
+    complete = {
         "service": "a",
         "address": "10.0.0.1:2",
         "zone": "z",
@@ -57,19 +57,19 @@
         "seq": 9,
         **fields,
     }
-    whole.pop(without, None)
-    return json.dumps(whole).encode()
+    complete.pop(without, None)
+    return json.dumps(complete).encode()
 
 
 class HeadersTest(unittest.TestCase):
-    def test_a_turn_is_read(self) -> None:
+    def test_a_turn_is_decoded(self) -> None:
         call = read_call("POST", "/a/b?c", TURN)
         self.assertEqual((call.request, call.program, call.host), ("r1", "p1", "shop.example"))
         self.assertEqual((call.token_budget, call.max_output_tokens), (4608, 576))
         self.assertEqual(call.prompt_parts, (PromptPart("5c1e", 800), PromptPart("91bd", 410)))
         self.assertEqual((call.previous_turn, call.deadline_s), ("r0", 3.0))
 
-    def test_what_concerns_one_connection_or_is_set_here_does_not_pass(self) -> None:
+    def test_hop_by_hop_and_reserved_headers_are_not_forwarded(self) -> None:
         call = read_call("POST", "/", TURN)
         names = [name for name, _ in call.headers]
         self.assertEqual(
@@ -78,24 +78,24 @@
         for name in ("X-Waxwingglade-Hold", "Kv-From", "X-Private", "Content-Length"):
             self.assertNotIn(name, names)
 
-    def test_a_key_goes_to_no_target_and_the_account_is_set_here_alone(self) -> None:
+    def test_keys_are_not_forwarded_and_the_account_is_set_by_this_system(self) -> None:
         forged = [("X-WAXWINGGLADE-TENANT", "forged"), ("x-waxwingglade-tenant", "forged")]
         call = read_call("POST", "/", [*TURN, *forged, ("authorization", "Bearer secret-key")])
         self.assertEqual(["Bearer secret-key"], call.credentials)
         call.account = ClientAccountId("shop")
         headers = target_headers(call, Send("i-1", 1.0))
         self.assertNotIn("Bearer secret-key", [value for _, value in headers])
-        told = [value for name, value in headers if name.lower() == "x-waxwingglade-tenant"]
-        self.assertEqual(["shop"], told)
+        accounts = [value for name, value in headers if name.lower() == "x-waxwingglade-tenant"]
+        self.assertEqual(["shop"], accounts)
 
     @given(st.lists(st.tuples(st.sampled_from(SPELLINGS), st.text(ascii_letters, max_size=9))))
-    def test_however_they_are_spelled_a_key_and_an_account_do_not_pass(
+    def test_keys_and_accounts_in_any_spelling_are_not_forwarded(
         self, sent: list[tuple[str, str]]
     ) -> None:
         call = read_call("GET", "/", sent)
         self.assertEqual([], target_headers(call, Send("i-1", 1.0))[:-2])
 
-    def test_what_is_left_of_the_time_is_sent(self) -> None:
+    def test_the_remaining_time_is_sent(self) -> None:
         call = read_call("POST", "/", TURN)
         headers = target_headers(call, Send("i-1", 1.2345, 4, 7, 0.5))
         values = dict(headers)
@@ -104,12 +104,12 @@
         self.assertEqual(values["Last-Event-Id"], "7")
         self.assertEqual([name for name, _ in headers].count("X-Waxwingglade-Deadline-Ms"), 1)
 
-    def test_wrong_numbers_are_named(self) -> None:
+    def test_errors_name_the_invalid_header(self) -> None:
         for name in ("X-Waxwingglade-Token-Count", "X-Waxwingglade-Deadline-Ms"):
             with self.assertRaisesRegex(FormatError, name):
                 read_call("POST", "/", [(name, "many")])
 
-    def test_promises_of_a_server(self) -> None:
+    def test_certification_and_not_run_answers(self) -> None:
         seal = ("X-Waxwingglade-Server-Seal", "s")
         refused = read_answer(HttpResponse(503, [("X-Waxwingglade-Not-Run", "1")]))
         self.assertTrue(refused.not_run)
@@ -119,14 +119,14 @@
         coded = read_answer(HttpResponse(200, [seal, ("Content-Encoding", "gzip")]))
         self.assertFalse(coded.certified)
 
-    def test_a_load_that_cannot_be_read_tells_nothing(self) -> None:
+    def test_an_invalid_load_is_ignored(self) -> None:
         load = ("X-Waxwingglade-Server-Load", "3,1,8")
         self.assertEqual(read_answer(HttpResponse(200, [load])).load.waiting, 1)
         self.assertIsNone(read_answer(HttpResponse(200, [(load[0], "many")])).load)
 
 
 class RegistryTest(unittest.TestCase):
-    def test_a_configuration_is_read(self) -> None:
+    def test_a_configuration_is_decoded(self) -> None:
         split = [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]
         route = {
             "name": "r",
@@ -148,7 +148,7 @@
         self.assertFalse(read.idempotent)
         self.assertEqual(configuration.services[0].engine.tokens_per_event, 30)
 
-    def test_client_accounts_are_read(self) -> None:
+    def test_client_accounts_are_decoded(self) -> None:
         route = {"name": "r", "host": "h", "path_prefix": "/", "kind": "safe", "public": True}
         tenant = {"name": "shop", "api_keys": ["k1", "k2"], "priority": 1, "rate_per_s": 198}
         bare = {"name": "bare", "priority": None, "rate_per_s": None, "burst": None}
@@ -161,7 +161,7 @@
         without = decode_configuration(json.dumps({"version": 1}).encode())
         self.assertIsNone(without.accounts)
 
-    def test_a_client_account_that_can_not_be_read_is_named_without_its_keys(self) -> None:
+    def test_errors_name_an_invalid_client_account_without_its_keys(self) -> None:
         for fields in ({"rate_per_s": -1}, {"burst": -0.5}, {"api_keys": "secret"}, {"name": ""}):
             tenant = {"name": "shop", "api_keys": ["secret"], **fields}
             value = json.dumps({"version": 1, "tenants": [tenant]}).encode()
@@ -169,8 +169,8 @@
                 decode_configuration(value)
             self.assertNotIn("secret", str(refused.exception))
 
-    def test_the_longest_of_three_is_how_long_callers_wait_for_an_event(self) -> None:
-        for fields, patience_s in (
+    def test_the_wait_limit_for_events_is_the_longest_of_three(self) -> None:
+        for fields, wait_limit_s in (
             ({}, 2.0),
             ({"target_latency_ms": 250}, 2.0),
             ({"target_latency_ms": 600}, 2.4),
@@ -186,15 +186,15 @@
                 }
                 value = {"version": 1, "routes": [turns], "services": [], "limits": {}}
                 read = decode_configuration(json.dumps(value).encode())
-                self.assertEqual(patience_s, read.routes[0].patience_s)
+                self.assertEqual(wait_limit_s, read.routes[0].patience_s)
 
-    def test_a_target_is_read(self) -> None:
+    def test_a_target_is_decoded(self) -> None:
         target = decode_target("servers/i-1", entry(state="draining"))
         self.assertEqual((target.target, target.leaving, target.slots), ("i-1", True, 4))
         self.assertEqual((target.address, target.started_ms), ("10.0.0.1:2", None))
         self.assertEqual(decode_target("servers/i-1", entry(born=1_700)).started_ms, 1_700)
 
-    def test_an_entry_of_another_writer_names_no_target(self) -> None:
+    def test_an_entry_of_another_writer_is_rejected(self) -> None:
         wrong = {
             "service": ["", None, 3],
             "address": ["10.0.0.1", "10.0.0.1:99999999", "10.0.0.1:0", ":80", "host:80", 5],
@@ -214,7 +214,7 @@
             with self.subTest(missing=field), self.assertRaises(FormatError):
                 decode_target("servers/i", entry(without=field))
 
-    def test_what_cannot_be_read_is_named(self) -> None:
+    def test_errors_name_the_invalid_entry(self) -> None:
         with self.assertRaisesRegex(FormatError, "configuration"):
             decode_configuration(b'{"version":"x"}')
         with self.assertRaisesRegex(FormatError, "servers/i"):
@@ -242,7 +242,7 @@
         )
         self.assertEqual(settings.port_range, (1, 2))
 
-    def test_what_is_wrong_is_named(self) -> None:
+    def test_errors_name_the_fault(self) -> None:
         with self.assertRaisesRegex(SettingsError, "node_name"):
             self.load("{serves: []}")
         with self.assertRaisesRegex(SettingsError, "boot.yaml"):
