--- a/waxwingglade/platform/process.py
+++ b/waxwingglade/platform/process.py
@@ -38,8 +38,8 @@
 )
 
 DIVERT_SHARE = 0.6
-"""Share of the revocation time of keys after which an entry that can't reach the store sends
-callers to other entries."""
+"""Share of the revocation time of keys.  An entry whose view is incomplete for longer than this
+share sends callers to other entries."""
 
 LOG_FLUSH_TIMEOUT_S = 0.2
 """Seconds that a process waits at its exit for a slow reader of its logs."""
