--- a/waxwingglade/platform/headers.py
+++ b/waxwingglade/platform/headers.py
@@ -119,7 +119,7 @@
     try:
         return int(value)
     except ValueError as error:
-        raise FormatError(f"{name}: {value!r} is not an integer") from error
+        raise FormatError(f"{name}: {value!r} is no integer") from error
 
 
 def _seconds(values: dict[str, str], name: str) -> float | None:
@@ -129,7 +129,7 @@
     try:
         return float(value) / 1000
     except ValueError as error:
-        raise FormatError(f"{name}: {value!r} is not a number") from error
+        raise FormatError(f"{name}: {value!r} is no number") from error
 
 
 def _token_counts(value: str) -> tuple[int, int]:
@@ -137,7 +137,7 @@
     try:
         return int(prompt), int(output or 0)
     except ValueError as error:
-        raise FormatError(f"{TOKEN_COUNT}: {value!r} is not PROMPT,OUTPUT") from error
+        raise FormatError(f"{TOKEN_COUNT}: {value!r}") from error
 
 
 def _prompt_parts(value: str) -> tuple[PromptPart, ...]:
@@ -147,7 +147,7 @@
         try:
             parts.append(PromptPart(name, int(tokens)))
         except ValueError as error:
-            raise FormatError(f"{PROMPT_PARTS}: {entry!r} is not NAME:TOKENS") from error
+            raise FormatError(f"{PROMPT_PARTS}: {entry!r}") from error
     return tuple(parts)
 
 
