--- a/waxwingglade/request/tests/test_cache.py
+++ b/waxwingglade/request/tests/test_cache.py
@@ -20,7 +20,7 @@
         pauses = running.entry.dispatcher.pauses
         pauses.lengths["booking"] = [pause_s] * 10
         async with asyncio.timeout(20):
-            while program not in pauses.under_way:
+            while program not in pauses.current:
                 await asyncio.sleep(0.01)
         return program, call
 
@@ -44,5 +44,5 @@
         async with one_entry() as running:
             program = await running.create()
             self.assertIsInstance(await running.tool_call(program, "t1", "booking"), Done)
-            self.assertNotIn(program, running.entry.dispatcher.pauses.under_way)
+            self.assertNotIn(program, running.entry.dispatcher.pauses.current)
             self.assertEqual(1, len(running.entry.dispatcher.pauses.lengths["booking"]))
