--- a/waxwingglade/connection/store.py
+++ b/waxwingglade/connection/store.py
@@ -149,7 +149,7 @@
         self, key: bytes, expected: int, op: RequestOp, purpose: Purpose
     ) -> Outcome[int]:
         """Run `op` once or never, if the last write of `key` is `expected`."""
-        held = await self.hold_marker_lease()
+        held = await self.ensure_marker_lease()
         if held.is_err():
             failure: Failure = held.unwrap_err()
             return not_run(failure.code, failure.message, failure.retry_after_s)
@@ -180,7 +180,7 @@
             latest = await attempt()
         return first if is_unavailable(latest) else latest
 
-    async def hold_marker_lease(self) -> Outcome[Lease]:
+    async def ensure_marker_lease(self) -> Outcome[Lease]:
         """Return a lease for markers that outlasts a write begun now."""
         async with self.marker_lock:
             held = self.marker_lease
--- a/waxwingglade/connection/store_budget.py
+++ b/waxwingglade/connection/store_budget.py
@@ -57,7 +57,7 @@
         """Return the tokens a second that are not withheld."""
         return max(0.0, self.rate - self.withheld)
 
-    def withhold(self, rate: float) -> None:
+    def reserve_rate(self, rate: float) -> None:
         """Keep back `rate` tokens a second more, or less if negative."""
         self.refill()
         self.withheld += rate
@@ -134,10 +134,10 @@
         if wanted > self.bucket.rate * WATCH_SHARE or self.watches == MAX_WATCHES:
             return False
         self.watches += 1
-        self.bucket.withhold(WATCH_CALLS_PER_SECOND)
+        self.bucket.reserve_rate(WATCH_CALLS_PER_SECOND)
         return True
 
     def close_watch(self) -> None:
         """Count one waiting watch less."""
         self.watches -= 1
-        self.bucket.withhold(-WATCH_CALLS_PER_SECOND)
+        self.bucket.reserve_rate(-WATCH_CALLS_PER_SECOND)
--- a/waxwingglade/connection/tests/test_store_lost.py
+++ b/waxwingglade/connection/tests/test_store_lost.py
@@ -132,7 +132,7 @@
         known: dict[str, KeyValue] = {}
         try:
             for client in clients:
-                (await client.hold_marker_lease()).unwrap()
+                (await client.ensure_marker_lease()).unwrap()
             for number, step in enumerate(steps):
                 await standin.set_faults(step.faults)
                 await self.run_step(clients[: 1 + step.is_race], known, step, number)
--- a/waxwingglade/process/duties/tests/test_lease.py
+++ b/waxwingglade/process/duties/tests/test_lease.py
@@ -42,7 +42,7 @@
     async def test_a_write_of_which_nothing_is_known_leaves_no_holder(self):
         store = StoreClient(store_settings(self.standin.url, timeout_s=0.05))
         self.addAsyncCleanup(store.close)
-        (await store.hold_marker_lease()).unwrap()
+        (await store.ensure_marker_lease()).unwrap()
         run = self.standin.run
 
         def run_and_cut_off(path, body):
--- a/waxwingglade/standins/store_faults.py
+++ b/waxwingglade/standins/store_faults.py
@@ -105,12 +105,12 @@
         """Return whether one more watch may wait, and count it."""
         if not self.admit(is_write=False):
             return False
-        self.reads.withhold(WATCH_CALLS_PER_SECOND)
+        self.reads.reserve_rate(WATCH_CALLS_PER_SECOND)
         return True
 
     def close_watch(self) -> None:
         """Count one waiting watch less."""
-        self.reads.withhold(-WATCH_CALLS_PER_SECOND)
+        self.reads.reserve_rate(-WATCH_CALLS_PER_SECOND)
 
 
 class HeldWrite(msgspec.Struct, frozen=True):
