--- a/waxwingglade/connection/peer.py
+++ b/waxwingglade/connection/peer.py
@@ -1,8 +1,8 @@
 """Requests and answers between entries over ZeroMQ.
 
-Each process binds one ROUTER socket and connects one DEALER socket to every peer it talks to.  One
-task reads each socket.  Answers are matched to requests by number, so they may come late, twice
-or out of order.
+Each process binds one ROUTER socket and connects one DEALER socket to every peer that it sends
+requests to.  One task reads each socket.  Answers are matched to requests by number, so they may
+arrive late, twice or out of order.
 """
 
 import asyncio
@@ -38,21 +38,21 @@
 Handler = Callable[[PeerBody, Reply], Awaitable[None]]
 
 SEND_QUEUE_FRAMES = 10_000
-LOOK_S = 0.2
-"""Seconds between looks whether a silent peer is still there."""
+ALIVE_CHECK_S = 0.2
+"""Seconds between checks whether a peer that has not answered yet is still alive."""
 
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 
 
 class PeerServer:
-    """The socket on which this process answers its peers.
+    """The socket on which this process answers requests of its peers.
 
     Parameters
     ----------
     context : zmq.asyncio.Context
         Context of the process.
     answers_to : callable
-        Whether this entry goes by a name; requests meant for another are refused.
+        Whether an incarnation denotes this entry; requests addressed to another are refused.
     handler : Handler
         Called for each request with the body and a function that sends a reply.
     """
@@ -72,7 +72,7 @@
         self.bytes_sent = 0
 
     def start(self, address: str, port: int) -> str:
-        """Bind and begin to read; return the endpoint, with the port that was taken."""
+        """Bind and start reading; return the endpoint with the port that was bound."""
         if port:
             self.socket.bind(f"tcp://{address}:{port}")
         else:
@@ -81,7 +81,7 @@
         return f"tcp://{address}:{port}"
 
     async def stop(self) -> None:
-        """Stop reading, end what is running and close the socket."""
+        """Stop reading, cancel the handlers that are running and close the socket."""
         tasks = [*self.running, *([self.reader] if self.reader else [])]
         for task in tasks:
             task.cancel()
@@ -133,7 +133,7 @@
     address : str
         The peer's endpoint.
     incarnation : Incarnation or ""
-        Process that is to act on the requests.
+        Incarnation that the requests are addressed to; empty for any process at the address.
     """
 
     def __init__(
@@ -154,13 +154,13 @@
         self.bytes_received = 0
 
     async def close(self) -> None:
-        """Close the connection; requests under way time out."""
+        """Close the connection; requests in flight time out."""
         self.reader.cancel()
         await asyncio.gather(self.reader, return_exceptions=True)
         self.socket.close()
 
     async def request(self, body: PeerBody, timeout_s: float) -> Outcome[PeerBody]:
-        """Send a request and wait for its one answer.
+        """Send a request that has a single answer, and wait for the answer.
 
         Parameters
         ----------
@@ -172,7 +172,8 @@
         Returns
         -------
         Outcome[PeerBody]
-            The answer, or a failure that says whether the peer may have acted.
+            The answer, or a failure whose verdict says whether the peer may have acted on the
+            request.
         """
         async for answer in self.stream(body, timeout_s):
             return answer
@@ -188,14 +189,15 @@
         body : PeerBody
             The request.
         timeout_s : float
-            Seconds of silence after which the answers are given up.
+            Longest wait for each answer, in seconds.
         alive : callable
-            Whether the peer is still there; once it is not, the answers are given up at once.
+            Whether the peer is considered alive.  It is checked every `ALIVE_CHECK_S` seconds
+            while an answer is awaited, and once it is false the request fails.
 
         Yields
         ------
         Outcome[PeerBody]
-            Answers; the last is a failure if they break off.
+            The answers in order; a failure is always the last.
         """
         number = next(self.numbers)
         answers: asyncio.Queue[Envelope] = asyncio.Queue()
@@ -239,13 +241,13 @@
 async def _next_answer(
     answers: "asyncio.Queue[Envelope]", timeout_s: float, alive: Callable[[], bool]
 ) -> Envelope:
-    """Return the next answer, or raise TimeoutError once none can be hoped for."""
+    """Return the next answer; raise TimeoutError after `timeout_s` or if the peer is not alive."""
     end_at = monotonic() + timeout_s
     while True:
-        patience_s = min(LOOK_S, end_at - monotonic())
+        wait_limit_s = min(ALIVE_CHECK_S, end_at - monotonic())
         try:
-            # Before Python 3.12, `wait_for` loses a cancellation that meets the answer.
-            async with asyncio.timeout(patience_s):
+            # `wait_for` before Python 3.12 can lose a cancellation that coincides with the answer.
+            async with asyncio.timeout(wait_limit_s):
                 return await answers.get()
         except TimeoutError:
             if monotonic() >= end_at or not alive():
@@ -265,14 +267,14 @@
         self.links: dict[tuple[str, str], PeerLink] = {}
 
     def to(self, address: str, incarnation: Incarnation | str = "") -> PeerLink:
-        """Return the connection to a peer, opening it where there is none."""
+        """Return the connection to a peer, and open it if there is none."""
         key = (address, incarnation)
         if key not in self.links:
             self.links[key] = PeerLink(self.context, address, incarnation)
         return self.links[key]
 
     async def close_idle(self, idle_s: float) -> None:
-        """Close connections that were not used for `idle_s` seconds; most lead to gone peers."""
+        """Close connections unused for `idle_s` seconds; most of them lead to departed peers."""
         limit = monotonic() - idle_s
         for key, link in list(self.links.items()):
             if link.last_used < limit and not link.waiting:
--- a/waxwingglade/connection/store_answer.py
+++ b/waxwingglade/connection/store_answer.py
@@ -1,4 +1,4 @@
-"""What an answer of the store, or the lack of one, says of a request's execution."""
+"""Classification of the store's answers: whether a request ran, did not run or may have run."""
 
 from http import HTTPStatus
 
@@ -16,7 +16,7 @@
 )
 
 RETRY_AFTER_S = 1.0
-MAYBE_RAN_CODES = {
+MAY_HAVE_RUN_CODES = {
     GrpcCode.UNKNOWN.value,
     GrpcCode.DEADLINE_EXCEEDED.value,
     GrpcCode.UNAVAILABLE.value,
@@ -28,13 +28,13 @@
 }
 
 
-def classify_silence(failure: Failure) -> Failure:
-    """Return the failure of a request that got no whole answer, as users of the store see it."""
+def classify_no_answer(failure: Failure) -> Failure:
+    """Return the failure that is reported for a request without a complete answer."""
     return Failure(failure.verdict, ErrorCode.STORE_UNAVAILABLE, failure.message, RETRY_AFTER_S)
 
 
 def classify_answer(answer: HttpAnswer) -> Outcome[bytes]:
-    """Return the body of a success, or whether a refused request may have run."""
+    """Return the body of a success, or a failure that says whether the request may have run."""
     if answer.status == HTTPStatus.OK:
         return Ok(answer.body)
     error = _decode_error(answer)
@@ -44,7 +44,7 @@
         or answer.status == HTTPStatus.TOO_MANY_REQUESTS
     ):
         return not_run(ErrorCode.STORE_UNAVAILABLE, message, RETRY_AFTER_S)
-    if error.code in MAYBE_RAN_CODES or answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
+    if error.code in MAY_HAVE_RUN_CODES or answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
         return may_have_run(ErrorCode.STORE_UNAVAILABLE, message, RETRY_AFTER_S)
     return not_run(CODE_BY_MESSAGE.get(message, ErrorCode.BAD_REQUEST), message)
 
--- a/waxwingglade/connection/store_budget.py
+++ b/waxwingglade/connection/store_budget.py
@@ -1,4 +1,4 @@
-"""Bound on how often a process calls the store."""
+"""Rate limit on the calls that a process makes to the store."""
 
 import asyncio
 from enum import Enum
@@ -6,18 +6,18 @@
 from waxwingglade.base import Clock, monotonic
 
 WATCH_CALLS_PER_SECOND = 1.0
-"""Calls that a waiting watch counts as, for each second that it waits."""
+"""Rate that an open watch takes from the budget, in calls a second."""
 
 WATCH_SHARE = 0.5
-"""Part of the rate that waiting watches may take; the rest is kept for calls."""
+"""Largest part of the rate that open watches may take; the rest is reserved for calls."""
 
 
 MAX_WATCHES = 64
-"""Watches that a process may have waiting, whatever its rate."""
+"""Most watches that a process may have open, whatever its rate."""
 
 
 class Purpose(Enum):
-    """What a call to the store is for."""
+    """Purpose of a call to the store."""
 
     OWNERSHIP = "ownership"
     LEASE = "lease"
@@ -28,12 +28,12 @@
 
 
 class TokenBucket:
-    """Tokens that come back at a steady rate, up to one second's worth.
+    """Token bucket whose capacity is the refill of one second, or one token if that is more.
 
     Parameters
     ----------
     rate : float
-        Tokens that come back in a second.
+        Tokens that are added per second.
     clock : Clock
         Time source, in seconds.
     """
@@ -43,27 +43,27 @@
         self.clock = clock
         self.capacity = max(1.0, rate)
         self.tokens = self.capacity
-        self.withheld = 0.0
-        self.filled_at = clock()
+        self.reserved_rate = 0.0
+        self.refilled_at = clock()
 
     def refill(self) -> None:
-        """Add the tokens that came back since the last look."""
+        """Add the tokens that are due since the last refill."""
         now = self.clock()
-        gained = (now - self.filled_at) * self.free_rate()
+        gained = (now - self.refilled_at) * self.free_rate()
         self.tokens = min(self.capacity, self.tokens + gained)
-        self.filled_at = now
+        self.refilled_at = now
 
     def free_rate(self) -> float:
-        """Return the tokens a second that are not withheld."""
-        return max(0.0, self.rate - self.withheld)
+        """Return the refill rate that is not reserved, in tokens per second."""
+        return max(0.0, self.rate - self.reserved_rate)
 
     def reserve_rate(self, rate: float) -> None:
-        """Keep back `rate` tokens a second more, or less if negative."""
+        """Reserve further `rate` tokens per second; a negative rate releases them."""
         self.refill()
-        self.withheld += rate
+        self.reserved_rate += rate
 
     def take(self) -> bool:
-        """Take a token if there is one."""
+        """Take a token if one is available."""
         self.refill()
         if self.tokens < 1.0:
             return False
@@ -71,28 +71,29 @@
         return True
 
     def wait_s(self) -> float:
-        """Return the seconds until the next token is there."""
+        """Return the seconds until a token is available."""
         self.refill()
         if self.tokens >= 1.0:
             return 0.0
         return (1.0 - self.tokens) / max(self.free_rate(), 1e-9)
 
-    def take_on_credit(self) -> None:
-        """Take a token whether or not it is there yet."""
+    def take_in_advance(self) -> None:
+        """Take a token even if none is available; the next refills make up for it."""
         self.tokens -= 1.0
 
 
 class CallBudget:
-    """Token bucket over the calls of one process.
+    """Rate limit on the calls of one process, by a token bucket.
 
-    A call takes one token.  A waiting watch takes one when it opens and, for as long as it waits,
-    keeps back `WATCH_CALLS_PER_SECOND`.  Calls for leases go ahead of their token, which later
-    calls then wait for: a burst of reads must not cost a process its leases.
+    A call takes one token.  A watch takes one token when it opens, and reserves
+    `WATCH_CALLS_PER_SECOND` of the rate for as long as it is open.  Calls for leases do not wait
+    for their token, so that a burst of reads cannot cost a process its leases; later calls wait
+    for that token instead.
 
     Parameters
     ----------
     calls_per_second : float
-        Rate of the process.
+        Calls that the process may make per second.
     clock : Clock
         Time source, in seconds.
     """
@@ -103,41 +104,41 @@
         self.refused_by_purpose = dict.fromkeys(Purpose, 0)
         self.watches = 0
 
-    async def take(self, purpose: Purpose, patience_s: float) -> float:
+    async def take(self, purpose: Purpose, wait_limit_s: float) -> float:
         """Wait for a token and count the call.
 
         Parameters
         ----------
         purpose : Purpose
-            Counter to raise.
-        patience_s : float
+            Counter to increment.
+        wait_limit_s : float
             Longest wait, in seconds.
 
         Returns
         -------
         float
-            0 if the call may go; else the seconds after which a repeat is sensible.
+            0 if the call may be sent; otherwise the seconds until a token is available.
         """
         wait_s = self.bucket.wait_s()
-        if wait_s > patience_s:
+        if wait_s > wait_limit_s:
             self.refused_by_purpose[purpose] += 1
             return wait_s
-        self.bucket.take_on_credit()
+        self.bucket.take_in_advance()
         self.calls_by_purpose[purpose] += 1
         if wait_s > 0.0 and purpose is not Purpose.LEASE:
             await asyncio.sleep(wait_s)
         return 0.0
 
     def open_watch(self) -> bool:
-        """Count one more waiting watch; False if watches have their share already."""
-        wanted = (self.watches + 1) * WATCH_CALLS_PER_SECOND
-        if wanted > self.bucket.rate * WATCH_SHARE or self.watches == MAX_WATCHES:
+        """Reserve the rate of one more watch; return False if watches have no free slot."""
+        needed_rate = (self.watches + 1) * WATCH_CALLS_PER_SECOND
+        if needed_rate > self.bucket.rate * WATCH_SHARE or self.watches == MAX_WATCHES:
             return False
         self.watches += 1
         self.bucket.reserve_rate(WATCH_CALLS_PER_SECOND)
         return True
 
     def close_watch(self) -> None:
-        """Count one waiting watch less."""
+        """Release the rate of one watch."""
         self.watches -= 1
         self.bucket.reserve_rate(-WATCH_CALLS_PER_SECOND)
--- a/waxwingglade/connection/store_codec.py
+++ b/waxwingglade/connection/store_codec.py
@@ -1,7 +1,7 @@
 """Messages of the etcd v3 JSON gateway, the protocol of the platform's key-value service.
 
-Keys and values travel as base64 and 64-bit integers as strings.  Fields that hold their default
-are left out, as the published protocol does.
+Keys and values are encoded as base64 and 64-bit integers as strings.  As in the published
+protocol, fields that have their default value are left out.
 """
 
 from enum import Enum
@@ -13,7 +13,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Base of all messages of the gateway."""
+    """Base class of all messages of the gateway."""
 
 
 class Header(Message):
@@ -23,7 +23,7 @@
 
 
 class WireKeyValue(Message):
-    """One key as the store holds it."""
+    """A key with its value and revisions, as stored."""
 
     key: bytes = b""
     create_revision: int = 0
@@ -34,7 +34,7 @@
 
 
 class RangeRequest(Message):
-    """Read one key, or every key from `key` up to and without `range_end`."""
+    """Read one key, or every key from `key` up to `range_end`, which is excluded."""
 
     key: bytes
     range_end: bytes = b""
@@ -43,7 +43,7 @@
 
 
 class RangeResponse(Message):
-    """Keys in order; `count` counts those beyond `limit` too."""
+    """Keys in order; `count` includes those beyond the `limit` of the request."""
 
     header: Header = Header()
     kvs: list[WireKeyValue] = []
@@ -66,7 +66,7 @@
 
 
 class DeleteRangeRequest(Message):
-    """Delete one key, or every key from `key` up to and without `range_end`."""
+    """Delete one key, or every key from `key` up to `range_end`, which is excluded."""
 
     key: bytes
     range_end: bytes = b""
@@ -80,7 +80,7 @@
 
 
 class CompareResult(Enum):
-    """Relation that a comparison asks for."""
+    """Relation that a comparison requires."""
 
     EQUAL = "EQUAL"
     GREATER = "GREATER"
@@ -89,7 +89,7 @@
 
 
 class CompareTarget(Enum):
-    """Attribute of a key that a comparison looks at."""
+    """Attribute of a key that a comparison tests."""
 
     VERSION = "VERSION"
     CREATE = "CREATE"
@@ -99,7 +99,7 @@
 
 
 class Compare(Message):
-    """Condition on one key; an absent key has revisions and version 0."""
+    """Condition on one key; the revisions and the version of an absent key are 0."""
 
     key: bytes
     target: CompareTarget = CompareTarget.VERSION
@@ -128,7 +128,7 @@
 
 
 class TxnRequest(Message):
-    """Run `success` if every comparison holds, else `failure`, as one step."""
+    """Run `success` if every comparison holds, else `failure`, atomically."""
 
     compare: list[Compare] = []
     success: list[RequestOp] = []
@@ -144,14 +144,14 @@
 
 
 class LeaseGrantRequest(Message):
-    """Ask for a lease of `TTL` seconds; ID 0 lets the store choose."""
+    """Request a lease of `TTL` seconds; with ID 0 the store chooses the id."""
 
     TTL: int
     ID: int = 0
 
 
 class LeaseGrantResponse(Message):
-    """A lease, with the seconds that the store granted."""
+    """A granted lease; `TTL` is its duration in seconds."""
 
     header: Header = Header()
     ID: int = 0
@@ -159,13 +159,13 @@
 
 
 class LeaseRequest(Message):
-    """Name a lease to keep alive or to revoke."""
+    """Id of a lease to keep alive or to revoke."""
 
     ID: int
 
 
 class LeaseKeepAliveResponse(Message):
-    """Seconds that the lease has from now; 0 if it has lapsed."""
+    """Remaining seconds of a lease; 0 if it has expired."""
 
     header: Header = Header()
     ID: int = 0
@@ -173,7 +173,7 @@
 
 
 class LeaseKeepAliveResult(Message):
-    """The one line of a keepalive answer, which is a stream in the protocol."""
+    """The only line of a keepalive answer, which is a stream in the protocol."""
 
     result: LeaseKeepAliveResponse = LeaseKeepAliveResponse()
 
@@ -185,7 +185,7 @@
 
 
 class WatchCreateRequest(Message):
-    """Report the changes of a range from `start_revision` on; 0 begins now."""
+    """Report the changes of a range from `start_revision` on; 0 means from now on."""
 
     key: bytes
     range_end: bytes = b""
@@ -213,7 +213,7 @@
 
 
 class WatchResponse(Message):
-    """Changes of one or more whole revisions, or the start or end of a watch."""
+    """Changes of one or more complete revisions, or the start or end of a watch."""
 
     header: Header = Header()
     created: bool = False
@@ -239,7 +239,7 @@
 
 
 class GatewayError(Message):
-    """Body of an answer that is not a success."""
+    """Body of an error answer."""
 
     error: str = ""
     code: int = 0
@@ -247,7 +247,7 @@
 
 
 class GrpcCode(Enum):
-    """Status codes that the store uses."""
+    """gRPC status codes that the store uses."""
 
     UNKNOWN = 2
     INVALID_ARGUMENT = 3
@@ -267,8 +267,8 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the JSON of `message`, every integer as a string."""
-    return msgspec.json.encode(_strings_for_integers(msgspec.to_builtins(message)))
+    """Return the JSON of `message`, with every integer as a string."""
+    return msgspec.json.encode(_integers_as_strings(msgspec.to_builtins(message)))
 
 
 def decode_message(body: bytes, kind: type[M]) -> M:
@@ -278,17 +278,17 @@
 
 def prefix_end(prefix: bytes) -> bytes:
     """Return the first key after all keys that start with `prefix`; one zero byte means no end."""
-    kept = prefix.rstrip(b"\xff")
-    if not kept:
+    stripped = prefix.rstrip(b"\xff")
+    if not stripped:
         return b"\0"
-    return kept[:-1] + bytes([kept[-1] + 1])
+    return stripped[:-1] + bytes([stripped[-1] + 1])
 
 
-def _strings_for_integers(data: Any) -> Any:
+def _integers_as_strings(data: Any) -> Any:
     if isinstance(data, dict):
-        return {name: _strings_for_integers(value) for name, value in data.items()}
+        return {name: _integers_as_strings(value) for name, value in data.items()}
     if isinstance(data, list):
-        return [_strings_for_integers(value) for value in data]
+        return [_integers_as_strings(value) for value in data]
     if isinstance(data, int) and not isinstance(data, bool):
         return str(data)
     return data
--- a/waxwingglade/connection/store_messages.py
+++ b/waxwingglade/connection/store_messages.py
@@ -1,4 +1,4 @@
-"""What users of the store client get from it."""
+"""Results and events of the store client."""
 
 from typing import TypeAlias
 
@@ -6,7 +6,7 @@
 
 
 class KeyValue(msgspec.Struct, frozen=True):
-    """One key, with what the store knows of its changes.
+    """One key with its value, its revisions and its lease.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
     version : int
         Number of writes since the creation.
     lease : int
-        Lease that the key ends with; 0 for none.
+        Id of the lease that the key is attached to; 0 for none.
     """
 
     key: str
@@ -38,14 +38,15 @@
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """A lease as its holder may count on it.
+    """A lease, with the time until which its holder may rely on it.
 
     Parameters
     ----------
     id : int
-        Name of the lease in the store.
+        Id of the lease in the store.
     valid_until : float
-        Time of the local monotonic clock, in seconds, counted from when the request was sent.
+        End of the lease on the local monotonic clock, in seconds.  The duration is counted from
+        the time when the request was sent.
     """
 
     id: int
@@ -59,14 +60,14 @@
 
 
 class DeleteEvent(msgspec.Struct, frozen=True):
-    """A key was deleted, or ended with its lease."""
+    """A key was deleted, directly or because its lease ended."""
 
     key: str
     revision: int
 
 
 class ResyncEvent(msgspec.Struct, frozen=True):
-    """Changes may have been missed: `listing` replaces all that is known of the prefix."""
+    """Changes may have been missed: `listing` replaces the whole state known of the prefix."""
 
     listing: Listing
 
--- a/waxwingglade/connection/store_transport.py
+++ b/waxwingglade/connection/store_transport.py
@@ -1,4 +1,4 @@
-"""Calls to the store's HTTP gateway: one answer or one verdict each."""
+"""Calls to the store's HTTP gateway, each of which ends with an answer or a classified failure."""
 
 import asyncio
 from typing import TypeVar
@@ -22,7 +22,7 @@
     HttpClientSettings,
     HttpRequest,
 )
-from waxwingglade.connection.store_answer import classify_answer, classify_silence
+from waxwingglade.connection.store_answer import classify_answer, classify_no_answer
 from waxwingglade.connection.store_budget import MAX_WATCHES, CallBudget, Purpose
 from waxwingglade.connection.store_codec import (
     Message,
@@ -35,14 +35,14 @@
 M = TypeVar("M")
 
 MAX_CALLS = 64
-"""Calls under way at once beside the waiting watches; more would wait for each other."""
+"""Connections for calls, beside those of open watches; further concurrent calls are queued."""
 
 ANSWER_BYTES = 100_000_000
 CLOSE_TIMEOUT_S = 2.0
 
 
 class StoreTransport:
-    """HTTP connections of one process to the store, within its budget of calls.
+    """HTTP connections of one process to the store, subject to the process's call budget.
 
     Parameters
     ----------
@@ -63,26 +63,26 @@
                 answer_bytes=ANSWER_BYTES,
             )
         )
-        self.under_way: set[Exchange] = set()
+        self.in_flight: set[Exchange] = set()
         self.closed = False
-        self.current = 0
+        self.url_index = 0
 
     def url(self) -> str:
         """Return the address in use."""
-        return self.settings.urls[self.current].rstrip("/")
+        return self.settings.urls[self.url_index].rstrip("/")
 
     def fail_over(self, failed: str) -> None:
-        """Use the next address, unless another call has left `failed` already."""
+        """Switch from address `failed` to the next one, unless another call has done so already."""
         if self.url() == failed:
-            self.current = (self.current + 1) % len(self.settings.urls)
+            self.url_index = (self.url_index + 1) % len(self.settings.urls)
 
     async def call(
         self, path: str, message: Message, answer: type[M], purpose: Purpose
     ) -> Outcome[M]:
         """Send one message and return the decoded answer.
 
-        Addresses that cannot be reached are passed over, each tried once and all within the time
-        of one call; for a read, so are those that give no answer.
+        The addresses are tried once each, all within the timeout of one call, until one of them
+        can be reached.  A read is also tried at the next address if there is no answer.
         """
         if not self.settings.urls:
             return not_run(ErrorCode.STORE_UNAVAILABLE, "the settings name no store")
@@ -92,18 +92,18 @@
             return not_run(ErrorCode.STORE_UNAVAILABLE, reason, retry_after_s)
         body = encode_message(message)
         is_read = isinstance(message, RangeRequest)
-        give_up_at = self.clock() + self.settings.timeout_s
+        deadline = self.clock() + self.settings.timeout_s
         for _ in self.settings.urls:
-            outcome = await self.send(path, body, give_up_at - self.clock(), is_read)
-            is_over = outcome.is_ok() or (may_have_gone(outcome) and not is_read)
-            if is_over or self.clock() >= give_up_at:
+            outcome = await self.send(path, body, deadline - self.clock(), is_read)
+            is_over = outcome.is_ok() or (may_have_executed(outcome) and not is_read)
+            if is_over or self.clock() >= deadline:
                 break
         return outcome.and_then(classify_answer).and_then(lambda body: decode(body, answer))
 
     async def send(
         self, path: str, body: bytes, timeout_s: float, is_read: bool
     ) -> Outcome[HttpAnswer]:
-        """Send one body to the address in use, and leave that address if it gives no answer."""
+        """Send one body to the address in use; switch to the next address if there is no answer."""
         url = self.url()
         exchange = self.begin(url + path, body, timeout_s, is_read)
         if exchange is None:
@@ -115,42 +115,42 @@
         if answer.is_ok():
             return answer
         self.fail_over(url)
-        return answer.map_err(classify_silence)
+        return answer.map_err(classify_no_answer)
 
     def begin(self, url: str, body: bytes, timeout_s: float, repeatable: bool) -> Exchange | None:
-        """Begin an exchange that `end` must follow; None if the client is closed."""
+        """Begin an exchange, which must be passed to `end`; None if the client is closed."""
         if self.closed:
             return None
         request = HttpRequest("POST", url, body=body, timeout_s=timeout_s, repeatable=repeatable)
         exchange = Exchange(self.http, request)
-        self.under_way.add(exchange)
+        self.in_flight.add(exchange)
         return exchange
 
     def end(self, exchange: Exchange) -> None:
-        """Cut the connection of an exchange, if it is still under way."""
-        self.under_way.discard(exchange)
+        """Abort an exchange if it is still in flight."""
+        self.in_flight.discard(exchange)
         exchange.abort()
 
     async def close(self) -> None:
-        """Close every connection; what is under way ends without an answer."""
+        """Close every connection; exchanges in flight end without an answer."""
         if self.closed:
             return
         self.closed = True
-        for exchange in self.under_way:
+        for exchange in self.in_flight:
             exchange.abort()
-        futures = [exchange.future for exchange in self.under_way]
+        futures = [exchange.future for exchange in self.in_flight]
         if futures:
             await asyncio.wait(futures, timeout=CLOSE_TIMEOUT_S)
         await self.http.close()
 
 
-def may_have_gone(outcome: Outcome[M]) -> bool:
-    """Return whether a failed request may have run."""
+def may_have_executed(outcome: Outcome[M]) -> bool:
+    """Return whether a request failed and may still have run."""
     return outcome.is_err() and outcome.unwrap_err().verdict is not Verdict.NOT_RUN
 
 
 def decode(body: bytes, answer: type[M]) -> Outcome[M]:
-    """Return the message in an answer; a malformed one says nothing of the request."""
+    """Return the message in an answer, or MAY_HAVE_RUN if the answer is malformed."""
     try:
         return Ok(decode_message(body, answer))
     except msgspec.MsgspecError as error:
--- a/waxwingglade/connection/store_watch.py
+++ b/waxwingglade/connection/store_watch.py
@@ -1,4 +1,4 @@
-"""Watches on the store that go on after a gap, a dropped connection or a compaction."""
+"""Watches on the store that continue after an outage, a dropped connection or a compaction."""
 
 from __future__ import annotations
 
@@ -32,24 +32,24 @@
 
 LONGEST_PAUSE_S = 5.0
 IDLE_LIMIT_S = 60.0
-"""Silence after which a watch is opened afresh, in case its connection is dead."""
+"""Seconds without a response after which a watch reconnects, in case its connection is dead."""
 
 LONGEST_WATCH_S = 3600.0
-"""Seconds after which a watch is opened afresh in any case."""
+"""Seconds after which a watch reconnects in any case."""
 
-LIST_AFRESH = 0
-"""Revision that stands for "not known": the prefix has to be listed first."""
+UNKNOWN_REVISION = 0
+"""Marks a watch without a known revision: the prefix has to be listed first."""
 
 
-class Position(msgspec.Struct):
-    """How far a watch has come.
+class WatchPosition(msgspec.Struct):
+    """Progress of a watch.
 
     Parameters
     ----------
     revision : int
         First revision not yet reported.
     failures : int
-        Attempts since the last one that was of use.
+        Attempts since the last one that reported changes or lasted over `LONGEST_PAUSE_S` seconds.
     """
 
     revision: int
@@ -60,38 +60,38 @@
     client: StoreClient, prefix: str, from_revision: int, purpose: Purpose
 ) -> AsyncIterator[WatchEvent]:
     """Yield the changes under a prefix; see `StoreClient.watch`."""
-    position = Position(from_revision)
+    position = WatchPosition(from_revision)
     while not client.closed:
         if position.failures:
             await asyncio.sleep(backoff_s(position.failures, LONGEST_PAUSE_S))
         position.failures += 1
-        if position.revision == LIST_AFRESH:
+        if position.revision == UNKNOWN_REVISION:
             listed = await client.list(prefix, purpose)
             if listed.is_err():
                 continue
             listing = listed.unwrap()
             position.revision = listing.revision + 1
             yield ResyncEvent(listing)
-        async with aclosing(follow(client, prefix, position, purpose)) as events:
+        async with aclosing(follow_connection(client, prefix, position, purpose)) as events:
             async for event in events:
                 yield event
 
 
-async def follow(
-    client: StoreClient, prefix: str, position: Position, purpose: Purpose
+async def follow_connection(
+    client: StoreClient, prefix: str, position: WatchPosition, purpose: Purpose
 ) -> AsyncGenerator[WatchEvent, None]:
-    """Yield what one connection brings, and move `position` on."""
+    """Yield the changes that one connection reports, and advance `position`."""
     key = client.full_key(prefix)
     stream = WatchStream(client.transport, key, position.revision, purpose)
     opened_at = client.clock()
     try:
         response = await stream.open()
         while response is not None and not response.canceled:
-            if went_back(response, position.revision):
-                position.revision = LIST_AFRESH
+            if is_store_behind(response, position.revision):
+                position.revision = UNKNOWN_REVISION
                 return
             for event in response.events:
-                yield change(client, event)
+                yield to_watch_event(client, event)
             if response.events:
                 position.revision = response.events[-1].kv.mod_revision + 1
                 position.failures = 0
@@ -99,30 +99,30 @@
     finally:
         stream.close()
     is_compacted = response is not None and response.compact_revision > 0
-    if is_compacted or not stream.counted:
-        # Without room for a watch in the budget, the prefix is listed now and then instead.
-        position.revision = LIST_AFRESH
+    if is_compacted or not stream.has_slot:
+        # If the budget has no free slot for a watch, the prefix is listed repeatedly instead.
+        position.revision = UNKNOWN_REVISION
     if client.clock() - opened_at > LONGEST_PAUSE_S:
         position.failures = 0
 
 
-def went_back(response: WatchResponse, revision: int) -> bool:
-    """Return whether the store is at an earlier state than the watch has seen.
+def is_store_behind(response: WatchResponse, revision: int) -> bool:
+    """Return whether the store is at an earlier revision than the watch has reported.
 
-    It would stay silent until it reaches `revision` again.
+    Such a store would report nothing until it reaches `revision` again.
     """
     return response.created and response.header.revision < revision - 1
 
 
-def change(client: StoreClient, event: Event) -> WatchEvent:
-    """Return a change as users see it."""
+def to_watch_event(client: StoreClient, event: Event) -> WatchEvent:
+    """Return a change as a `WatchEvent`."""
     if event.type is EventType.DELETE:
         return DeleteEvent(client.short_key(event.kv.key), event.kv.mod_revision)
     return PutEvent(client.item(event.kv))
 
 
 class WatchStream:
-    """One connection that a watch waits on.
+    """One connection of a watch.
 
     Parameters
     ----------
@@ -143,20 +143,20 @@
         self.key = key
         self.revision = revision
         self.purpose = purpose
-        self.counted = False
-        self.partial = b""
+        self.has_slot = False
+        self.incomplete_line = b""
         self.lines: deque[bytes] = deque()
         self.exchange: Exchange | None = None
 
     async def open(self) -> WatchResponse | None:
-        """Open the connection and return its first response; None if there is none."""
+        """Open the connection; return its first response, or None if there is none."""
         if not self.transport.settings.urls:
             return None
         timeout_s = self.transport.settings.timeout_s
         if await self.transport.budget.take(self.purpose, timeout_s) > 0.0:
             return None
-        self.counted = self.transport.budget.open_watch()
-        if not self.counted:
+        self.has_slot = self.transport.budget.open_watch()
+        if not self.has_slot:
             return None
         url = self.transport.url()
         create = WatchCreateRequest(
@@ -169,36 +169,36 @@
             self.transport.fail_over(url)
         return response
 
-    async def next_response(self, patience_s: float) -> WatchResponse | None:
-        """Return the next response; None at the end, on an error or after a long silence."""
+    async def next_response(self, wait_limit_s: float) -> WatchResponse | None:
+        """Return the next response; None at the end, on an error or after `wait_limit_s`."""
         if self.exchange is None:
             return None
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(wait_limit_s):
                 return read_line(await self.next_line(self.exchange))
         except TimeoutError:
             return None
 
     async def next_line(self, exchange: Exchange) -> bytes:
-        """Return the next line; an empty one at the end of the connection."""
+        """Return the next line, which is empty at the end of the connection."""
         while not self.lines:
             piece = await exchange.pieces.get()
             if piece == END_OF_BODY:
                 return b""
-            *whole, self.partial = (self.partial + piece).split(b"\n")
-            self.lines.extend(whole)
+            *complete_lines, self.incomplete_line = (self.incomplete_line + piece).split(b"\n")
+            self.lines.extend(complete_lines)
         return self.lines.popleft()
 
     def close(self) -> None:
-        """End the connection."""
-        if self.counted:
+        """Close the connection and release its slot in the budget."""
+        if self.has_slot:
             self.transport.budget.close_watch()
         if self.exchange is not None:
             self.transport.end(self.exchange)
 
 
 def read_line(line: bytes) -> WatchResponse | None:
-    """Return the response in a line; None if it is an error or malformed."""
+    """Return the response in a line, or None if the line is an error or malformed."""
     try:
         return decode_message(line, WatchResult).result
     except msgspec.MsgspecError:
--- a/waxwingglade/connection/store_write.py
+++ b/waxwingglade/connection/store_write.py
@@ -1,14 +1,14 @@
-"""Transactions whose outcome stays known when an answer is lost.
+"""Transactions whose outcome can be determined after their answer is lost.
 
-Every write names two marker keys of its own.  Its transaction asks that neither exists.  If so and
-the key is as expected, it runs the write and creates the first marker; in any other case it reads
-the first marker back and creates the second one.  So the first copy of the transaction to reach
-the store decides for good: a later copy, sent again by the client or by its HTTP library or kept
-back by the network, changes nothing and reads the decision.  The revision of the first marker is
-that of the write, also when someone has overwritten the key since.
+Every write has two marker keys of its own, `done` and `refused`.  Its transaction requires that
+neither exists.  If they do not and the key is at the expected revision, the transaction runs the
+write and creates `done`; otherwise it reads `done` and creates `refused`.  So the first copy of
+the transaction that reaches the store is decisive.  A later copy, which the client or its HTTP
+library has sent again or the network has delayed, changes nothing and reads the decision.  The
+revision of `done` is that of the write, even if another client has overwritten the key since.
 
-The markers end with a lease, so nothing needs to clean them up.  Once it has ended, the store
-refuses a late copy, because either branch would create a marker under a lease that is gone.
+The markers are deleted when their lease expires, so they need no cleanup.  After that the store
+refuses a late copy, because both branches would create a marker under an expired lease.
 """
 
 from waxwingglade.base import ErrorCode, Ok, Outcome, not_run
@@ -24,20 +24,20 @@
 
 
 def marked_txn(key: bytes, expected: int, op: RequestOp, marker: bytes, lease: int) -> TxnRequest:
-    """Return a transaction that runs `op` once or never, however often it is sent.
+    """Return a transaction that runs `op` at most once, however often it is sent.
 
     Parameters
     ----------
     key : bytes
-        Key that the condition is on.
+        Key that the condition applies to.
     expected : int
-        Revision of its last write; 0 if it must be absent.
+        Required revision of the key's last write; 0 if the key must be absent.
     op : RequestOp
-        What to do if the condition holds.
+        Operation to run if the condition holds.
     marker : bytes
-        Start of the names of the marker keys, never used before.
+        Prefix of the names of the marker keys; must never have been used before.
     lease : int
-        Lease that the markers end with.
+        Id of the lease that the markers are attached to.
     """
     done = marker + b"/done"
     refused = marker + b"/refused"
@@ -56,7 +56,7 @@
 
 
 def read_decision(answer: TxnResponse) -> Outcome[int]:
-    """Return the revision of a marked write, or that it did not run and never will."""
+    """Return the revision of a marked write, or a failure if it did not run and never will."""
     if answer.succeeded:
         return Ok(answer.header.revision)
     done = answer.responses[0].response_range
--- a/waxwingglade/connection/tests/test_store_lost.py
+++ b/waxwingglade/connection/tests/test_store_lost.py
@@ -72,13 +72,13 @@
         await ok(self.client.delete_if("a", self.revision))
 
     async def test_a_write_is_uncertain_while_the_store_stays_away(self) -> None:
-        self.client.patience_s = 0.05
+        self.client.retry_limit_s = 0.05
         await self.set_faults(lost_answers=1000)
         refused = await refusal(self.client.put_if("a", b"1", self.revision))
         self.assertEqual(refused, (Verdict.MAY_HAVE_RUN, ErrorCode.STORE_UNAVAILABLE))
 
     async def test_a_lost_answer_and_then_refused_connections_are_uncertain(self) -> None:
-        self.client.patience_s = 0.05
+        self.client.retry_limit_s = 0.05
         await self.set_faults(lost_answers=2)
         writing = asyncio.create_task(self.client.put_if("a", b"1", self.revision))
         await self.standin.changed.wait()
