--- a/waxwingglade/connection/log_messages.py
+++ b/waxwingglade/connection/log_messages.py
@@ -1,4 +1,4 @@
-"""What owners, holders and takers of program logs say to each other."""
+"""Messages between the owner of a program log, the holders of its copies and a new owner."""
 
 import msgspec
 
@@ -13,9 +13,9 @@
 class AppendRecords(msgspec.Struct, frozen=True, tag="append", array_like=True):
     """Records for a copy of a log, from position `first` on.
 
-    The first message of an epoch starts at 0 and replaces the copy as a whole.  `registered` says
-    that the store has a record of the log: if it has none later, the log was retired.  `opening`
-    counts how often the owner began to send the log to a holder.
+    The first message of an epoch starts at 0 and replaces the entire copy.  `registered` says that
+    the store has a record of the log, so that the log was retired if the record is missing later.
+    `opening` counts how often the owner began to send the log to a holder.
     """
 
     log: LogId
@@ -35,35 +35,36 @@
 
 
 class Behind(msgspec.Struct, frozen=True, tag="behind", array_like=True):
-    """The copy lacks what comes before; send from position `length` on."""
+    """The copy lacks earlier records; the owner is to send from position `length` on."""
 
     length: int
 
 
 class Fenced(msgspec.Struct, frozen=True, tag="fenced", array_like=True):
-    """Refused: the copy has promised itself to the higher epoch named here."""
+    """Refused: the copy accepts only epochs from `epoch` on, which is higher."""
 
     epoch: Epoch
 
 
 class SealCopy(msgspec.Struct, frozen=True, tag="seal", array_like=True):
-    """Refuse every epoch below `epoch` from now on, and hand out what the copy holds."""
+    """Refuse every epoch below `epoch` from now on, and return the records of the copy."""
 
     log: LogId
     epoch: Epoch
 
 
 class SealedCopy(msgspec.Struct, frozen=True, tag="sealed", array_like=True):
-    """What a sealed copy holds; `last_epoch` is 0 where it holds nothing."""
+    """Records of a sealed copy and their epoch; `last_epoch` is 0 if there is no copy."""
 
     last_epoch: Epoch
     records: list[bytes]
 
 
 class DropCopy(msgspec.Struct, frozen=True, tag="drop", array_like=True):
-    """The copy is no longer needed by the owner of `epoch`.
+    """Remove a copy, which the owner of `epoch` no longer needs.
 
-    A copy that the owner opened again later, with a higher `opening`, stays: the message was late.
+    A copy that the owner has opened again since, with a higher `opening`, is retained, because the
+    message was delayed.
     """
 
     log: LogId
@@ -72,18 +73,18 @@
 
 
 class Dropped(msgspec.Struct, frozen=True, tag="dropped", array_like=True):
-    """The copy is gone."""
+    """The copy is removed, or is retained because the message was delayed."""
 
 
 class TakeLog(msgspec.Struct, frozen=True, tag="take_log", array_like=True):
-    """Ask a peer to take over a log from its owner, who is leaving.
+    """Request that a peer takes over a log, usually because the owner of the log is leaving.
 
     Parameters
     ----------
     log : LogId
         The log.
     orphaned : bool
-        Whether a leaving holder asks, as the owner seems to be gone.
+        Whether the sender is a leaving holder instead, because the owner seems to have departed.
     """
 
     log: LogId
@@ -95,26 +96,28 @@
 
 
 class FindLog(msgspec.Struct, frozen=True, tag="find_log", array_like=True):
-    """Ask who owns a log, as far as the receiver's copies tell."""
+    """Ask who owns a log, according to the receiver and its copy."""
 
     log: LogId
 
 
 class LogFound(msgspec.Struct, frozen=True, tag="log_found", array_like=True):
-    """What the receiver knows of a log.
+    """Ownership of a log, as known to the receiver of the question.
 
     Parameters
     ----------
     owner : EntryRef or None
-        Owner as far as the receiver's copy tells; None where it has no copy.
+        The receiver itself if it owns the log, else the owner according to its copy; None if it
+        has no copy.
     epoch : Epoch
         Epoch of that owner.
     serving : bool
         Whether the receiver itself owns the log.
     taking_over : bool
-        Whether the receiver is taking the log over at this moment.
+        Whether the receiver is currently taking the log over.
     owner_gone : bool
-        Whether the receiver, too, has lost sight of the owner, or has been sealed against it.
+        Whether the receiver considers the log to be without an owner as well: the owner is
+        unreachable, or the copy was sealed long ago and no new owner has followed.
     """
 
     owner: EntryRef | None
--- a/waxwingglade/connection/member_messages.py
+++ b/waxwingglade/connection/member_messages.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of themselves and of the configuration in force."""
+"""Messages by which entries report their state and exchange the configuration in force."""
 
 from enum import Enum
 
@@ -11,32 +11,32 @@
 
 
 class EntryState(Enum):
-    """What an entry says of itself."""
+    """State that an entry reports of itself."""
 
     ALIVE = "alive"
     DRAINING = "draining"
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="heartbeat", array_like=True):
-    """A sign of life, with digests by which peers see that they miss something.
+    """Report that the sender is alive, with digests that show whether sender and peer differ.
 
     Parameters
     ----------
     sender : EntryRef
-        The entry that speaks.
+        The entry that sends the heartbeat.
     state : EntryState
-        Whether it takes new work.
+        Whether the sender accepts new work.
     members_digest : int
-        Hash of the entries that the sender knows, or knows of its zone in a large fleet.
+        Hash of the entries that the sender knows; in a large fleet, of those in its own zone.
     config_version : ConfigVersion
         Version of the configuration in force at the sender.
     config_hash : str
-        Digest of that version.
+        Digest of the content of that version.
     config_confirmed : bool
-        Whether the sender has heard since its start, from the store or from a peer that had, that
-        it knows the highest version.
+        Whether the store, or a peer whose configuration was confirmed, has confirmed since the
+        sender's start that the sender knows the highest version.
     wants_members : bool
-        Whether the sender, of another zone, knows too few entries of the receiver's.
+        Whether the sender, if it is in another zone, knows too few entries of the receiver's zone.
     """
 
     sender: EntryRef
@@ -49,7 +49,7 @@
 
 
 class HeartbeatReply(msgspec.Struct, frozen=True, tag="heartbeat_reply", array_like=True):
-    """Answer to a heartbeat; `members` is empty where the sender misses nothing."""
+    """Answer to a heartbeat; `members` lists entries that the sender of the heartbeat may lack."""
 
     sender: EntryRef
     state: EntryState
@@ -60,12 +60,12 @@
 
 
 class FetchConfig(msgspec.Struct, frozen=True, tag="fetch_config", array_like=True):
-    """Ask for the configuration in force, if it is newer than `known`."""
+    """Request the configuration in force if it is newer than version `known`."""
 
     known: ConfigVersion
 
 
 class ConfigSnapshot(msgspec.Struct, frozen=True, tag="config_snapshot", array_like=True):
-    """An encoded configuration; empty where there is nothing newer."""
+    """An encoded configuration; empty if there is no newer one."""
 
     data: bytes = b""
--- a/waxwingglade/connection/peer_messages.py
+++ b/waxwingglade/connection/peer_messages.py
@@ -1,7 +1,7 @@
-"""What entries say to each other.
+"""Messages between entries.
 
-Every request travels in an `Envelope` that names the incarnation it is meant for: a process that
-was restarted at the same address refuses what was meant for the one before it.
+Every request is sent in an `Envelope` that names the incarnation it is addressed to.  A process
+that was restarted at the same address refuses requests that are addressed to its predecessor.
 """
 
 import msgspec
@@ -61,23 +61,23 @@
 
 
 class PassedOn(msgspec.Struct, frozen=True, tag="passed_on", array_like=True):
-    """A caller's request, passed once from the entry it reached to the owner."""
+    """A caller's request, forwarded to the owner by the entry that received it, at most once."""
 
     request: CallerRequest
 
 
 class PassedBack(msgspec.Struct, frozen=True, tag="passed_back", array_like=True):
-    """One event of the answer to a request that was passed on."""
+    """One event of the answer to a forwarded request."""
 
     event: CallerEvent
 
 
 class StillRunning(msgspec.Struct, frozen=True, tag="still_running", array_like=True):
-    """There is no event yet, but the request is being worked on."""
+    """The forwarded request is still running and has no new event."""
 
 
 class Refused(msgspec.Struct, frozen=True, tag="refused", array_like=True):
-    """The request as a whole was refused by the receiver."""
+    """The receiver refused the request."""
 
     failure: Failure
 
@@ -121,11 +121,11 @@
     number : int
         Number of the request on its connection; replies repeat it.
     meant_for : Incarnation or ""
-        Incarnation that may act on it; empty for heartbeats to an address.
+        Incarnation that may act on it; empty in replies and in heartbeats to an address.
     body : PeerBody
         The message.
     last : bool
-        Whether the answer ends with this message.
+        Whether this message is the last of the answer.
     """
 
     protocol: int
