--- a/waxwingglade/connection/tests/store_builders.py
+++ b/waxwingglade/connection/tests/store_builders.py
@@ -1,4 +1,4 @@
-"""A stand-in of the store and clients for it."""
+"""Builders of the store stand-in and of clients for it."""
 
 import unittest
 from collections.abc import AsyncIterator, Awaitable
@@ -12,14 +12,14 @@
 
 T = TypeVar("T")
 
-PLENTY = 1e6
-"""Calls a second that no test reaches."""
+UNLIMITED_RATE = 1e6
+"""Calls per second that no test reaches."""
 
 PREFIX = "/test"
 
 
 class ManualClock:
-    """Clock that moves only when told to."""
+    """Clock that shows the time `now`, which only the test changes."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -29,8 +29,10 @@
 
 
 def store_settings(*urls: str, **values: float) -> StoreSettings:
-    """Return settings with a rate that does not hold calls back."""
-    return StoreSettings(urls=list(urls), prefix=PREFIX, **{"calls_per_second": PLENTY, **values})
+    """Return settings whose default rate delays no calls."""
+    return StoreSettings(
+        urls=list(urls), prefix=PREFIX, **{"calls_per_second": UNLIMITED_RATE, **values}
+    )
 
 
 async def ok(call: Awaitable[Outcome[T]]) -> T:
@@ -45,14 +47,14 @@
 
 
 def write_directly(standin: StoreStandin, key: str, value: bytes) -> None:
-    """Write a key past the protocol, as another writer would."""
+    """Write a key in the stand-in's state, as if by another client."""
     put = PutRequest(key=f"{PREFIX}/{key}".encode(), value=value)
     standin.state.txn(TxnRequest(success=[RequestOp(request_put=put)]))
     standin.announce()
 
 
 class StoreTestCase(unittest.IsolatedAsyncioTestCase):
-    """Has a stand-in and a client for it."""
+    """Test case with a store stand-in and a client for it."""
 
     async def asyncSetUp(self) -> None:
         self.standin = await self.start_standin()
@@ -60,7 +62,7 @@
 
     async def start_standin(self, limits: StoreLimits | None = None) -> StoreStandin:
         """Return a stand-in that is stopped after the test."""
-        standin = StoreStandin(limits or StoreLimits(PLENTY, PLENTY))
+        standin = StoreStandin(limits or StoreLimits(UNLIMITED_RATE, UNLIMITED_RATE))
         await standin.start()
         self.addAsyncCleanup(standin.stop)
         return standin
@@ -72,7 +74,7 @@
         return client
 
     async def set_faults(self, **values: object) -> None:
-        """Put faults in force."""
+        """Activate faults in the stand-in, and deactivate all others."""
         await self.standin.set_faults(StoreFaults(**values))
 
     def new_watch(self, prefix: str = "", from_revision: int = 0) -> AsyncIterator[WatchEvent]:
--- a/waxwingglade/connection/tests/test_peer_cancel.py
+++ b/waxwingglade/connection/tests/test_peer_cancel.py
@@ -1,4 +1,4 @@
-"""Ending a request to a peer at the very moment its answer arrives."""
+"""Tests of a request to a peer that is cancelled at the moment when its answer arrives."""
 
 import asyncio
 import unittest
@@ -15,16 +15,16 @@
 )
 
 
-class Cancellation(unittest.IsolatedAsyncioTestCase):
-    async def test_a_cancellation_that_meets_the_answer_is_not_lost(self):
+class PeerRequestCancellation(unittest.IsolatedAsyncioTestCase):
+    async def test_a_cancellation_that_coincides_with_the_answer_is_not_lost(self):
         context = zmq.asyncio.Context()
         link = PeerLink(context, "tcp://127.0.0.1:9", "")
 
-        async def ask_for_ever():
+        async def send_requests():
             while True:
                 await link.request(FetchConfig(ConfigVersion(0)), timeout_s=60.0)
 
-        task = asyncio.create_task(ask_for_ever())
+        task = asyncio.create_task(send_requests())
         while not link.waiting:
             await asyncio.sleep(0)
         (number,) = link.waiting
--- a/waxwingglade/connection/tests/test_store.py
+++ b/waxwingglade/connection/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store client without faults."""
+"""Tests of the store client without faults."""
 
 from waxwingglade.base import ErrorCode, Verdict
 from waxwingglade.connection import Purpose
@@ -6,7 +6,7 @@
 
 
 class StoreClientTest(StoreTestCase):
-    """Reads and writes."""
+    """Reads, writes and deletions."""
 
     async def test_write_and_read(self) -> None:
         first = await ok(self.client.put_if("a", b"1", 0))
@@ -42,4 +42,4 @@
         counts = self.client.calls_by_purpose
         self.assertEqual(counts[Purpose.CONFIG], 1)
         self.assertEqual(counts[Purpose.CHECKPOINT], 1)
-        self.assertEqual(counts[Purpose.LEASE], 1, "the lease of the markers")
+        self.assertEqual(counts[Purpose.LEASE], 1, "the lease for the markers")
--- a/waxwingglade/connection/tests/test_store_codec.py
+++ b/waxwingglade/connection/tests/test_store_codec.py
@@ -1,4 +1,4 @@
-"""Messages against the JSON of the published protocol."""
+"""Tests of the store's messages against the JSON of the published protocol."""
 
 import json
 import unittest
@@ -18,7 +18,7 @@
 
 
 class CodecTest(unittest.TestCase):
-    """Keys in base64, 64-bit integers as strings, defaults left out."""
+    """Keys are encoded as base64 and 64-bit integers as strings; defaults are left out."""
 
     def test_transaction(self) -> None:
         put = RequestOp(request_put=PutRequest(key=b"k", value=b"v", lease=7))
--- a/waxwingglade/connection/tests/test_store_lease.py
+++ b/waxwingglade/connection/tests/test_store_lease.py
@@ -1,4 +1,4 @@
-"""Leases: when a holder may count on them, and when not."""
+"""Tests of leases: until when their holder may rely on them."""
 
 from waxwingglade.base import ErrorCode, Verdict
 from waxwingglade.connection import Lease, StoreClient
@@ -13,7 +13,7 @@
 
 
 class LeaseTest(StoreTestCase):
-    """A lease by the holder's clock and by the store's."""
+    """Validity of a lease by the clocks of its holder and of the store."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -23,7 +23,7 @@
         self.lease = await ok(self.client.grant_lease(10))
 
     def delay_answers(self, seconds: float) -> None:
-        """Let the holder's clock move on while the store runs a keepalive."""
+        """Advance the holder's clock while the store runs a keepalive."""
         keep_alive = StoreState.keep_alive
 
         def delayed(lease: int) -> int:
@@ -36,22 +36,22 @@
         self.assertEqual(self.lease.valid_until, self.clock.now + 10)
         sent_at = self.clock.now
         self.delay_answers(4.0)
-        kept = await ok(self.client.keep_alive(self.lease))
-        self.assertEqual(kept, Lease(self.lease.id, sent_at + 10))
+        extended = await ok(self.client.keep_alive(self.lease))
+        self.assertEqual(extended, Lease(self.lease.id, sent_at + 10))
 
-    async def test_an_answer_after_the_local_end_comes_too_late(self) -> None:
+    async def test_a_lease_is_lost_if_the_answer_arrives_after_its_local_end(self) -> None:
         self.clock.now += 5.0
         self.delay_answers(6.0)
         refused = await refusal(self.client.keep_alive(self.lease))
         self.assertEqual(refused, (Verdict.RAN, ErrorCode.FENCED))
 
-    async def test_an_id_past_its_local_end_is_not_kept_alive(self) -> None:
+    async def test_a_lease_past_its_local_end_is_not_kept_alive(self) -> None:
         self.clock.now = self.lease.valid_until
         refused = await refusal(self.client.keep_alive(self.lease))
         self.assertEqual(refused, (Verdict.NOT_RUN, ErrorCode.FENCED))
         self.assertNotEqual((await ok(self.client.grant_lease(10))).id, self.lease.id)
 
-    async def test_a_lapsed_lease_is_lost_for_good(self) -> None:
+    async def test_an_expired_lease_stays_lost(self) -> None:
         await self.set_faults(lapse_leases=[self.lease.id])
         refused = await refusal(self.client.keep_alive(self.lease))
         self.assertEqual(refused, (Verdict.RAN, ErrorCode.FENCED))
@@ -59,12 +59,12 @@
         again = (await self.client.keep_alive(self.lease)).unwrap_err()
         self.assertIs(again.code, ErrorCode.FENCED)
 
-    async def test_a_write_under_a_lapsed_lease_does_not_run(self) -> None:
+    async def test_a_write_under_an_expired_lease_does_not_run(self) -> None:
         await self.set_faults(lapse_leases=[self.lease.id])
         refused = await refusal(self.client.put_if("a", b"1", 0, self.lease.id))
         self.assertEqual(refused, (Verdict.NOT_RUN, ErrorCode.FENCED))
 
-    async def test_keys_end_with_their_lease(self) -> None:
+    async def test_keys_are_deleted_with_their_lease(self) -> None:
         await ok(self.client.put_if("a", b"1", 0, self.lease.id))
         await ok(self.client.revoke(self.lease))
         self.assertIsNone(await ok(self.client.get("a")))
--- a/waxwingglade/connection/tests/test_store_lost.py
+++ b/waxwingglade/connection/tests/test_store_lost.py
@@ -1,4 +1,4 @@
-"""Writes whose answer is lost, or which the network delivers late."""
+"""Tests of writes whose answer is lost or which the network delivers late."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 from waxwingglade.base import ErrorCode, Verdict
 from waxwingglade.connection import KeyValue, StoreClient, store_backoff
 from waxwingglade.connection.tests.store_builders import (
-    PLENTY,
+    UNLIMITED_RATE,
     StoreTestCase,
     ok,
     refusal,
@@ -22,11 +22,11 @@
 
 
 class LostAnswerTest(StoreTestCase):
-    """One lost answer, and what others do before it is made up for."""
+    """Calls with lost answers or late copies, and writes of other clients before the repeat."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        # Holds the markers' lease from here on, so that faults meet the write itself.
+        # The client now has a lease for its markers, so the faults affect the write itself.
         self.revision = await ok(self.client.put_if("a", b"0", 0))
 
     async def test_a_write_that_took_effect_is_a_success(self) -> None:
@@ -58,12 +58,12 @@
         self.assertIsNone(await ok(self.client.get("a")))
 
     async def test_a_late_copy_of_a_write_that_took_effect_changes_nothing(self) -> None:
-        for lapse in (False, True):
-            with self.subTest(markers_ended=lapse):
+        for expired in (False, True):
+            with self.subTest(markers_expired=expired):
                 await self.set_faults(held_writes=1)
                 revision = await ok(self.client.put_if("b", b"1", 0))
                 await ok(self.client.delete_if("b", revision))
-                await self.set_faults(lapse_all_leases=lapse)
+                await self.set_faults(lapse_all_leases=expired)
                 await self.set_faults(release_held=True)
                 self.assertIsNone(await ok(self.client.get("b")))
 
@@ -71,13 +71,15 @@
         await self.set_faults(lost_answers=2)
         await ok(self.client.delete_if("a", self.revision))
 
-    async def test_a_write_is_uncertain_while_the_store_stays_away(self) -> None:
+    async def test_a_write_is_uncertain_while_the_store_is_unreachable(self) -> None:
         self.client.retry_limit_s = 0.05
         await self.set_faults(lost_answers=1000)
         refused = await refusal(self.client.put_if("a", b"1", self.revision))
         self.assertEqual(refused, (Verdict.MAY_HAVE_RUN, ErrorCode.STORE_UNAVAILABLE))
 
-    async def test_a_lost_answer_and_then_refused_connections_are_uncertain(self) -> None:
+    async def test_a_write_is_uncertain_if_connections_are_refused_after_a_lost_answer(
+        self,
+    ) -> None:
         self.client.retry_limit_s = 0.05
         await self.set_faults(lost_answers=2)
         writing = asyncio.create_task(self.client.put_if("a", b"1", self.revision))
@@ -85,20 +87,20 @@
         await self.set_faults(outage=Outage.REFUSE)
         self.assertIs((await writing).unwrap_err().verdict, Verdict.MAY_HAVE_RUN)
 
-    async def test_a_write_whose_markers_are_gone_is_uncertain(self) -> None:
+    async def test_a_write_whose_markers_have_expired_is_uncertain(self) -> None:
         await self.set_faults(lapse_all_leases=True)
         failure = (await self.client.put_if("a", b"1", self.revision)).unwrap_err()
         self.assertIs(failure.verdict, Verdict.MAY_HAVE_RUN)
         await ok(self.client.put_if("a", b"1", self.revision))
 
-    async def test_a_lost_grant_is_made_up_for(self) -> None:
+    async def test_a_lease_is_granted_after_lost_answers(self) -> None:
         await self.set_faults(lost_answers=2)
         lease = await ok(self.client.grant_lease(10))
         self.assertIn(lease.id, self.standin.state.leases)
 
 
 class Step(msgspec.Struct, frozen=True):
-    """A write or deletion by one client, or by two at once, and what goes wrong with it."""
+    """A write or deletion by one client, or by two concurrently, and the faults during it."""
 
     key: str
     is_delete: bool
@@ -117,7 +119,7 @@
 
 
 class AnswersTest(unittest.TestCase):
-    """Whatever is lost or late, the store ends up as the answers said."""
+    """The final state of the store agrees with the answers, despite lost and late messages."""
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(steps=STEPS)
@@ -126,7 +128,7 @@
             asyncio.run(self.run_steps(steps))
 
     async def run_steps(self, steps: list[Step]) -> None:
-        standin = StoreStandin(StoreLimits(PLENTY, PLENTY))
+        standin = StoreStandin(StoreLimits(UNLIMITED_RATE, UNLIMITED_RATE))
         await standin.start()
         clients = [StoreClient(store_settings(standin.url)) for _ in range(2)]
         known: dict[str, KeyValue] = {}
@@ -139,8 +141,8 @@
             await standin.set_faults(StoreFaults(release_held=True))
             found = (await clients[0].list("")).unwrap()
             state = {item.key: (item.value, item.mod_revision) for item in found.items}
-            said = {item.key: (item.value, item.mod_revision) for item in known.values()}
-            self.assertEqual(state, said)
+            expected_state = {item.key: (item.value, item.mod_revision) for item in known.values()}
+            self.assertEqual(state, expected_state)
         finally:
             for client in clients:
                 await client.close()
@@ -149,7 +151,7 @@
     async def run_step(
         self, clients: list[StoreClient], known: dict[str, KeyValue], step: Step, number: int
     ) -> None:
-        """Let every client write or delete the same key, and note what the answers say."""
+        """Write or delete the same key with every client, and update `known` from the answers."""
         key = step.key
         last = known[key].mod_revision if key in known else 0
         expected = last + 1000 if step.is_stale else last
--- a/waxwingglade/connection/tests/test_store_watch.py
+++ b/waxwingglade/connection/tests/test_store_watch.py
@@ -1,4 +1,4 @@
-"""Watches through gaps, dropped connections and compaction."""
+"""Tests of watches across outages, dropped connections and compaction."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,22 +10,22 @@
 from waxwingglade.standins import Outage
 from waxwingglade.standins.store_state import StoreState
 
-GIVE_UP_S = 20.0
-"""Seconds after which a test that waits in vain fails instead of hanging."""
+WAIT_LIMIT_S = 20.0
+"""Seconds after which a test fails instead of waiting forever."""
 
 
 class WatchTest(StoreTestCase):
-    """Every change arrives, or a listing that makes up for it."""
+    """Every change is reported, or a listing replaces the changes that were missed."""
 
     async def open_watch(self, key: str = "a") -> AsyncIterator[WatchEvent]:
-        """Return a watch that has seen a first change, so that its connection is open."""
+        """Return a watch that has reported a first change, so its connection is open."""
         events = self.new_watch(key)
         self.assertIsInstance(await anext(events), ResyncEvent)
         write_directly(self.standin, key, b"0")
         self.assertEqual((await anext(events)).item.value, b"0")
         return events
 
-    async def test_changes_arrive_in_order(self) -> None:
+    async def test_changes_are_reported_in_order(self) -> None:
         events = self.new_watch()
         self.assertEqual((await anext(events)).listing.items, [])
         first = await ok(self.client.put_if("a", b"1", 0))
@@ -34,20 +34,20 @@
         self.assertEqual(await anext(events), DeleteEvent("a", self.standin.state.revision))
         self.assertEqual(self.client.calls_by_purpose[Purpose.WATCH], 2)
 
-    async def test_changes_since_a_listing_arrive(self) -> None:
+    async def test_changes_since_a_listing_are_reported(self) -> None:
         listing = await ok(self.client.list(""))
         write_directly(self.standin, "a", b"1")
         event = await anext(self.new_watch(from_revision=listing.revision + 1))
         self.assertEqual(event.item.value, b"1")
 
-    async def test_changes_during_a_gap_arrive_once(self) -> None:
+    async def test_changes_during_an_outage_are_reported_once(self) -> None:
         events = await self.open_watch()
         await self.set_faults(outage=Outage.REFUSE)
         write_directly(self.standin, "a", b"2")
         write_directly(self.standin, "a", b"3")
         await self.set_faults()
-        seen = [(await anext(events)).item.value for _ in range(2)]
-        self.assertEqual(seen, [b"2", b"3"])
+        values = [(await anext(events)).item.value for _ in range(2)]
+        self.assertEqual(values, [b"2", b"3"])
 
     async def test_a_dropped_connection_is_opened_again(self) -> None:
         events = await self.open_watch()
@@ -55,37 +55,37 @@
         write_directly(self.standin, "a", b"1")
         self.assertEqual((await anext(events)).item.value, b"1")
 
-    async def test_a_silent_connection_is_given_up(self) -> None:
+    async def test_an_unresponsive_connection_is_replaced(self) -> None:
         with mock.patch.object(store_watch, "IDLE_LIMIT_S", 0.05):
             events = await self.open_watch()
-            # The server forgets to wake this watch: the change is found by opening it again.
+            # The server does not notify this watch, so only a new connection finds the change.
             with mock.patch.object(self.standin, "wake_watches"):
                 write_directly(self.standin, "a", b"1")
-            async with asyncio.timeout(GIVE_UP_S):
+            async with asyncio.timeout(WAIT_LIMIT_S):
                 self.assertEqual((await anext(events)).item.value, b"1")
 
-    async def test_compacted_changes_are_made_up_for_by_a_listing(self) -> None:
+    async def test_a_listing_replaces_compacted_changes(self) -> None:
         events = await self.open_watch()
         await self.set_faults(outage=Outage.REFUSE)
         write_directly(self.standin, "ab", b"2")
         await self.set_faults(outage=Outage.REFUSE, compact=True)
         await self.set_faults()
-        async with asyncio.timeout(GIVE_UP_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             event = await anext(events)
         self.assertIsInstance(event, ResyncEvent)
         self.assertEqual([item.value for item in event.listing.items], [b"0", b"2"])
         write_directly(self.standin, "ac", b"3")
         self.assertEqual((await anext(events)).item.value, b"3")
 
-    async def test_a_store_that_lost_its_state_is_listed_afresh(self) -> None:
+    async def test_a_store_that_lost_its_state_is_listed_again(self) -> None:
         events = await self.open_watch()
         self.standin.state = StoreState()
         await self.set_faults(drop_watches=True)
-        async with asyncio.timeout(GIVE_UP_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertEqual(await anext(events), ResyncEvent(await ok(self.client.list(""))))
 
-    async def test_waiting_watches_take_no_place_from_calls(self) -> None:
-        async with asyncio.timeout(GIVE_UP_S):
+    async def test_open_watches_do_not_block_calls(self) -> None:
+        async with asyncio.timeout(WAIT_LIMIT_S):
             for number in range(MAX_WATCHES):
                 await self.open_watch(f"watch-{number}/")
                 self.assertIsNone(await ok(self.client.get("a")))
@@ -97,10 +97,10 @@
         await self.client.close()
         self.assertIsNone(await waiting)
 
-    async def test_without_room_for_a_watch_listings_arrive(self) -> None:
+    async def test_listings_replace_a_watch_without_a_free_slot(self) -> None:
         self.client = self.new_client(self.standin.url, calls_per_second=1.9)
         self.client.transport.budget.bucket.tokens = 100.0
         events = self.new_watch()
-        async with asyncio.timeout(GIVE_UP_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             self.assertIsInstance(await anext(events), ResyncEvent)
             self.assertIsInstance(await anext(events), ResyncEvent)
