--- a/waxwingglade/ledger/coordinator.py
+++ b/waxwingglade/ledger/coordinator.py
@@ -65,7 +65,7 @@
         Calendar time in seconds.
     confirmations : Confirmations
         Turns that this process has begun; the object of its replica.
-    unsettled : UnresolvedEnds or None
+    unresolved_ends : UnresolvedEnds or None
         Ends of turns reported to this process; the object of its replica, or None for a new one.
     """
 
@@ -77,14 +77,14 @@
         observe_replicas: Callable[[ReplicaSet], None],
         confirmations: Confirmations,
         wall_clock: Clock = wall,
-        unsettled: UnresolvedEnds | None = None,
+        unresolved_ends: UnresolvedEnds | None = None,
     ) -> None:
         self.own = own
         self.confirmations = confirmations
-        self.unsettled = UnresolvedEnds() if unsettled is None else unsettled
+        self.unresolved_ends = UnresolvedEnds() if unresolved_ends is None else unresolved_ends
         self.rounds = Rounds(own, members, ask, observe_replicas)
         self.turns = Turns(self.rounds)
-        self.accounts = Accounts(self.rounds, self.unsettled, confirmations, wall_clock)
+        self.accounts = Accounts(self.rounds, self.unresolved_ends, confirmations, wall_clock)
         self.reservations = Reservations(self.accounts, wall_clock)
         self.wall_clock = wall_clock
 
@@ -210,7 +210,7 @@
             return resolve_reservation(account, message, self.wall_clock()), None
 
         # If this fails, the next change of the account resolves the turn.
-        self.unsettled.add(message)
+        self.unresolved_ends.add(message)
         try:
             async with asyncio.timeout(DECISION_TIMEOUT_S):
                 await self.accounts.change(message.program, change)
--- a/waxwingglade/ledger/metrics.py
+++ b/waxwingglade/ledger/metrics.py
@@ -45,7 +45,7 @@
         values = {
             "turns": len(replica.turns),
             "accounts": len(replica.slots),
-            "unsettled_ends": len(replica.unsettled),
+            "unsettled_ends": len(replica.unresolved_ends),
             "members": len(replica.replicas.members),
             "epoch": replica.replicas.epoch,
             "settled": replica.replicas.settled,
--- a/waxwingglade/ledger/node.py
+++ b/waxwingglade/ledger/node.py
@@ -147,7 +147,7 @@
             self.ask_member,
             self.observe_replicas,
             self.replica.confirmations,
-            unsettled=self.replica.unsettled,
+            unresolved_ends=self.replica.unresolved_ends,
         )
         self.membership = Membership(
             self.own,
--- a/waxwingglade/ledger/replica.py
+++ b/waxwingglade/ledger/replica.py
@@ -115,7 +115,7 @@
     ----------
     replicas : ReplicaSet
         The newest set of members that this replica knows; requests under older ones are refused.
-    unsettled : UnresolvedEnds
+    unresolved_ends : UnresolvedEnds
         Ends of turns that were reported to this process.
     confirmations : Confirmations
         Turns that this process has begun, and those that it has confirmed.
@@ -136,7 +136,7 @@
         self.cache: OrderedDict[TurnId, Turn] = OrderedDict()
         self.cached_bytes = 0
         self.replicas = ReplicaSet()
-        self.unsettled = UnresolvedEnds()
+        self.unresolved_ends = UnresolvedEnds()
         self.confirmations = Confirmations(self.disk, self._write_confirmed, clock)
         self.grants: dict[ClientAccountId, Grants] = {}
         self.replayed_grants: list[GrantRecord] = []
@@ -172,7 +172,7 @@
             disk=self.disk,
             turns=len(self.turns),
             accounts=len(self.slots),
-            unsettled=len(self.unsettled),
+            unsettled=len(self.unresolved_ends),
             epoch=self.replicas.epoch,
         ).info("disk read")
 
@@ -188,7 +188,7 @@
         elif isinstance(record, CountingRecord):
             self.counts = record.counts
         elif isinstance(record, EndRecord):
-            self.unsettled.add(record.end)
+            self.unresolved_ends.add(record.end)
         elif isinstance(record, ConfirmRecord):
             self.confirmations.confirmed.setdefault(record.program, set()).add(record.turn)
         else:
@@ -280,13 +280,13 @@
     async def note_end(self, message: NoteEnd) -> EndNoted:
         """Record the end of a turn durably."""
         # Even if the account here includes the end, the one that a majority accepts may not.
-        self.unsettled.add(message.end)
+        self.unresolved_ends.add(message.end)
         await self._write(EndRecord(message.end))
         return EndNoted()
 
     async def list_ends(self, message: ListEnds) -> Ends:
         """Return the ends of a program's turns that are recorded here."""
-        return Ends(self.unsettled.of(message.program))
+        return Ends(self.unresolved_ends.of(message.program))
 
     # Turns that were begun here
 
@@ -466,7 +466,7 @@
         for program, slot in list(self.slots.items()):
             if slot.accepted.number and slot.account.touched_at + ACCOUNT_RETENTION_S < now:
                 del self.slots[program]
-                self.unsettled.programs.pop(program, None)
+                self.unresolved_ends.programs.pop(program, None)
                 self.confirmations.remove(program)
 
     def _segments_with_grants(self) -> list[int]:
@@ -484,7 +484,7 @@
         if oldest <= min(self.journal.segments, default=active):
             return
         writes = [self._write(MembersRecord(self.replicas))]
-        writes += [self._write(EndRecord(end)) for end in self.unsettled.all()]
+        writes += [self._write(EndRecord(end)) for end in self.unresolved_ends.all()]
         writes += [self._write(ConfirmRecord(*each)) for each in self.confirmations.all_confirmed()]
         writes.append(self._write(CountingRecord(self.counts)))
         for program, slot in self.slots.items():
--- a/waxwingglade/ledger/tests/test_held_up_account.py
+++ b/waxwingglade/ledger/tests/test_held_up_account.py
@@ -40,16 +40,16 @@
         for replica in self.cluster.replicas.values():
             replica.handlers[Prepare] = replica.handlers[Accept] = mock.AsyncMock(return_value=None)
         self.assertEqual((True, False), astuple(await self.coordinator.end(end(1))))
-        recorded = [len(replica.unsettled) for replica in self.cluster.replicas.values()]
+        recorded = [len(replica.unresolved_ends) for replica in self.cluster.replicas.values()]
         self.assertGreaterEqual(sum(recorded), self.cluster.set.majority)
 
     async def test_an_end_reported_as_unresolved_survives_the_reporting_process(self) -> None:
         self.assertEqual((True, False), astuple(await self.coordinator.end(end(1))))
-        recorded = [len(replica.unsettled) for replica in self.cluster.replicas.values()]
+        recorded = [len(replica.unresolved_ends) for replica in self.cluster.replicas.values()]
         self.assertGreaterEqual(sum(recorded), self.cluster.set.majority)
         await self.cluster.restart("vm-1")
         await self.cluster.restart("vm-2")
-        after = [len(self.cluster.replicas[vm].unsettled) for vm in ("vm-1", "vm-2")]
+        after = [len(self.cluster.replicas[vm].unresolved_ends) for vm in ("vm-1", "vm-2")]
         self.assertGreaterEqual(sum(after), 1)
 
 
