--- a/waxwingglade/ingress/tests/entry_builders.py
+++ b/waxwingglade/ingress/tests/entry_builders.py
@@ -253,7 +253,7 @@
         self.settled.append(message)
         return []
 
-    async def wait_until_recorded(self, telling: list[asyncio.Task[bool]]) -> bool:
+    async def wait_until_recorded(self, notifying: list[asyncio.Task[bool]]) -> bool:
         """Return at once that all replicas recorded it."""
         return True
 
--- a/waxwingglade/ledger/coordinator.py
+++ b/waxwingglade/ledger/coordinator.py
@@ -113,12 +113,12 @@
         """Reserve the tokens of a turn, if its program has a budget."""
         if message.program is None:
             return ReservationResult(Reservation.GRANTED, NEW_ACCOUNT, "")
-        judgement = await self.reservations.reserve(message, message.program)
-        if judgement.outcome is Reservation.GRANTED:
-            return judgement
-        if judgement.outcome is Reservation.ENDED:
+        result = await self.reservations.reserve(message, message.program)
+        if result.outcome is Reservation.GRANTED:
+            return result
+        if result.outcome is Reservation.ENDED:
             return Unavailable("the turn has ended")
-        account = judgement.account
+        account = result.account
         logger.bind(
             turn=message.turn,
             program=message.program,
