--- a/waxwingglade/platform/tests/test_store_returns.py
+++ b/waxwingglade/platform/tests/test_store_returns.py
@@ -16,7 +16,7 @@
 from waxwingglade.follow.tests.builders import KEYS
 from waxwingglade.follow.watcher import Watcher
 from waxwingglade.platform.store import PlatformStore
-from waxwingglade.platform.tests.silent_store import UnresponsivePool, UnresponsiveStore
+from waxwingglade.platform.tests.unresponsive_store import UnresponsivePool, UnresponsiveStore
 from waxwingglade.process.tests.virtual_time import run_in_virtual_time
 
 IN_FORCE_S = 1.7
