--- a/waxwingglade/connection/store_budget.py
+++ b/waxwingglade/connection/store_budget.py
@@ -6,7 +6,7 @@
 from waxwingglade.base import Clock, monotonic
 
 WATCH_CALLS_PER_SECOND = 1.0
-"""Rate that an open watch takes from the budget, in calls a second."""
+"""Rate that an open watch takes from the budget, in calls per second."""
 
 WATCH_SHARE = 0.5
 """Largest part of the rate that open watches may take; the rest is reserved for calls."""
--- a/waxwingglade/connection/store_transport.py
+++ b/waxwingglade/connection/store_transport.py
@@ -150,7 +150,7 @@
 
 
 def decode(body: bytes, answer: type[M]) -> Outcome[M]:
-    """Return the message in an answer, or MAY_HAVE_RUN if the answer is malformed."""
+    """Return the message in an answer, or that the request may have run if it is malformed."""
     try:
         return Ok(decode_message(body, answer))
     except msgspec.MsgspecError as error:
