--- a/tests/prove/mutants.py
+++ b/tests/prove/mutants.py
@@ -18,7 +18,7 @@
 from waxwingglade.process import daemon, release, takeover
 from waxwingglade.program import CacheReleased, Delta
 from waxwingglade.proof import Point
-from waxwingglade.request import course, model_call, tool_call
+from waxwingglade.request import call_execution, model_call, tool_call
 from waxwingglade.request.events import CallEvents
 from waxwingglade.request.order import CallOrder
 from waxwingglade.version import ActiveConfig
@@ -51,9 +51,9 @@
     """Give the model the history of another program too."""
     prepare = model_call._prepare
 
-    def mix(course, events):
-        generation = prepare(course, events)
-        others = [each for each in course.owned.programs.values() if each is not course.state]
+    def mix(execution, events):
+        generation = prepare(execution, events)
+        others = [each for each in execution.owned.programs.values() if each is not execution.state]
         foreign = others[0].history[:2] if others else []
         generation.prompt = [*foreign, *generation.prompt]
         return generation
@@ -63,8 +63,8 @@
 
 def budget_unchecked() -> None:
     """Let every reservation pass."""
-    course.check_amount = lambda account, budget, amount: Ok(None)
-    course.check_turns = lambda account, budget: Ok(None)
+    call_execution.check_amount = lambda account, budget, amount: Ok(None)
+    call_execution.check_turns = lambda account, budget: Ok(None)
 
 
 def release_forgotten() -> None:
@@ -96,7 +96,7 @@
 
 def answers_swapped() -> None:
     """Answer each call with what the call before it was answered."""
-    finish = course.finish
+    finish = call_execution.finish
     before = []
 
     async def swap(this, outcome, used):
@@ -109,7 +109,7 @@
 
 def runs_denied() -> None:
     """Say that a call did not run when nobody knows."""
-    finish = course.finish
+    finish = call_execution.finish
 
     async def deny(this, outcome, used):
         told = await finish(this, outcome, used)
@@ -117,7 +117,7 @@
             return msgspec.structs.replace(told, verdict=Verdict.NOT_RUN)
         return told
 
-    course.finish = deny
+    call_execution.finish = deny
 
 
 def effects_repeated() -> None:
--- a/waxwingglade/process/calls.py
+++ b/waxwingglade/process/calls.py
@@ -19,7 +19,13 @@
     ToolCall,
 )
 from waxwingglade.program.budget import check_depth
-from waxwingglade.request.course import NOTHING, Course, begin, finish, new_course
+from waxwingglade.request.call_execution import (
+    NOTHING,
+    CallExecution,
+    finish,
+    new_execution,
+    record_start,
+)
 from waxwingglade.request.events import CallEvents, replay
 from waxwingglade.request.model_call import run_model_call
 from waxwingglade.request.tool_call import run_tool_call
@@ -196,31 +202,31 @@
 async def _run_in_turn(
     entry: Entry, owned: OwnedLog, state: ProgramState, call: Call, events: CallEvents
 ) -> Done | Failure:
-    course = new_course(entry, owned, state, call, events.attempt)
+    execution = new_execution(entry, owned, state, call, events.attempt)
     if isinstance(call, ModelCall):
-        return await run_model_call(course, events)
+        return await run_model_call(execution, events)
     if isinstance(call, ToolCall):
-        return await run_tool_call(course)
-    return await run_sub_program(course)
+        return await run_tool_call(execution)
+    return await run_sub_program(execution)
 
 
-async def run_sub_program(course: Course) -> Done | Failure:
+async def run_sub_program(execution: CallExecution) -> Done | Failure:
     """Create a sub-agent in the same log, so that one account covers both."""
-    owned, state = course.owned, course.state
+    owned, state = execution.owned, execution.state
     allowed = check_depth(state, owned.programs[state.root].created.policy.budget)
     if allowed.is_err():
         return allowed.err_value
-    begun = await begin(course, NOTHING)
+    begun = await record_start(execution, NOTHING)
     if begun.is_err():
         return begun.err_value
     child = make_program_id(owned.log)
     created = msgspec.structs.replace(
         state.created,
-        created_at=course.entry.wall_clock(),
-        request=course.call.call,
+        created_at=execution.entry.wall_clock(),
+        request=execution.call.call,
         parent=state.program,
     )
     appended = await owned.append(child, created)
     if appended.is_err():
         return appended.err_value
-    return await finish(course, Done(result={"program": child}), NOTHING)
+    return await finish(execution, Done(result={"program": child}), NOTHING)
--- a/waxwingglade/process/unfinished.py
+++ b/waxwingglade/process/unfinished.py
@@ -10,9 +10,9 @@
 from waxwingglade.process.entry import Entry
 from waxwingglade.process.owned_log import OwnedLog
 from waxwingglade.program import CallState, Done, ProgramState, ToolCall
-from waxwingglade.request.course import finish, new_course
+from waxwingglade.request.call_execution import finish, new_execution
 from waxwingglade.request.events import CallEvents
-from waxwingglade.request.tool_call import effect_key, find_tool
+from waxwingglade.request.tool_call import find_tool, idempotency_key
 
 LOST = "the entry that ran the call was lost; the call may have run"
 
@@ -41,8 +41,8 @@
         asked = await _ask(entry, state, known)
         if asked.is_ok():
             outcome = asked.ok_value
-        course = new_course(entry, owned, state, known.call, known.attempt)
-        outcome = await finish(course, outcome, known.reserved)
+        execution = new_execution(entry, owned, state, known.call, known.attempt)
+        outcome = await finish(execution, outcome, known.reserved)
     finally:
         running.calls.pop(known.call.call, None)
         events.finish(outcome)
@@ -64,7 +64,7 @@
         target = entry.targets.get(name)
         if target is None:
             continue
-        asked = await ask_outcome(entry.http, target, tool, effect_key(state, known.call))
+        asked = await ask_outcome(entry.http, target, tool, idempotency_key(state, known.call))
         if asked.is_ok() and asked.ok_value is not None:
             return Ok(Done(result=asked.ok_value.result))
     return may_have_run(ErrorCode.OWNER_LOST, LOST)
--- a/waxwingglade/program/budget.py
+++ b/waxwingglade/program/budget.py
@@ -15,29 +15,29 @@
 """Tokens that a chat template may add around one message."""
 
 
-def prompt_bound(state: ProgramState, messages: list[Message]) -> int:
+def max_prompt_tokens(state: ProgramState, messages: list[Message]) -> int:
     """Return an upper bound of the prompt's size in tokens."""
     recent = _tool_messages_since_model(state) if state.history_tokens else state.history
     new = sum(_message_bound(message) for message in [*recent, *messages])
     return state.history_tokens + new
 
 
-def priced(policy: ProgramPolicy, tokens: int) -> Amount:
+def amount_of_tokens(policy: ProgramPolicy, tokens: int) -> Amount:
     """Return the amount for a number of tokens at the price of a policy."""
     return Amount(tokens, tokens * policy.token_price_microcents)
 
 
-def spent_on(policy: ProgramPolicy, usage: Usage) -> Amount:
+def amount_of_usage(policy: ProgramPolicy, usage: Usage) -> Amount:
     """Return the amount for what an engine reported."""
-    return priced(policy, usage.prompt_tokens + usage.output_tokens)
+    return amount_of_tokens(policy, usage.prompt_tokens + usage.output_tokens)
 
 
-def tool_reservation(tool: ToolSettings) -> Amount:
+def amount_of_tool_call(tool: ToolSettings) -> Amount:
     """Return the price of a tool call."""
     return Amount(0, tool.price_microcents)
 
 
-def text_bound(text: str) -> int:
+def max_text_tokens(text: str) -> int:
     """Return an upper bound of the tokens in generated text that is sent back to an engine."""
     return len(text.encode()) + MESSAGE_OVERHEAD_TOKENS if text else 0
 
@@ -93,13 +93,13 @@
 
 __all__ = [
     "MESSAGE_OVERHEAD_TOKENS",
+    "amount_of_tokens",
+    "amount_of_tool_call",
+    "amount_of_usage",
     "check_amount",
     "check_depth",
     "check_time",
     "check_turns",
-    "priced",
-    "prompt_bound",
-    "spent_on",
-    "text_bound",
-    "tool_reservation",
+    "max_prompt_tokens",
+    "max_text_tokens",
 ]
--- a/waxwingglade/program/records.py
+++ b/waxwingglade/program/records.py
@@ -38,7 +38,7 @@
         """Return the difference of two amounts."""
         return Amount(self.tokens - other.tokens, self.money_microcents - other.money_microcents)
 
-    def at_least_nothing(self) -> "Amount":
+    def clamped_at_zero(self) -> "Amount":
         """Return the amount with nothing in place of what is below nothing."""
         return Amount(max(0, self.tokens), max(0, self.money_microcents))
 
--- a/waxwingglade/program/tests/test_budget.py
+++ b/waxwingglade/program/tests/test_budget.py
@@ -7,7 +7,7 @@
 
 from waxwingglade.base import ErrorCode, Verdict
 from waxwingglade.program import Account, Amount, Message, MessageRole
-from waxwingglade.program.budget import check_amount, check_time, check_turns, prompt_bound
+from waxwingglade.program.budget import check_amount, check_time, check_turns, max_prompt_tokens
 from waxwingglade.program.tests.builders import (
     PROGRAM,
     created,
@@ -58,11 +58,11 @@
             answer = done(text, tokens=len(text.encode()))
             fold(ended(call, answer), programs=programs)
             total = answer.usage.prompt_tokens + answer.usage.output_tokens
-        bound = prompt_bound(programs[PROGRAM], [Message(MessageRole.USER, new)])
+        bound = max_prompt_tokens(programs[PROGRAM], [Message(MessageRole.USER, new)])
         self.assertGreaterEqual(bound, total + len(new.encode()))
 
     def test_results_of_tools_since_the_last_answer_are_counted(self):
         programs = fold(created(), started(model_call("m1")), ended("m1", done()))
-        before = prompt_bound(programs[PROGRAM], [])
+        before = max_prompt_tokens(programs[PROGRAM], [])
         fold(started(tool_call("t1")), ended("t1", done()), programs=programs)
-        self.assertGreater(prompt_bound(programs[PROGRAM], []), before)
+        self.assertGreater(max_prompt_tokens(programs[PROGRAM], []), before)
--- a/waxwingglade/request/cache.py
+++ b/waxwingglade/request/cache.py
@@ -9,13 +9,13 @@
 from waxwingglade.base import ToolName
 from waxwingglade.connection.engine_control import export_cache, import_cache, release
 from waxwingglade.decisions import Grant
-from waxwingglade.request.course import Course
+from waxwingglade.request.call_execution import CallExecution
 
 
 @contextlib.contextmanager
-def paused(course: Course, tool: ToolName) -> Iterator[None]:
+def tool_pause(execution: CallExecution, tool: ToolName) -> Iterator[None]:
     """Let a program's cache go for the time of a tool call, where keeping it would not pay."""
-    entry, program = course.entry, course.state.program
+    entry, program = execution.entry, execution.state.program
     for holding in entry.dispatcher.program_paused(program, tool):
         target = entry.targets.get(holding.target)
         if target is not None:
@@ -26,9 +26,9 @@
         entry.dispatcher.program_resumed(program)
 
 
-async def bring_cache(course: Course, grant: Grant) -> None:
+async def transfer_cache(execution: CallExecution, grant: Grant) -> None:
     """Copy the program's cache to the target that was granted, where that beats prefill."""
-    entry, program = course.entry, course.state.program
+    entry, program = execution.entry, execution.state.program
     source = entry.targets.get(grant.source) if grant.source else None
     if source is None:
         return
--- a/waxwingglade/request/course.py
+++ b/waxwingglade/request/call_execution.py
@@ -24,11 +24,11 @@
 
 NOTHING = Amount()
 RETRY_AFTER_S = 1.0
-SAFE_PAUSE = 0.5
+SAFE_PAUSE_SHARE = 0.5
 """Part of the time of suspicion in which no other entry can have replaced this one."""
 
 
-class Course(msgspec.Struct):
+class CallExecution(msgspec.Struct):
     """One call under way.
 
     Parameters
@@ -70,35 +70,35 @@
     idempotent: bool = True
     grant: Grant | None = None
     reserved: Amount = NOTHING
-    burned: Amount = NOTHING
-    worst: Failure | None = None
+    possibly_spent: Amount = NOTHING
+    reported_failure: Failure | None = None
 
 
-def new_course(
+def new_execution(
     entry: "Entry", owned: "OwnedLog", state: ProgramState, call: Call, attempt: str
-) -> Course:
+) -> CallExecution:
     """Return the course of a call that has just arrived, under the configuration in force."""
     created = state.created
     path = PolicyPath(entry.own.zone, created.tenant, created.program_class, created.name)
     in_force = entry.policy_for(path)
-    return Course(entry, owned, state, call, in_force.policy, in_force.version, attempt)
+    return CallExecution(entry, owned, state, call, in_force.policy, in_force.version, attempt)
 
 
-def work_for(course: Course, pool: Pool) -> Work:
+def work_for(execution: CallExecution, pool: Pool) -> Work:
     """Return what the decisions have to know of a call; its prompt is filled in elsewhere."""
-    entry, state = course.entry, course.state
+    entry, state = execution.entry, execution.state
     running = entry.running_program(state)
     created = state.created
     return Work(
         program=state.program,
         tenant=created.tenant,
         program_class=created.program_class,
-        policy=course.policy,
+        policy=execution.policy,
         pool=pool,
         created_at=running.seen_at,
-        deadline_at=_deadline_at(running.seen_at, entry.clock(), course.policy),
+        deadline_at=_deadline_at(running.seen_at, entry.clock(), execution.policy),
         service_received_s=running.service_received_s,
-        idempotent=course.idempotent,
+        idempotent=execution.idempotent,
     )
 
 
@@ -111,7 +111,7 @@
     return max(seen_at + policy.deadline_s, now + policy.queue_patience_s)
 
 
-async def start(course: Course, work: Work, amount: Amount) -> Outcome[Grant]:
+async def start(execution: CallExecution, work: Work, amount: Amount) -> Outcome[Grant]:
     """Wait for a target, reserve `amount` and make the start of the call durable.
 
     Returns
@@ -119,130 +119,130 @@
     Outcome[Grant]
         Leave to send; else a NOT_RUN failure, and nothing is reserved.
     """
-    asked_at = course.entry.clock()
-    granted = await course.entry.dispatcher.acquire(work)
-    course.entry.metrics.waited(course.state.created, course.entry.clock() - asked_at)
+    requested_at = execution.entry.clock()
+    granted = await execution.entry.dispatcher.acquire(work)
+    execution.entry.metrics.waited(execution.state.created, execution.entry.clock() - requested_at)
     if granted.is_err():
         return granted
-    course.grant = granted.ok_value
-    begun = await begin(course, amount)
+    execution.grant = granted.ok_value
+    begun = await record_start(execution, amount)
     if begun.is_err():
-        course.grant.failed(begun.err_value)
+        execution.grant.failed(begun.err_value)
         return Err(begun.err_value)
     return granted
 
 
-async def begin(course: Course, amount: Amount) -> Outcome[None]:
+async def record_start(execution: CallExecution, amount: Amount) -> Outcome[None]:
     """Reserve `amount` and make the start of a call durable."""
-    state = course.state
+    state = execution.state
     if state.ended is not None:
         return not_run(ErrorCode.PROGRAM_ENDED, f"the program ended: {state.ended.reason}")
-    allowed = _allowed(course, amount)
+    allowed = _check_budget(execution, amount)
     if allowed.is_err():
         return allowed
     # The check and the reservation belong together: nothing may wait between them.
-    asked_at = course.entry.clock()
-    course.reserved = amount
+    requested_at = execution.entry.clock()
+    execution.reserved = amount
     started = CallStarted(
-        course.call,
+        execution.call,
         amount,
-        course.grant.target if course.grant else None,
-        course.entry.wall_clock(),
-        course.attempt,
-        course.idempotent,
-        course.config_version,
+        execution.grant.target if execution.grant else None,
+        execution.entry.wall_clock(),
+        execution.attempt,
+        execution.idempotent,
+        execution.config_version,
     )
-    appended = await course.owned.append(state.program, started)
+    appended = await execution.owned.append(state.program, started)
     if appended.is_err():
-        return await _take_back(course, appended.err_value)
-    ready = await _still_owner(course, asked_at)
+        return await _void_start(execution, appended.err_value)
+    ready = await _check_ownership(execution, requested_at)
     if ready.is_ok():
-        ready = _in_time(course)
+        ready = _check_wall_time(execution)
     if ready.is_err():
-        return await _take_back(course, ready.err_value)
+        return await _void_start(execution, ready.err_value)
     return ready
 
 
-def _in_time(course: Course) -> Outcome[None]:
+def _check_wall_time(execution: CallExecution) -> Outcome[None]:
     """Check the program's wall time once more: making the start durable may have taken long."""
-    root = course.owned.programs[course.state.root]
-    return check_time(root, root.created.policy.budget, course.entry.wall_clock())
+    root = execution.owned.programs[execution.state.root]
+    return check_time(root, root.created.policy.budget, execution.entry.wall_clock())
 
 
-async def _still_owner(course: Course, since: float) -> Outcome[None]:
+async def _check_ownership(execution: CallExecution, since: float) -> Outcome[None]:
     """Make sure that no other entry owns the program by now.
 
     A process that was paused may find its intent acknowledged long after another entry has taken
     the program over and gone on with it.  So after a pause in which that can have happened, the
     copies are asked again before anything is sent.
     """
-    if course.owned.lost:
+    if execution.owned.lost:
         return not_run(ErrorCode.FENCED, "another entry owns the program now", RETRY_AFTER_S)
-    paused_s = course.entry.clock() - since
-    if paused_s < course.entry.settings.durability.suspect_after_s * SAFE_PAUSE:
+    paused_s = execution.entry.clock() - since
+    if paused_s < execution.entry.settings.durability.suspect_after_s * SAFE_PAUSE_SHARE:
         return Ok(None)
-    return await course.owned.confirm()
+    return await execution.owned.confirm()
 
 
-def _allowed(course: Course, amount: Amount) -> Outcome[None]:
-    root = course.owned.programs[course.state.root]
+def _check_budget(execution: CallExecution, amount: Amount) -> Outcome[None]:
+    root = execution.owned.programs[execution.state.root]
     budget = root.created.policy.budget
     turns = check_turns(root.account, budget)
     if turns.is_err():
         root.out_of_turns = True
         return turns
-    in_time = _in_time(course)
+    in_time = _check_wall_time(execution)
     if in_time.is_err():
         return in_time
     return check_amount(root.account, budget, amount)
 
 
-async def _take_back(course: Course, failure: Failure) -> Outcome[None]:
+async def _void_start(execution: CallExecution, failure: Failure) -> Outcome[None]:
     """Void the start of a call that did not become durable in time; nothing was sent."""
     refusal = msgspec.structs.replace(failure, verdict=Verdict.NOT_RUN)
-    if not course.owned.lost:
-        await _append_end(course, refusal, NOTHING)
+    if not execution.owned.lost:
+        await _append_end(execution, refusal, NOTHING)
     return Err(refusal)
 
 
-def attempt_failed(course: Course, failure: Failure, amount: Amount) -> None:
+def record_failed_attempt(execution: CallExecution, failure: Failure, amount: Amount) -> None:
     """Note that an attempt for which `amount` was reserved failed."""
-    if course.grant is not None:
-        course.grant.failed(failure)
-        course.grant = None
+    if execution.grant is not None:
+        execution.grant.failed(failure)
+        execution.grant = None
     if failure.verdict is not Verdict.NOT_RUN:
-        course.burned = course.burned.plus(amount)
-    if course.worst is None or course.worst.verdict is Verdict.NOT_RUN:
+        execution.possibly_spent = execution.possibly_spent.plus(amount)
+    if execution.reported_failure is None or execution.reported_failure.verdict is Verdict.NOT_RUN:
         # One attempt that may have run outweighs all that did not.
-        course.worst = failure
+        execution.reported_failure = failure
 
 
-async def move(course: Course, work: Work, amount: Amount) -> Outcome[Grant]:
+async def reassign(execution: CallExecution, work: Work, amount: Amount) -> Outcome[Grant]:
     """Get another target for a call that has begun, with `amount` set aside for it."""
-    granted = await course.entry.dispatcher.acquire(work)
+    granted = await execution.entry.dispatcher.acquire(work)
     if granted.is_err():
         return granted
     grant = granted.ok_value
-    extra = course.burned.plus(amount).minus(course.reserved).at_least_nothing()
-    root = course.owned.programs[course.state.root]
+    extra = execution.possibly_spent.plus(amount).minus(execution.reserved).clamped_at_zero()
+    root = execution.owned.programs[execution.state.root]
     allowed = check_amount(root.account, root.created.policy.budget, extra)
     if allowed.is_err():
         grant.failed(allowed.err_value)
         return Err(allowed.err_value)
-    asked_at = course.entry.clock()
-    course.reserved = course.reserved.plus(extra)
-    moved = CallMoved(course.call.call, grant.target, extra)
-    appended: Outcome = await course.owned.append(course.state.program, moved)
+    requested_at = execution.entry.clock()
+    execution.reserved = execution.reserved.plus(extra)
+    moved = CallMoved(execution.call.call, grant.target, extra)
+    appended: Outcome = await execution.owned.append(execution.state.program, moved)
     if appended.is_ok():
-        appended = await _still_owner(course, asked_at)
+        appended = await _check_ownership(execution, requested_at)
     if appended.is_err():
         grant.failed(appended.err_value)
         return Err(appended.err_value)
-    course.grant = grant
+    execution.grant = grant
     return granted
 
 
-async def finish(course: Course, outcome: Done | Failure, used: Amount) -> Done | Failure:
+async def finish(execution: CallExecution, outcome: Done | Failure, used: Amount) -> Done | Failure:
     """Make the outcome durable and return what the caller may be told.
 
     Parameters
@@ -254,34 +254,36 @@
     used : Amount
         What the last attempt used; failed attempts are added.
     """
-    appended = await _append_end(course, outcome, course.burned.plus(used))
+    appended = await _append_end(execution, outcome, execution.possibly_spent.plus(used))
     if appended.is_ok():
         return outcome
     verdict = outcome.verdict if isinstance(outcome, Failure) else Verdict.MAY_HAVE_RUN
     return msgspec.structs.replace(appended.err_value, verdict=verdict)
 
 
-async def fail(course: Course) -> Done | Failure:
+async def finish_failed(execution: CallExecution) -> Done | Failure:
     """Settle a call whose attempts have all failed."""
-    assert course.worst is not None
-    return await finish(course, course.worst, NOTHING)
+    assert execution.reported_failure is not None
+    return await finish(execution, execution.reported_failure, NOTHING)
 
 
-async def cut_short(course: Course) -> None:
+async def settle_cancelled(execution: CallExecution) -> None:
     """Settle a call that was cancelled: all that was reserved counts as spent."""
-    leaving = course.entry.members.state is EntryState.DRAINING
+    leaving = execution.entry.members.state is EntryState.DRAINING
     code = ErrorCode.OWNER_LOST if leaving else ErrorCode.CANCELLED
     failure = Failure(Verdict.MAY_HAVE_RUN, code, "the call was cancelled")
-    if course.grant is not None:
-        course.grant.failed(failure)
-    known = course.state.calls.get(course.call.call)
-    if course.owned.lost or known is None or known.outcome is not None:
+    if execution.grant is not None:
+        execution.grant.failed(failure)
+    known = execution.state.calls.get(execution.call.call)
+    if execution.owned.lost or known is None or known.outcome is not None:
         return
-    appended = await _append_end(course, failure, course.reserved)
+    appended = await _append_end(execution, failure, execution.reserved)
     if appended.is_err():
-        logger.warning("call {} of {} stays unsettled", course.call.call, course.state.program)
+        logger.warning(
+            "call {} of {} stays unsettled", execution.call.call, execution.state.program
+        )
 
 
-async def _append_end(course: Course, outcome: Done | Failure, spent: Amount) -> Outcome:
-    ended = CallEnded(course.call.call, outcome, spent, course.entry.wall_clock())
-    return await course.owned.append(course.state.program, ended)
+async def _append_end(execution: CallExecution, outcome: Done | Failure, spent: Amount) -> Outcome:
+    ended = CallEnded(execution.call.call, outcome, spent, execution.entry.wall_clock())
+    return await execution.owned.append(execution.state.program, ended)
--- a/waxwingglade/request/model_call.py
+++ b/waxwingglade/request/model_call.py
@@ -14,17 +14,22 @@
 )
 from waxwingglade.decisions import BlockHash, Grant, Pool, Work, hash_blocks
 from waxwingglade.program import Done, Message, ModelCall, Usage
-from waxwingglade.program.budget import priced, prompt_bound, spent_on, text_bound
+from waxwingglade.program.budget import (
+    amount_of_tokens,
+    amount_of_usage,
+    max_prompt_tokens,
+    max_text_tokens,
+)
 from waxwingglade.program.records import Amount
-from waxwingglade.request.cache import bring_cache
-from waxwingglade.request.course import (
+from waxwingglade.request.cache import transfer_cache
+from waxwingglade.request.call_execution import (
     NOTHING,
-    Course,
-    attempt_failed,
-    cut_short,
-    fail,
+    CallExecution,
     finish,
-    move,
+    finish_failed,
+    reassign,
+    record_failed_attempt,
+    settle_cancelled,
     start,
     work_for,
 )
@@ -58,19 +63,19 @@
     prompt: list[Message]
     prompt_tokens: int
     events: CallEvents
-    produced: int = 0
+    generated_tokens: int = 0
 
     def tokens_left(self) -> int:
         """Return how many tokens may still be generated."""
         assert self.call.max_tokens is not None
-        return max(0, self.call.max_tokens - self.produced)
+        return max(0, self.call.max_tokens - self.generated_tokens)
 
-    def bound(self) -> int:
+    def max_attempt_tokens(self) -> int:
         """Return the most tokens that the next attempt can use, prompt included."""
-        return self.prompt_tokens + text_bound(self.events.text) + self.tokens_left()
+        return self.prompt_tokens + max_text_tokens(self.events.text) + self.tokens_left()
 
 
-async def run_model_call(course: Course, events: CallEvents) -> Done | Failure:
+async def run_model_call(execution: CallExecution, events: CallEvents) -> Done | Failure:
     """Run a model call and return its durable answer.
 
     Parameters
@@ -85,40 +90,40 @@
     Done or Failure
         The answer; a failure says whether the call may have run.
     """
-    generation = _prepare(course, events)
-    work = work_for(course, Pool(generation.call.model))
-    work.blocks = _prompt_blocks(course, generation)
+    generation = _prepare(execution, events)
+    work = work_for(execution, Pool(generation.call.model))
+    work.blocks = _prompt_blocks(execution, generation)
     work.prompt_tokens = generation.prompt_tokens
     try:
-        started = await start(course, work, _reservation(course, generation))
+        started = await start(execution, work, _reservation(execution, generation))
         if started.is_err():
             return started.err_value
-        return await _generate(course, generation, work)
+        return await _generate(execution, generation, work)
     except BaseException:
-        await cut_short(course)
+        await settle_cancelled(execution)
         raise
 
 
-def _prepare(course: Course, events: CallEvents) -> Generation:
-    state, call = course.state, course.call
+def _prepare(execution: CallExecution, events: CallEvents) -> Generation:
+    state, call = execution.state, execution.call
     assert isinstance(call, ModelCall)
     if call.max_tokens is None:
-        call = msgspec.structs.replace(call, max_tokens=course.policy.max_output_tokens)
-        course.call = call
+        call = msgspec.structs.replace(call, max_tokens=execution.policy.max_output_tokens)
+        execution.call = call
     prompt = [*state.history, *call.messages]
-    return Generation(call, prompt, prompt_bound(state, call.messages), events)
+    return Generation(call, prompt, max_prompt_tokens(state, call.messages), events)
 
 
-def _reservation(course: Course, generation: Generation) -> Amount:
-    return priced(course.policy, generation.bound())
+def _reservation(execution: CallExecution, generation: Generation) -> Amount:
+    return amount_of_tokens(execution.policy, generation.max_attempt_tokens())
 
 
-def _prompt_blocks(course: Course, generation: Generation) -> tuple[BlockHash, ...]:
+def _prompt_blocks(execution: CallExecution, generation: Generation) -> tuple[BlockHash, ...]:
     """Return the hash chain of the prompt, so that targets are known by what they have cached."""
-    running = course.entry.running_program(course.state)
+    running = execution.entry.running_program(execution.state)
     parts = [_message_bytes(message) for message in generation.prompt]
-    block_bytes = course.entry.table.settings.block_tokens * BYTES_PER_TOKEN
-    history_bytes = sum(map(len, parts[: len(course.state.history)]))
+    block_bytes = execution.entry.table.settings.block_tokens * BYTES_PER_TOKEN
+    history_bytes = sum(map(len, parts[: len(execution.state.history)]))
     known = running.blocks[: history_bytes // block_bytes]
     running.blocks = hash_blocks(b"".join(parts), block_bytes, known)
     return running.blocks
@@ -128,41 +133,41 @@
     return f"{message.role.value}\0{message.content}\0".encode()
 
 
-async def _generate(course: Course, generation: Generation, work: Work) -> Done | Failure:
+async def _generate(execution: CallExecution, generation: Generation, work: Work) -> Done | Failure:
     """Stream the answer, continuing on another engine where one fails."""
     for attempt in range(MAX_ATTEMPTS):
-        amount = _reservation(course, generation)
-        if attempt and (await move(course, work, amount)).is_err():
+        amount = _reservation(execution, generation)
+        if attempt and (await reassign(execution, work, amount)).is_err():
             break
-        assert course.grant is not None
-        await bring_cache(course, course.grant)
-        ended = await _stream(course, generation, course.grant, attempt)
+        assert execution.grant is not None
+        await transfer_cache(execution, execution.grant)
+        ended = await _stream(execution, generation, execution.grant, attempt)
         if isinstance(ended, EngineDone):
-            course.grant.finished(ended.usage)
+            execution.grant.finished(ended.usage)
             done = Done(generation.events.text, None, ended.finish_reason, ended.usage)
-            return await finish(course, done, spent_on(course.policy, ended.usage))
-        attempt_failed(course, ended.failure, amount)
+            return await finish(execution, done, amount_of_usage(execution.policy, ended.usage))
+        record_failed_attempt(execution, ended.failure, amount)
         if generation.tokens_left() == 0:
-            return await finish(course, _complete(generation), NOTHING)
-    return await fail(course)
+            return await finish(execution, _complete(generation), NOTHING)
+    return await finish_failed(execution)
 
 
 def _complete(generation: Generation) -> Done:
     """Return the answer of an engine that was lost after the last token that was allowed."""
-    usage = Usage(prompt_tokens=generation.prompt_tokens, output_tokens=generation.produced)
+    usage = Usage(prompt_tokens=generation.prompt_tokens, output_tokens=generation.generated_tokens)
     return Done(generation.events.text, None, "length", usage)
 
 
-def _broke_off() -> Failure:
+def _truncated_answer() -> Failure:
     return may_have_run(ErrorCode.TARGET_FAILED, "the engine's answer broke off").err_value
 
 
 async def _stream(
-    course: Course, generation: Generation, grant: Grant, attempt: int
+    execution: CallExecution, generation: Generation, grant: Grant, attempt: int
 ) -> EngineDone | EngineFailed:
-    entry, state, events = course.entry, course.state, generation.events
+    entry, state, events = execution.entry, execution.state, generation.events
     request = EngineRequest(
-        request_id=f"{state.program}.{course.call.call}.{events.attempt}.{attempt}",
+        request_id=f"{state.program}.{execution.call.call}.{events.attempt}.{attempt}",
         program=state.program,
         model=generation.call.model,
         messages=generation.prompt,
@@ -171,7 +176,7 @@
         resume_text=events.text,
     )
     target = entry.targets[grant.target]
-    stream = stream_completion(entry.http, target, request, course.policy.model_timeout_s)
+    stream = stream_completion(entry.http, target, request, execution.policy.model_timeout_s)
     first = True
     async with contextlib.aclosing(stream):
         async for event in stream:
@@ -180,6 +185,6 @@
             if first:
                 grant.first_token()
                 first = False
-            generation.produced += event.tokens
+            generation.generated_tokens += event.tokens
             events.add_text(event.text)
-    return EngineFailed(_broke_off(), len(events.text))
+    return EngineFailed(_truncated_answer(), len(events.text))
--- a/waxwingglade/request/tool_call.py
+++ b/waxwingglade/request/tool_call.py
@@ -10,15 +10,15 @@
 from waxwingglade.connection.tool import call_tool
 from waxwingglade.decisions import Work, pool_of_tool
 from waxwingglade.program import Done, ProgramState, ToolCall, Usage
-from waxwingglade.program.budget import tool_reservation
-from waxwingglade.request.cache import paused
-from waxwingglade.request.course import (
-    Course,
-    attempt_failed,
-    cut_short,
-    fail,
+from waxwingglade.program.budget import amount_of_tool_call
+from waxwingglade.request.cache import tool_pause
+from waxwingglade.request.call_execution import (
+    CallExecution,
     finish,
-    move,
+    finish_failed,
+    reassign,
+    record_failed_attempt,
+    settle_cancelled,
     start,
     work_for,
 )
@@ -30,7 +30,7 @@
 MAX_ATTEMPTS = 3
 
 
-async def run_tool_call(course: Course) -> Done | Failure:
+async def run_tool_call(execution: CallExecution) -> Done | Failure:
     """Run a tool call and return its durable answer.
 
     Parameters
@@ -43,22 +43,22 @@
     Done or Failure
         The answer; a failure says whether the call may have run.
     """
-    call = course.call
+    call = execution.call
     assert isinstance(call, ToolCall)
-    tool = find_tool(course.entry, call)
+    tool = find_tool(execution.entry, call)
     if tool is None:
         text = f"no target has a tool named {call.tool}"
         return not_run(ErrorCode.NOT_FOUND, text).err_value
-    course.idempotent = tool.idempotent
-    work = work_for(course, pool_of_tool(call.tool))
+    execution.idempotent = tool.idempotent
+    work = work_for(execution, pool_of_tool(call.tool))
     try:
-        started = await start(course, work, tool_reservation(tool))
+        started = await start(execution, work, amount_of_tool_call(tool))
         if started.is_err():
             return started.err_value
-        with paused(course, call.tool):
-            return await _send(course, call, tool, work)
+        with tool_pause(execution, call.tool):
+            return await _send(execution, call, tool, work)
     except BaseException:
-        await cut_short(course)
+        await settle_cancelled(execution)
         raise
 
 
@@ -71,33 +71,35 @@
     return None
 
 
-def effect_key(state: ProgramState, call: ToolCall) -> str:
+def idempotency_key(state: ProgramState, call: ToolCall) -> str:
     """Return the idempotency key of a tool call; it never changes with the attempt."""
     return f"{state.program}.{call.call}"
 
 
-async def _send(course: Course, call: ToolCall, tool: ToolSettings, work: Work) -> Done | Failure:
-    price = tool_reservation(tool)
+async def _send(
+    execution: CallExecution, call: ToolCall, tool: ToolSettings, work: Work
+) -> Done | Failure:
+    price = amount_of_tool_call(tool)
     for attempt in range(MAX_ATTEMPTS):
-        if attempt and (await move(course, work, price)).is_err():
+        if attempt and (await reassign(execution, work, price)).is_err():
             break
-        assert course.grant is not None
+        assert execution.grant is not None
         answer = await call_tool(
-            course.entry.http,
-            course.entry.targets[course.grant.target],
+            execution.entry.http,
+            execution.entry.targets[execution.grant.target],
             tool,
-            key=effect_key(course.state, call),
+            key=idempotency_key(execution.state, call),
             arguments=call.arguments,
-            fencing=course.owned.epoch,
-            timeout_s=course.policy.tool_timeout_s,
+            fencing=execution.owned.epoch,
+            timeout_s=execution.policy.tool_timeout_s,
         )
         if answer.is_ok():
-            course.grant.finished(Usage())
-            return await finish(course, Done(result=answer.ok_value.result), price)
-        attempt_failed(course, answer.err_value, price)
+            execution.grant.finished(Usage())
+            return await finish(execution, Done(result=answer.ok_value.result), price)
+        record_failed_attempt(execution, answer.err_value, price)
         if not _may_repeat(answer.err_value, tool):
             break
-    return await fail(course)
+    return await finish_failed(execution)
 
 
 def _may_repeat(failure: Failure, tool: ToolSettings) -> bool:
