--- a/waxwingglade/base/tally.py
+++ b/waxwingglade/base/buffered_metrics.py
@@ -17,7 +17,7 @@
 Labels = tuple[str, ...]
 
 
-class Counts:
+class BufferedCounter:
     """A counter by labels.
 
     Parameters
@@ -45,14 +45,14 @@
             self.collector.set(dict(zip(self.labels, values, strict=True)), count)
 
 
-class Observed(msgspec.Struct):
+class BucketCounts(msgspec.Struct):
     """Values with the same labels: how many lie in each bucket alone, and their sum."""
 
     counts: list[int]
     total: float = 0.0
 
 
-class Times:
+class BufferedHistogram:
     """A histogram by labels.
 
     Parameters
@@ -78,8 +78,8 @@
         self.collector = HistogramCollector(name, text, registry=registry, buckets=bounds)
         self.bounds = bounds
         self.labels = labels
-        self.observed: defaultdict[Labels, Observed] = defaultdict(
-            lambda: Observed([0] * len(bounds))
+        self.observed: defaultdict[Labels, BucketCounts] = defaultdict(
+            lambda: BucketCounts([0] * len(bounds))
         )
 
     def observe(self, value: float, *values: str) -> None:
@@ -98,4 +98,4 @@
             self.collector.set_value(dict(zip(self.labels, values, strict=True)), histogram)
 
 
-__all__ = ["Counts", "Times"]
+__all__ = ["BufferedCounter", "BufferedHistogram"]
--- a/waxwingglade/base/logs.py
+++ b/waxwingglade/base/logs.py
@@ -19,13 +19,13 @@
 BATCH_LINES = 200
 """Lines written at once; what is being written counts beyond the queue."""
 
-LINES_PER_S = 60.0
+MAX_LINES_PER_S = 60.0
 """Lines of one kind a second; the rest is counted in the next line of that kind."""
 
-MOST_KINDS = 200
+MAX_EVENT_KINDS = 200
 """Kinds of lines that are bounded by themselves; further ones share a bound."""
 
-IDLE_S = 0.05
+WRITE_PAUSE_S = 0.05
 """Seconds between looks of the writing thread while there is nothing to write."""
 
 _encode = msgspec.json.Encoder(enc_hook=str).encode
@@ -63,11 +63,11 @@
         self.lines.append(line)
         self.wake.set()
 
-    def stop(self, patience_s: float) -> None:
+    def stop(self, timeout_s: float) -> None:
         """Write what is queued, for at most `patience_s` seconds."""
         self.stopped = True
         self.wake.set()
-        self.thread.join(patience_s)
+        self.thread.join(timeout_s)
 
     def _run(self) -> None:
         while True:
@@ -76,7 +76,7 @@
             self._write_queued()
             if self.stopped and not self.lines:
                 return
-            time.sleep(IDLE_S)
+            time.sleep(WRITE_PAUSE_S)
 
     def _write_queued(self) -> None:
         while self.lines:
@@ -113,8 +113,8 @@
     def sink(message: Any) -> None:
         record = message.record
         # Lines are bounded by what they say, so that one kind cannot drown another.
-        kind = record["message"] if len(samplers) < MOST_KINDS else ""
-        sampler = samplers.setdefault(kind, Sampler(LINES_PER_S))
+        kind = record["message"] if len(samplers) < MAX_EVENT_KINDS else ""
+        sampler = samplers.setdefault(kind, Sampler(MAX_LINES_PER_S))
         if not sampler.allows():
             return
         if left_out := sampler.take_left_out():
--- a/waxwingglade/base/loop_delay.py
+++ b/waxwingglade/base/loop_delay.py
@@ -5,10 +5,10 @@
 
 from loguru import logger
 
-REMEMBERED_SLEEPS = 20
+DELAY_SAMPLES = 20
 """Sleeps over which the longest delay is told, two to four seconds of them."""
 
-LOGGED_S = 0.25
+LOGGED_DELAY_S = 0.25
 """Seconds of delay from which on a line is logged."""
 
 
@@ -22,7 +22,7 @@
     """
 
     def __init__(self) -> None:
-        self.delays: deque[float] = deque(maxlen=REMEMBERED_SLEEPS)
+        self.delays: deque[float] = deque(maxlen=DELAY_SAMPLES)
 
     @property
     def longest_s(self) -> float:
@@ -36,7 +36,7 @@
         await asyncio.sleep(seconds)
         delay_s = max(0.0, loop.time() - due_at)
         self.delays.append(delay_s)
-        if delay_s >= LOGGED_S:
+        if delay_s >= LOGGED_DELAY_S:
             logger.bind(seconds=round(delay_s, 3)).warning("event loop delayed")
 
 
--- a/waxwingglade/base/tests/test_tally.py
+++ b/waxwingglade/base/tests/test_buffered_metrics.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from waxwingglade.base.tally import Counts, Times
+from waxwingglade.base.buffered_metrics import BufferedCounter, BufferedHistogram
 
 BOUNDS = (0.01, 0.1, 1.0, float("inf"))
 LABELS = st.tuples(st.sampled_from(("a", "b")), st.sampled_from(("200", "503", 'quoted"')))
@@ -19,11 +19,11 @@
     return set(content.decode().splitlines())
 
 
-class TallyTest(unittest.TestCase):
+class BufferedMetricsTest(unittest.TestCase):
     @given(st.lists(LABELS, min_size=1))
     def test_counts(self, added: list[tuple[str, str]]) -> None:
         ours, theirs = Registry(), Registry()
-        counts = Counts(ours, "answers", "Answers.", ("route", "status"))
+        counts = BufferedCounter(ours, "answers", "Answers.", ("route", "status"))
         counter = Counter("answers", "Answers.", registry=theirs)
         for route, status in added:
             counts.add(route, status)
@@ -34,7 +34,7 @@
     @given(st.lists(st.tuples(st.sampled_from((0.0, 0.01, 0.05, 0.1, 7.5)), LABELS), min_size=1))
     def test_times(self, observed: list[tuple[float, tuple[str, str]]]) -> None:
         ours, theirs = Registry(), Registry()
-        times = Times(ours, "seconds", "Seconds.", BOUNDS, ("route", "status"))
+        times = BufferedHistogram(ours, "seconds", "Seconds.", BOUNDS, ("route", "status"))
         histogram = Histogram("seconds", "Seconds.", registry=theirs, buckets=BOUNDS)
         for value, (route, status) in observed:
             times.observe(value, route, status)
@@ -44,7 +44,7 @@
 
     def test_without_labels(self) -> None:
         registry = Registry()
-        times = Times(registry, "seconds", "Seconds.", BOUNDS)
+        times = BufferedHistogram(registry, "seconds", "Seconds.", BOUNDS)
         times.observe(0.5)
         times.publish()
         self.assertIn("seconds_count 1.0", page(registry))
--- a/waxwingglade/base/tests/test_loop_delay.py
+++ b/waxwingglade/base/tests/test_loop_delay.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from waxwingglade.base.loop_delay import REMEMBERED_SLEEPS, LoopDelay
+from waxwingglade.base.loop_delay import DELAY_SAMPLES, LoopDelay
 
 STALL_S = 0.3
 SHORT_S = 0.001
@@ -16,7 +16,7 @@
         asyncio.get_running_loop().call_soon(time.sleep, STALL_S)
         await delay.sleep(SHORT_S)
         self.assertGreater(delay.longest_s, STALL_S / 2)
-        for _ in range(REMEMBERED_SLEEPS):
+        for _ in range(DELAY_SAMPLES):
             await delay.sleep(SHORT_S)
         self.assertLess(delay.longest_s, STALL_S / 2)
 
--- a/waxwingglade/ingress/metrics.py
+++ b/waxwingglade/ingress/metrics.py
@@ -5,7 +5,7 @@
 from aioprometheus import Gauge, Registry
 from aioprometheus.renderer import render
 
-from waxwingglade.base.tally import Counts, Times
+from waxwingglade.base.buffered_metrics import BufferedCounter, BufferedHistogram
 from waxwingglade.follow.feed import LONGEST_AGE_S
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         )
         self.reserve = self._time("reserve_seconds", "Waiting for the ledger to begin a turn.")
         self.keep = self._time("keep_seconds", "Waiting for the ledger to keep a turn.")
-        self.tallies = (
+        self.buffered_metrics = (
             self.requests,
             self.by_account,
             self.refusals,
@@ -62,11 +62,11 @@
             PREFIX + "state", "What the entry believes, and its resources.", registry=self.registry
         )
 
-    def _count(self, name: str, text: str, *labels: str) -> Counts:
-        return Counts(self.registry, PREFIX + name, text, labels)
+    def _count(self, name: str, text: str, *labels: str) -> BufferedCounter:
+        return BufferedCounter(self.registry, PREFIX + name, text, labels)
 
-    def _time(self, name: str, text: str, *labels: str) -> Times:
-        return Times(self.registry, PREFIX + name, text, SECONDS, labels)
+    def _time(self, name: str, text: str, *labels: str) -> BufferedHistogram:
+        return BufferedHistogram(self.registry, PREFIX + name, text, SECONDS, labels)
 
     def record(self, exchange: "Exchange", trace: "Trace", seconds: float) -> None:
         """Record one request."""
@@ -104,8 +104,8 @@
         }
         for name, value in facts.items():
             self.state.set({"name": name}, value)
-        for tally in self.tallies:
-            tally.publish()
+        for buffered in self.buffered_metrics:
+            buffered.publish()
         content, _ = render(self.registry, ["text/plain"])
         return content.decode()
 
--- a/waxwingglade/ledger/metrics.py
+++ b/waxwingglade/ledger/metrics.py
@@ -5,7 +5,7 @@
 from aioprometheus import Gauge, Registry
 from aioprometheus.renderer import render
 
-from waxwingglade.base.tally import Counts, Times
+from waxwingglade.base.buffered_metrics import BufferedCounter, BufferedHistogram
 from waxwingglade.follow.feed import LONGEST_AGE_S
 
 if TYPE_CHECKING:
@@ -21,13 +21,13 @@
 
     def __init__(self) -> None:
         self.registry = Registry()
-        self.answers = Counts(
+        self.answers = BufferedCounter(
             self.registry,
             PREFIX + "answers_total",
             "Answers by request and kind.",
             ("request", "answer"),
         )
-        self.seconds = Times(
+        self.seconds = BufferedHistogram(
             self.registry, PREFIX + "seconds", "Time of an answer.", SECONDS, ("request",)
         )
         self.state = Gauge(
