--- a/waxwingglade/process/configuration.py
+++ b/waxwingglade/process/configuration.py
@@ -22,11 +22,11 @@
     Source,
     VersionReports,
     catch_up,
+    delete_old_records,
     follow_store,
-    keep_copy,
+    maintain_copy,
     save_copy,
     seed_store,
-    tidy_store,
 )
 
 WATCHERS_PER_ZONE = 2
@@ -73,7 +73,7 @@
         folder = self.entry.settings.data_folder
         if folder is not None:
             Path(folder).mkdir(parents=True, exist_ok=True)
-            self.entry.spawn(keep_copy(self.active, Path(folder)))
+            self.entry.spawn(maintain_copy(self.active, Path(folder)))
 
     def stop(self) -> None:
         """Copy what came since the last copy."""
@@ -213,7 +213,7 @@
             await asyncio.sleep(TIDY_PERIOD_S)
             own = self.entry.own
             if rank(TIDY_DUTY, [own, *self.entry.members.usable()])[0] == own:
-                await tidy_store(self.service.records, self.entry.wall_clock())
+                await delete_old_records(self.service.records, self.entry.wall_clock())
 
 
 async def _end(task: asyncio.Task) -> None:
--- a/waxwingglade/version/__init__.py
+++ b/waxwingglade/version/__init__.py
@@ -2,6 +2,7 @@
 
 from waxwingglade.version.active import ActiveConfig, Source
 from waxwingglade.version.approval import unusable_rules
+from waxwingglade.version.cleanup import delete_old_records
 from waxwingglade.version.config_store import ConfigKeys, ConfigStore
 from waxwingglade.version.following import catch_up, follow_store, seed_store
 from waxwingglade.version.level import LevelPath, PolicyPath, SettingName
@@ -14,12 +15,11 @@
     digest_of,
 )
 from waxwingglade.version.rule import ApprovalRule, HoursUtc
-from waxwingglade.version.saved_copy import keep_copy, load_copy, open_active, save_copy
+from waxwingglade.version.saved_copy import load_copy, maintain_copy, open_active, save_copy
 from waxwingglade.version.service import ConfigService
 from waxwingglade.version.snapshot import ConfigDigest, ConfigSnapshot, VersionRecord
 from waxwingglade.version.status import ConfigStatus, VersionReports
 from waxwingglade.version.store_api import KeyValue, Listing, Store, WatchEvent, WatchKind
-from waxwingglade.version.tidying import tidy_store
 from waxwingglade.version.tree import Change, Explanation, Tree, apply_changes, explain, resolve
 
 __all__ = [
@@ -52,17 +52,17 @@
     "WatchKind",
     "apply_changes",
     "catch_up",
+    "delete_old_records",
     "digest_of",
     "explain",
     "follow_store",
-    "keep_copy",
     "load_copy",
+    "maintain_copy",
     "nested_tree",
     "open_active",
     "parse_tree",
     "resolve",
     "save_copy",
     "seed_store",
-    "tidy_store",
     "unusable_rules",
 ]
--- a/waxwingglade/version/acceptance.py
+++ b/waxwingglade/version/acceptance.py
@@ -35,7 +35,7 @@
     is_uncertain,
 )
 from waxwingglade.version.proposal import Proposal, ProposalId, ProposalState, touched_settings
-from waxwingglade.version.situation import Situation, read_situation
+from waxwingglade.version.proposal_context import ProposalContext, read_proposal_context
 from waxwingglade.version.snapshot import ConfigSnapshot, VersionRecord, encode_snapshot
 from waxwingglade.version.tree import (
     Change,
@@ -82,41 +82,43 @@
     Outcome of VersionRecord
         A failure is NOT_RUN only where no swap of this request can take effect any more.
     """
-    unsettled: int | None = None  # revision of the head that a swap without an answer expected
+    uncertain_revision: int | None = (
+        None  # revision of the head that a swap without an answer expected
+    )
     for attempt in range(ATTEMPTS):
         await _pause(attempt)
-        read = await read_situation(records, request.proposal)
+        read = await read_proposal_context(records, request.proposal)
         if isinstance(read, Err):
-            if unsettled is None:
+            if uncertain_revision is None:
                 return read
             continue
-        situation = read.ok_value
-        if situation.accepted is not None:
-            await _catch_up(records, active, situation.head.value)
-            return Ok(situation.accepted)
-        if unsettled != situation.head.mod_revision:
-            unsettled = None
-        swapped = await _plan_and_swap(records, active, situation, request)
+        context = read.ok_value
+        if context.accepted is not None:
+            await _catch_up(records, active, context.head.value)
+            return Ok(context.accepted)
+        if uncertain_revision != context.head.mod_revision:
+            uncertain_revision = None
+        swapped = await _plan_and_swap(records, active, context, request)
         if isinstance(swapped, Ok):
             return swapped
         if is_uncertain(swapped):
-            unsettled = situation.head.mod_revision
+            uncertain_revision = context.head.mod_revision
         elif swapped.err_value != HEAD_MOVED:
-            return swapped if unsettled is None else _uncertain(swapped.err_value)
-    if unsettled is not None:
+            return swapped if uncertain_revision is None else _uncertain(swapped.err_value)
+    if uncertain_revision is not None:
         return may_have_run(ErrorCode.STORE_UNAVAILABLE, "the store's answer was lost: ask again")
     return Err(HEAD_MOVED)
 
 
 async def _plan_and_swap(
-    records: ConfigStore, active: ActiveConfig, situation: Situation, request: AcceptRequest
+    records: ConfigStore, active: ActiveConfig, context: ProposalContext, request: AcceptRequest
 ) -> Outcome[VersionRecord]:
     """Try once to put a proposal in force."""
-    plan = await _plan(records, active, situation, request)
+    plan = await _plan(records, active, context, request)
     if isinstance(plan, Err):
         return plan
     head = plan.ok_value.head
-    swapped = await records.write_head(head, situation.head.mod_revision)
+    swapped = await records.write_head(head, context.head.mod_revision)
     if isinstance(swapped, Err):
         return Err(HEAD_MOVED) if is_conflict(swapped) else swapped
     # Peers that are behind are better served with the change than with the whole tree.
@@ -145,16 +147,16 @@
 
 
 async def _plan(
-    records: ConfigStore, active: ActiveConfig, situation: Situation, request: AcceptRequest
+    records: ConfigStore, active: ActiveConfig, context: ProposalContext, request: AcceptRequest
 ) -> Outcome[Plan]:
     """Check a proposal under the rules in force and write what must precede the swap."""
-    head = situation.head.value
+    head = context.head.value
     loaded = await records.load(head, active.current)
     if isinstance(loaded, Err):
         return loaded
     current = loaded.ok_value
-    proposal = situation.proposal.value
-    refusal = _refusal(current.tree, situation, request)
+    proposal = context.proposal.value
+    refusal = _refusal(current.tree, context, request)
     if refusal is not None:
         return refusal
     snapshot = ConfigSnapshot(
@@ -170,14 +172,14 @@
     return Ok(Plan(Head(record, ref.ok_value), snapshot))
 
 
-def _refusal(tree: Tree, situation: Situation, request: AcceptRequest) -> Err[Failure] | None:
+def _refusal(tree: Tree, context: ProposalContext, request: AcceptRequest) -> Err[Failure] | None:
     """Return why a proposal may not be accepted now, or None where it may."""
-    proposal = situation.proposal.value
+    proposal = context.proposal.value
     if not has_role(tree, request.operator, Role.PROPOSER):
         return not_run(ErrorCode.FORBIDDEN, f"operator {request.operator} may not accept")
     if proposal.state is not ProposalState.OPEN:
         return not_run(ErrorCode.CONFLICT, f"proposal {proposal.id} is {proposal.state.value}")
-    other = conflicting_version(proposal.changes, situation.since)
+    other = conflicting_version(proposal.changes, context.since)
     if other is not None:
         return not_run(
             ErrorCode.CONFLICT, f"version {other.version} changed the same: propose it anew"
@@ -196,12 +198,12 @@
     records: ConfigStore, head: Head, current: ConfigSnapshot
 ) -> Outcome[SnapshotRef]:
     """Keep the version in force in the history, and its tree when one is due."""
-    kept = await records.keep_version(head.record)
-    if isinstance(kept, Err):
-        return kept
+    stored = await records.store_version(head.record)
+    if isinstance(stored, Err):
+        return stored
     if current.version - head.snapshot.version < SNAPSHOT_EVERY:
         return Ok(head.snapshot)
-    return await records.keep_snapshot(current)
+    return await records.store_snapshot(current)
 
 
 async def _catch_up(records: ConfigStore, active: ActiveConfig, head: Head) -> None:
--- a/waxwingglade/version/active.py
+++ b/waxwingglade/version/active.py
@@ -57,13 +57,13 @@
         self.source = Source.SETTINGS
         self.confirmed = False
         self.recent: deque[VersionRecord] = deque(maxlen=RECENT_RECORDS)
-        self.lower_refused = 0
-        self.conflicts_refused = 0
+        self.lower_rejected = 0
+        self.conflicts_rejected = 0
         self.changed = asyncio.Event()
 
     def offer(self, snapshot: ConfigSnapshot, source: Source = Source.PEER) -> bool:
         """Take a version if it is higher than the one in force; return whether it was taken."""
-        if not self._is_news(snapshot.version, snapshot.hash, source):
+        if not self._is_newer(snapshot.version, snapshot.hash, source):
             return False
         self.recent.clear()
         self._put_in_force(snapshot, source)
@@ -74,7 +74,7 @@
 
         Where the records leave a gap, or start from another content, none is taken.
         """
-        if not records or not self._is_news(records[-1].version, records[-1].hash, source):
+        if not records or not self._is_newer(records[-1].version, records[-1].hash, source):
             return False
         following = [each for each in records if each.version > self.current.version]
         try:
@@ -110,7 +110,7 @@
         if peer.version > self.current.version:
             return True
         if peer.version == self.current.version:
-            self._is_news(peer.version, peer.hash, Source.PEER)
+            self._is_newer(peer.version, peer.hash, Source.PEER)
         self.confirmed = self.confirmed or peer.confirmed
         return False
 
@@ -131,15 +131,15 @@
             await self.changed.wait()
         return self.current
 
-    def _is_news(self, version: ConfigVersion, content: str, source: Source) -> bool:
+    def _is_newer(self, version: ConfigVersion, content: str, source: Source) -> bool:
         """Return whether a version is higher; report one that contradicts what is in force."""
         if version > self.current.version:
             return True
         if version < self.current.version:
-            self.lower_refused += 1
+            self.lower_rejected += 1
             return False
         if content != self.current.hash:
-            self.conflicts_refused += 1
+            self.conflicts_rejected += 1
             logger.error(
                 "configuration version {} from {} has content {}, but {} is in force; refused",
                 version,
--- a/waxwingglade/version/tidying.py
+++ b/waxwingglade/version/cleanup.py
@@ -4,16 +4,16 @@
 from waxwingglade.version.acceptance import SNAPSHOT_EVERY
 from waxwingglade.version.config_store import BUCKET_VERSIONS, ConfigStore, Head
 from waxwingglade.version.proposal import Proposal, ProposalState
-from waxwingglade.version.situation import read_known_head
+from waxwingglade.version.proposal_context import read_known_head
 
-HISTORY_KEPT = 2000
+RETAINED_VERSIONS = 2000
 """Versions kept; a proposal on an older base must be put forward anew."""
 
-PROPOSAL_KEPT_S = 3600.0
+PROPOSAL_RETENTION_S = 3600.0
 """Seconds that a decided proposal is kept, so that a retry is recognised."""
 
 
-async def tidy_store(records: ConfigStore, now_s: float) -> Outcome[int]:
+async def delete_old_records(records: ConfigStore, now_s: float) -> Outcome[int]:
     """Delete old versions, trees and decided proposals; return how many records went.
 
     Any entry may do it at any time, also several at once.  `now_s` is in seconds since 1970.
@@ -22,18 +22,18 @@
     if isinstance(head, Err):
         return head
     deleted = 0
-    for step in (_tidy_history, _tidy_snapshots):
+    for step in (_delete_old_versions, _delete_old_trees):
         outcome = await step(records, head.ok_value.value)
         if isinstance(outcome, Err):
             return outcome
         deleted += outcome.ok_value
-    outcome = await _tidy_proposals(records, head.ok_value.value, now_s)
+    outcome = await _delete_old_proposals(records, head.ok_value.value, now_s)
     return outcome if isinstance(outcome, Err) else Ok(deleted + outcome.ok_value)
 
 
-async def _tidy_history(records: ConfigStore, head: Head) -> Outcome[int]:
+async def _delete_old_versions(records: ConfigStore, head: Head) -> Outcome[int]:
     """Delete whole buckets of versions that are older than what is kept."""
-    number = oldest_kept(head) // BUCKET_VERSIONS - 1
+    number = oldest_retained(head) // BUCKET_VERSIONS - 1
     deleted = 0
     while number >= 0:
         listing = await records.store.list(records.keys.bucket(number))
@@ -48,7 +48,7 @@
     return Ok(deleted)
 
 
-async def _tidy_snapshots(records: ConfigStore, head: Head) -> Outcome[int]:
+async def _delete_old_trees(records: ConfigStore, head: Head) -> Outcome[int]:
     """Delete trees older than the one before the head's, which a slow reader may still want."""
     listing = await records.store.list(records.keys.snapshots)
     if isinstance(listing, Err):
@@ -65,7 +65,7 @@
     return Ok(len(old))
 
 
-async def _tidy_proposals(records: ConfigStore, head: Head, now_s: float) -> Outcome[int]:
+async def _delete_old_proposals(records: ConfigStore, head: Head, now_s: float) -> Outcome[int]:
     """Delete proposals that were decided long ago or can no longer be accepted."""
     listed = await records.list_proposals()
     if isinstance(listed, Err):
@@ -79,10 +79,10 @@
 def _is_old(proposal: Proposal, head: Head, now_s: float) -> bool:
     """Return whether a proposal is of no more use."""
     if proposal.state is ProposalState.OPEN:
-        return proposal.base_version < oldest_kept(head)
-    return (proposal.closed_at_s or proposal.created_at_s) < now_s - PROPOSAL_KEPT_S
+        return proposal.base_version < oldest_retained(head)
+    return (proposal.closed_at_s or proposal.created_at_s) < now_s - PROPOSAL_RETENTION_S
 
 
-def oldest_kept(head: Head) -> ConfigVersion:
+def oldest_retained(head: Head) -> ConfigVersion:
     """Return the oldest version that the history still has to hold."""
-    return ConfigVersion(max(0, head.record.version - HISTORY_KEPT))
+    return ConfigVersion(max(0, head.record.version - RETAINED_VERSIONS))
--- a/waxwingglade/version/config_store.py
+++ b/waxwingglade/version/config_store.py
@@ -152,16 +152,16 @@
             return not_run(ErrorCode.NOT_FOUND, f"versions from {first} are no longer all kept")
         return Ok(records)
 
-    async def keep_version(self, record: VersionRecord) -> Outcome[None]:
+    async def store_version(self, record: VersionRecord) -> Outcome[None]:
         """Write a version that is in force to the history, before the head moves past it."""
         data = encode_record(RecordKind.VERSION, record)
-        return await self._write_settled(self.keys.version(record.version), data)
+        return await self._write_immutable(self.keys.version(record.version), data)
 
-    async def keep_snapshot(self, snapshot: ConfigSnapshot) -> Outcome[SnapshotRef]:
+    async def store_snapshot(self, snapshot: ConfigSnapshot) -> Outcome[SnapshotRef]:
         """Write a whole tree, before a head names it."""
         ref = SnapshotRef(snapshot.version, snapshot.hash)
-        kept = await self._write_settled(self.keys.snapshot(ref), encode_snapshot(snapshot))
-        return kept if isinstance(kept, Err) else Ok(ref)
+        stored = await self._write_immutable(self.keys.snapshot(ref), encode_snapshot(snapshot))
+        return stored if isinstance(stored, Err) else Ok(ref)
 
     async def load(self, head: Head, known: ConfigSnapshot) -> Outcome[ConfigSnapshot]:
         """Return the version in force, rebuilt from a known one where that is the shorter way."""
@@ -192,7 +192,7 @@
         """Return a whole tree that a head names."""
         found = await self.store.get(self.keys.snapshot(ref))
         if isinstance(found, Err):
-            return _unread(found)
+            return _as_not_run(found)
         if found.ok_value is None:
             return not_run(ErrorCode.NOT_FOUND, f"the tree of version {ref.version} is gone")
         try:
@@ -204,7 +204,7 @@
         """Return the record at a key; a newer or corrupt one is a failure with code VERSION."""
         found = await self.store.get(key)
         if isinstance(found, Err):
-            return _unread(found)
+            return _as_not_run(found)
         if found.ok_value is None:
             return Ok(None)
         return decode_item(found.ok_value, kind, model)
@@ -215,7 +215,7 @@
         """Return the records under a prefix."""
         listing = await self.store.list(prefix)
         if isinstance(listing, Err):
-            return _unread(listing)
+            return _as_not_run(listing)
         records = []
         for item in listing.ok_value.items:
             record = decode_item(item, kind, model)
@@ -230,7 +230,7 @@
             return not_run(ErrorCode.TOO_LARGE, f"{key} would take {len(data)} bytes")
         return await self.store.put_if(key, data, expected)
 
-    async def _write_settled(self, key: str, data: bytes) -> Outcome[None]:
+    async def _write_immutable(self, key: str, data: bytes) -> Outcome[None]:
         """Write a record whose content is settled, so that any writer's will do."""
         written = await self._write(key, data, 0)
         if isinstance(written, Ok) or written.err_value.code is ErrorCode.CONFLICT:
@@ -247,7 +247,7 @@
         return not_run(ErrorCode.VERSION, f"{item.key}: {error}")
 
 
-def _unread(outcome: Err) -> Err:
+def _as_not_run(outcome: Err) -> Err:
     """Return the failure of a read as one that changed nothing, even if its answer was lost.
 
     Whether an earlier write of the same request may have run is for those to say who made it.
--- a/waxwingglade/version/following.py
+++ b/waxwingglade/version/following.py
@@ -70,9 +70,9 @@
         logger.warning("the initial tree is not stored, it could not be changed: {}", reasons)
         return Ok(False)
     first = ConfigSnapshot(FIRST_VERSION, initial.tree, initial.hash)
-    kept = await records.keep_snapshot(first)
-    if isinstance(kept, Err):
-        return kept
+    stored = await records.store_snapshot(first)
+    if isinstance(stored, Err):
+        return stored
     written = await records.write_head(_first_head(first, entry_ref, clock()), 0)
     if isinstance(written, Err):
         return written
--- a/waxwingglade/version/proposal.py
+++ b/waxwingglade/version/proposal.py
@@ -105,7 +105,7 @@
     return Ok(msgspec.structs.replace(proposal, approvals=approvals))
 
 
-def closed(
+def with_closure(
     proposal: Proposal, state: ProposalState, operator: OperatorId, reason: str, at_s: float
 ) -> Outcome[Proposal]:
     """Return the proposal rejected or withdrawn, unchanged where it already is."""
@@ -120,7 +120,7 @@
     )
 
 
-def accepted(
+def with_acceptance(
     proposal: Proposal, version: ConfigVersion, operator: OperatorId, at_s: float
 ) -> Proposal:
     """Return the proposal as accepted, whatever was recorded of it before."""
--- a/waxwingglade/version/situation.py
+++ b/waxwingglade/version/proposal_context.py
@@ -8,7 +8,7 @@
 from waxwingglade.version.snapshot import VersionRecord
 
 
-class Situation(msgspec.Struct, frozen=True):
+class ProposalContext(msgspec.Struct, frozen=True):
     """A proposal and the version in force.
 
     Parameters
@@ -40,7 +40,9 @@
     return Ok(head.ok_value)
 
 
-async def read_situation(records: ConfigStore, proposal: ProposalId) -> Outcome[Situation]:
+async def read_proposal_context(
+    records: ConfigStore, proposal: ProposalId
+) -> Outcome[ProposalContext]:
     """Read the version in force, then a proposal, then the versions since its base."""
     head = await read_known_head(records)
     if isinstance(head, Err):
@@ -54,7 +56,7 @@
     if isinstance(since, Err):
         return _from_record(found.ok_value, since)
     accepted = next((each for each in since.ok_value if each.proposal == proposal), None)
-    return Ok(Situation(head.ok_value, found.ok_value, since.ok_value, accepted))
+    return Ok(ProposalContext(head.ok_value, found.ok_value, since.ok_value, accepted))
 
 
 async def versions_since(
@@ -69,7 +71,7 @@
     return Ok([*between.ok_value, head.record])
 
 
-def _from_record(proposal: Stored[Proposal], failure: Err) -> Outcome[Situation]:
+def _from_record(proposal: Stored[Proposal], failure: Err) -> Outcome[ProposalContext]:
     """Return what a proposal's own record says where the history no longer reaches its base."""
     decided = proposal.value
     if failure.err_value.code is not ErrorCode.NOT_FOUND:
--- a/waxwingglade/version/drafting.py
+++ b/waxwingglade/version/proposing.py
@@ -20,14 +20,14 @@
 from waxwingglade.version.approval import has_role, never_met_reasons
 from waxwingglade.version.config_store import ConfigStore, is_conflict, is_uncertain
 from waxwingglade.version.proposal import Proposal, ProposalId, change_text
-from waxwingglade.version.situation import read_known_head, versions_since
+from waxwingglade.version.proposal_context import read_known_head, versions_since
 from waxwingglade.version.snapshot import ConfigSnapshot, VersionRecord
 from waxwingglade.version.tree import Change, apply_changes, check_changes, stored_form
 
 MAX_PROPOSAL_BYTES = 256_000
 
 
-class Draft(msgspec.Struct, frozen=True):
+class ProposalRequest(msgspec.Struct, frozen=True):
     """What an operator asks for, on the version that they had before them."""
 
     id: ProposalId
@@ -38,23 +38,25 @@
 
 
 async def propose_changes(
-    records: ConfigStore, active: ActiveConfig, draft: Draft
+    records: ConfigStore, active: ActiveConfig, request: ProposalRequest
 ) -> Outcome[Proposal]:
     """Record a proposal, once; a repeat of the same request returns the proposal."""
-    if not CALL_ID_PATTERN.match(draft.id):
-        return not_run(ErrorCode.BAD_REQUEST, f"`{draft.id}` is not an id for a proposal")
-    found = await records.read_proposal(draft.id)
+    if not CALL_ID_PATTERN.match(request.id):
+        return not_run(ErrorCode.BAD_REQUEST, f"`{request.id}` is not an id for a proposal")
+    found = await records.read_proposal(request.id)
     if isinstance(found, Err):
         return found
     if found.ok_value is not None:
-        return _same_or_conflict(found.ok_value.value, draft)
-    checked = await _check(records, active, draft)
+        return _same_or_conflict(found.ok_value.value, request)
+    checked = await _checked_proposal(records, active, request)
     if isinstance(checked, Err):
         return checked
-    return await _create(records, checked.ok_value, draft)
+    return await _create(records, checked.ok_value, request)
 
 
-async def _check(records: ConfigStore, active: ActiveConfig, draft: Draft) -> Outcome[Proposal]:
+async def _checked_proposal(
+    records: ConfigStore, active: ActiveConfig, request: ProposalRequest
+) -> Outcome[Proposal]:
     """Return a draft as a proposal, if it could be accepted some time."""
     head = await read_known_head(records)
     if isinstance(head, Err):
@@ -62,33 +64,35 @@
     loaded = await records.load(head.ok_value.value, active.current)
     if isinstance(loaded, Err):
         return loaded
-    since = await versions_since(records, head.ok_value.value, draft.base_version)
+    since = await versions_since(records, head.ok_value.value, request.base_version)
     if isinstance(since, Err):
         return since
-    checked = _check_changes(loaded.ok_value, draft, since.ok_value)
+    checked = _check_changes(loaded.ok_value, request, since.ok_value)
     if isinstance(checked, Err):
         return checked
     changes = checked.ok_value
     text = change_text(loaded.ok_value.tree, changes)
-    return Ok(Proposal(draft.id, draft.base_version, draft.proposer, changes, text, draft.at_s))
+    return Ok(
+        Proposal(request.id, request.base_version, request.proposer, changes, text, request.at_s)
+    )
 
 
 def _check_changes(
-    current: ConfigSnapshot, draft: Draft, since: list[VersionRecord]
+    current: ConfigSnapshot, request: ProposalRequest, since: list[VersionRecord]
 ) -> Outcome[list[Change]]:
     """Return a draft's changes in stored form, if its proposer may make them."""
-    if draft.base_version > current.version:
-        return not_run(ErrorCode.BAD_REQUEST, f"there is no version {draft.base_version} yet")
-    if not has_role(current.tree, draft.proposer, Role.PROPOSER):
-        return not_run(ErrorCode.FORBIDDEN, f"operator {draft.proposer} may not propose")
+    if request.base_version > current.version:
+        return not_run(ErrorCode.BAD_REQUEST, f"there is no version {request.base_version} yet")
+    if not has_role(current.tree, request.proposer, Role.PROPOSER):
+        return not_run(ErrorCode.FORBIDDEN, f"operator {request.proposer} may not propose")
     try:
-        changes = check_changes(current.tree, draft.changes)
+        changes = check_changes(current.tree, request.changes)
     except SettingsError as error:
         return not_run(ErrorCode.BAD_REQUEST, str(error))
     other = conflicting_version(changes, since)
     if other is not None:
         return not_run(ErrorCode.CONFLICT, f"version {other.version} changed the same")
-    never = never_met_reasons(current.tree, changes, draft.proposer)
+    never = never_met_reasons(current.tree, changes, request.proposer)
     if never:
         return not_run(ErrorCode.FORBIDDEN, "; ".join(never))
     return _check_size_and_result(current, changes)
@@ -105,7 +109,9 @@
     return Ok(changes)
 
 
-async def _create(records: ConfigStore, proposal: Proposal, draft: Draft) -> Outcome[Proposal]:
+async def _create(
+    records: ConfigStore, proposal: Proposal, request: ProposalRequest
+) -> Outcome[Proposal]:
     """Write a new proposal; whoever wrote the same first has done it for us."""
     uncertain = False
     for _ in range(ATTEMPTS):
@@ -115,21 +121,21 @@
         uncertain = uncertain or is_uncertain(written)
         if not uncertain and not is_conflict(written):
             return written
-        found = await records.read_proposal(draft.id)
+        found = await records.read_proposal(request.id)
         if isinstance(found, Ok) and found.ok_value is not None:
-            return _same_or_conflict(found.ok_value.value, draft)
+            return _same_or_conflict(found.ok_value.value, request)
     return may_have_run(ErrorCode.STORE_UNAVAILABLE, "the store's answer was lost: ask again")
 
 
-def _same_or_conflict(present: Proposal, draft: Draft) -> Outcome[Proposal]:
+def _same_or_conflict(present: Proposal, request: ProposalRequest) -> Outcome[Proposal]:
     """Return the proposal that is there already, if `draft` is a repeat of what made it."""
     try:
-        changes = stored_form(draft.changes)
+        changes = stored_form(request.changes)
     except SettingsError as error:
         return not_run(ErrorCode.BAD_REQUEST, str(error))
     same = (
-        present.proposer == draft.proposer
-        and present.base_version == draft.base_version
+        present.proposer == request.proposer
+        and present.base_version == request.base_version
         and present.changes == changes
     )
     if same:
--- a/waxwingglade/version/deciding.py
+++ b/waxwingglade/version/review.py
@@ -10,24 +10,24 @@
 from waxwingglade.version.active import ActiveConfig
 from waxwingglade.version.approval import has_role
 from waxwingglade.version.config_store import ConfigStore, is_conflict, is_uncertain
-from waxwingglade.version.proposal import Proposal, ProposalId, accepted
-from waxwingglade.version.situation import Situation, read_situation
+from waxwingglade.version.proposal import Proposal, ProposalId, with_acceptance
+from waxwingglade.version.proposal_context import ProposalContext, read_proposal_context
 from waxwingglade.version.snapshot import VersionRecord
 
-Check = Callable[[Situation], Awaitable[Outcome[None]]]
+PermissionCheck = Callable[[ProposalContext], Awaitable[Outcome[None]]]
 """Says whether an operator may decide."""
 
-Edit = Callable[[Proposal], Outcome[Proposal]]
+ProposalEdit = Callable[[Proposal], Outcome[Proposal]]
 """Returns a proposal as it should be; unchanged where it already is."""
 
 
 def require_role(
     records: ConfigStore, active: ActiveConfig, operator: OperatorId, least: Role
-) -> Check:
+) -> PermissionCheck:
     """Return a check of an operator's role in the version in force."""
 
-    async def check(situation: Situation) -> Outcome[None]:
-        loaded = await records.load(situation.head.value, active.current)
+    async def check(context: ProposalContext) -> Outcome[None]:
+        loaded = await records.load(context.head.value, active.current)
         if isinstance(loaded, Err):
             return loaded
         if has_role(loaded.ok_value.tree, operator, least):
@@ -37,11 +37,11 @@
     return check
 
 
-def require_proposer(operator: OperatorId) -> Check:
+def require_proposer(operator: OperatorId) -> PermissionCheck:
     """Return a check that an operator decides on their own proposal."""
 
-    async def check(situation: Situation) -> Outcome[None]:
-        if situation.proposal.value.proposer == operator:
+    async def check(context: ProposalContext) -> Outcome[None]:
+        if context.proposal.value.proposer == operator:
             return Ok(None)
         return not_run(ErrorCode.FORBIDDEN, "only the proposer may withdraw a proposal")
 
@@ -49,21 +49,21 @@
 
 
 async def edit_proposal(
-    records: ConfigStore, proposal: ProposalId, check: Check, edit: Edit
+    records: ConfigStore, proposal: ProposalId, check: PermissionCheck, edit: ProposalEdit
 ) -> Outcome[Proposal]:
     """Change a proposal's record by compare-and-swap, unless it is changed already."""
-    unsettled: int | None = None  # revision that a write without an answer expected
+    uncertain_revision: int | None = None  # revision that a write without an answer expected
     for _ in range(ATTEMPTS):
-        read = await read_situation(records, proposal)
+        read = await read_proposal_context(records, proposal)
         if isinstance(read, Err):
-            if unsettled is None:
+            if uncertain_revision is None:
                 return read
             continue
-        if unsettled != read.ok_value.proposal.mod_revision:
-            unsettled = None
-        edited = await _edited(read.ok_value, check, edit)
+        if uncertain_revision != read.ok_value.proposal.mod_revision:
+            uncertain_revision = None
+        edited = await _apply_edit(read.ok_value, check, edit)
         if isinstance(edited, Err):
-            return edited if unsettled is None else _lost_answer()
+            return edited if uncertain_revision is None else _lost_answer()
         if edited.ok_value == read.ok_value.proposal.value:
             return edited
         revision = read.ok_value.proposal.mod_revision
@@ -71,14 +71,14 @@
         if isinstance(written, Ok):
             return edited
         if is_uncertain(written):
-            unsettled = revision
+            uncertain_revision = revision
         elif not is_conflict(written):
-            return written if unsettled is None else _lost_answer()
+            return written if uncertain_revision is None else _lost_answer()
     return _lost_answer()
 
 
 async def close_proposal(
-    records: ConfigStore, proposal: ProposalId, check: Check, edit: Edit
+    records: ConfigStore, proposal: ProposalId, check: PermissionCheck, edit: ProposalEdit
 ) -> Outcome[Proposal]:
     """Close a proposal, and see to it that no acceptance under way can still succeed."""
     edited = await edit_proposal(records, proposal, check, edit)
@@ -92,7 +92,7 @@
     found = await records.read_proposal(record.proposal)
     if isinstance(found, Err) or found.ok_value is None:
         return
-    marked = _accepted_as(found.ok_value.value, record)
+    marked = _with_version(found.ok_value.value, record)
     if marked == found.ok_value.value:
         return
     written = await records.write_proposal(marked, found.ok_value.mod_revision)
@@ -101,19 +101,21 @@
         logger.debug("proposal {} is not marked as accepted: {}", record.proposal, reason)
 
 
-def as_it_stands(situation: Situation) -> Proposal:
+def current_proposal(context: ProposalContext) -> Proposal:
     """Return a proposal with its acceptance, even where its record lags behind."""
-    if situation.accepted is None:
-        return situation.proposal.value
-    return _accepted_as(situation.proposal.value, situation.accepted)
+    if context.accepted is None:
+        return context.proposal.value
+    return _with_version(context.proposal.value, context.accepted)
 
 
-async def _edited(situation: Situation, check: Check, edit: Edit) -> Outcome[Proposal]:
+async def _apply_edit(
+    context: ProposalContext, check: PermissionCheck, edit: ProposalEdit
+) -> Outcome[Proposal]:
     """Return a proposal as an operator wants it, if the operator may."""
-    allowed = await check(situation)
+    allowed = await check(context)
     if isinstance(allowed, Err):
         return allowed
-    return edit(as_it_stands(situation))
+    return edit(current_proposal(context))
 
 
 async def _fence(records: ConfigStore, proposal: ProposalId) -> Outcome[Proposal]:
@@ -122,26 +124,26 @@
     Who reads the head after this reads the closed proposal after it.
     """
     for _ in range(ATTEMPTS):
-        read = await read_situation(records, proposal)
+        read = await read_proposal_context(records, proposal)
         if isinstance(read, Err):
             continue
-        situation = read.ok_value
-        if situation.accepted is not None:
-            await mark_accepted(records, situation.accepted)
-            version = situation.accepted.version
+        context = read.ok_value
+        if context.accepted is not None:
+            await mark_accepted(records, context.accepted)
+            version = context.accepted.version
             message = f"proposal {proposal} was accepted as version {version}"
             return not_run(ErrorCode.CONFLICT, message)
-        fenced = await records.write_head(situation.head.value, situation.head.mod_revision)
+        fenced = await records.write_head(context.head.value, context.head.mod_revision)
         if isinstance(fenced, Ok):
-            return Ok(situation.proposal.value)
+            return Ok(context.proposal.value)
     return may_have_run(
         ErrorCode.STORE_UNAVAILABLE, "recorded, but an acceptance under way may win: ask again"
     )
 
 
-def _accepted_as(proposal: Proposal, record: VersionRecord) -> Proposal:
+def _with_version(proposal: Proposal, record: VersionRecord) -> Proposal:
     """Return a proposal as the version that it became shows it."""
-    return accepted(proposal, record.version, record.accepted_by, record.accepted_at_s)
+    return with_acceptance(proposal, record.version, record.accepted_by, record.accepted_at_s)
 
 
 def _lost_answer() -> Outcome:
--- a/waxwingglade/version/saved_copy.py
+++ b/waxwingglade/version/saved_copy.py
@@ -65,7 +65,9 @@
     return True
 
 
-async def keep_copy(active: ActiveConfig, folder: Path, period_s: float = SAVE_PERIOD_S) -> None:
+async def maintain_copy(
+    active: ActiveConfig, folder: Path, period_s: float = SAVE_PERIOD_S
+) -> None:
     """Copy each version to a folder until cancelled, the last of those in a period."""
     while True:
         changed = active.changed
--- a/waxwingglade/version/service.py
+++ b/waxwingglade/version/service.py
@@ -9,24 +9,24 @@
 from waxwingglade.version.acceptance import AcceptRequest, accept_proposal
 from waxwingglade.version.active import ActiveConfig
 from waxwingglade.version.config_store import BUCKET_VERSIONS, ConfigKeys, ConfigStore
-from waxwingglade.version.deciding import (
-    as_it_stands,
-    close_proposal,
-    edit_proposal,
-    mark_accepted,
-    require_proposer,
-    require_role,
-)
-from waxwingglade.version.drafting import Draft, propose_changes
 from waxwingglade.version.proposal import (
     Approval,
     Proposal,
     ProposalId,
     ProposalState,
-    closed,
     with_approval,
+    with_closure,
+)
+from waxwingglade.version.proposal_context import read_known_head, read_proposal_context
+from waxwingglade.version.proposing import ProposalRequest, propose_changes
+from waxwingglade.version.review import (
+    close_proposal,
+    current_proposal,
+    edit_proposal,
+    mark_accepted,
+    require_proposer,
+    require_role,
 )
-from waxwingglade.version.situation import read_known_head, read_situation
 from waxwingglade.version.snapshot import VersionRecord
 from waxwingglade.version.store_api import Store
 from waxwingglade.version.tree import Change
@@ -73,8 +73,8 @@
         changes: list[Change],
     ) -> Outcome[Proposal]:
         """Put changes forward; a repeat with the same id and content returns the proposal."""
-        draft = Draft(proposal, operator, base_version, changes, self.clock())
-        return await propose_changes(self.records, self.active, draft)
+        request = ProposalRequest(proposal, operator, base_version, changes, self.clock())
+        return await propose_changes(self.records, self.active, request)
 
     async def approve(
         self, proposal: ProposalId, operator: OperatorId, text_digest: str
@@ -96,7 +96,7 @@
             self.records,
             proposal,
             check,
-            lambda each: closed(each, ProposalState.REJECTED, operator, reason, at_s),
+            lambda each: with_closure(each, ProposalState.REJECTED, operator, reason, at_s),
         )
 
     async def withdraw(self, proposal: ProposalId, operator: OperatorId) -> Outcome[Proposal]:
@@ -106,7 +106,7 @@
             self.records,
             proposal,
             require_proposer(operator),
-            lambda each: closed(each, ProposalState.WITHDRAWN, operator, "", at_s),
+            lambda each: with_closure(each, ProposalState.WITHDRAWN, operator, "", at_s),
         )
 
     async def accept(self, proposal: ProposalId, operator: OperatorId) -> Outcome[VersionRecord]:
@@ -119,8 +119,8 @@
 
     async def proposal(self, proposal: ProposalId) -> Outcome[Proposal]:
         """Return a proposal as it stands."""
-        read = await read_situation(self.records, proposal)
-        return read if isinstance(read, Err) else Ok(as_it_stands(read.ok_value))
+        read = await read_proposal_context(self.records, proposal)
+        return read if isinstance(read, Err) else Ok(current_proposal(read.ok_value))
 
     async def proposals(self, state: ProposalState | None = None) -> Outcome[list[Proposal]]:
         """Return the proposals that are kept, oldest first, as their records have them."""
--- a/waxwingglade/version/snapshot.py
+++ b/waxwingglade/version/snapshot.py
@@ -18,7 +18,7 @@
 from waxwingglade.version.schema import is_known
 from waxwingglade.version.tree import Change, Tree, apply_changes, resolve, tree_hash
 
-POLICIES_KEPT = 8192
+CACHED_POLICIES = 8192
 """Resolved policies that a snapshot remembers."""
 
 
@@ -98,7 +98,7 @@
         self.version = version
         self.tree = tree
         self.hash = known_hash or tree_hash(tree)
-        self.cached_resolve = functools.lru_cache(POLICIES_KEPT)(functools.partial(resolve, tree))
+        self.cached_resolve = functools.lru_cache(CACHED_POLICIES)(functools.partial(resolve, tree))
 
     def resolve(self, path: PolicyPath) -> ProgramPolicy:
         """Return the policy of a program; remembered, so that a repeat costs a look-up."""
--- a/waxwingglade/version/tests/test_active.py
+++ b/waxwingglade/version/tests/test_active.py
@@ -43,7 +43,7 @@
         self.assertFalse(active.offer(stale.current))
         self.assertFalse(active.offer_bytes(stale.snapshot_bytes()).unwrap())
         self.assertFalse(active.offer_records(chain(ConfigSnapshot(1, Tree()), 2)))
-        self.assertEqual((active.current.version, active.lower_refused), (5, 3))
+        self.assertEqual((active.current.version, active.lower_rejected), (5, 3))
 
     def test_the_same_version_with_another_content_is_reported_and_not_taken(self):
         active = make_active(5)
@@ -51,7 +51,7 @@
         self.assertFalse(active.offer(ConfigSnapshot(5, Tree())))
         self.assertFalse(active.is_behind(ConfigDigest(5, "other")))
         self.assertFalse(active.offer(ConfigSnapshot(5, make_tree())))
-        self.assertEqual(active.conflicts_refused, 2)
+        self.assertEqual(active.conflicts_rejected, 2)
         self.assertIs(active.current, before)
 
     def test_a_peer_that_is_behind_gets_records_or_the_whole(self):
--- a/waxwingglade/version/tests/test_following.py
+++ b/waxwingglade/version/tests/test_following.py
@@ -13,11 +13,12 @@
     WatchEvent,
     WatchKind,
     catch_up,
+    delete_old_records,
     follow_store,
     seed_store,
-    tidy_store,
 )
 from waxwingglade.version.acceptance import SNAPSHOT_EVERY
+from waxwingglade.version.cleanup import PROPOSAL_RETENTION_S, RETAINED_VERSIONS
 from waxwingglade.version.record import FORMAT
 from waxwingglade.version.tests.builders import (
     HEAD_KEY,
@@ -32,7 +33,6 @@
 )
 from waxwingglade.version.tests.fake_store import FakeStore, Fault
 from waxwingglade.version.tests.test_record import with_format
-from waxwingglade.version.tidying import HISTORY_KEPT, PROPOSAL_KEPT_S
 
 
 async def accept_values(service, first, last):
@@ -142,18 +142,18 @@
     async def test_tidying_deletes_what_is_old_and_nothing_else(self):
         await accept_values(self.service, 0, 3)
         await approved(self.service, "open", set_value(1), base=4)
-        self.assertEqual((await tidy_store(self.records, NOON_S)).unwrap(), 0)
-        later = NOON_S + PROPOSAL_KEPT_S + 1
-        self.assertEqual((await tidy_store(self.records, later)).unwrap(), 3)
+        self.assertEqual((await delete_old_records(self.records, NOON_S)).unwrap(), 0)
+        later = NOON_S + PROPOSAL_RETENTION_S + 1
+        self.assertEqual((await delete_old_records(self.records, later)).unwrap(), 3)
         kept = (await self.service.proposals()).unwrap()
         self.assertEqual([each.id for each in kept], ["open"])
 
     async def test_tidying_drops_history_and_trees_by_age(self):
         await accept_values(self.service, 0, 2 * SNAPSHOT_EVERY + 2)
         with_short_history = SNAPSHOT_EVERY
-        with mock.patch("waxwingglade.version.tidying.HISTORY_KEPT", with_short_history):
-            (await tidy_store(self.records, NOON_S)).unwrap()
-        self.assertGreater(HISTORY_KEPT, with_short_history)
+        with mock.patch("waxwingglade.version.cleanup.RETAINED_VERSIONS", with_short_history):
+            (await delete_old_records(self.records, NOON_S)).unwrap()
+        self.assertGreater(RETAINED_VERSIONS, with_short_history)
         versions = [each.version for each in (await self.service.history(1000)).unwrap()]
         self.assertEqual(versions[-1], SNAPSHOT_EVERY)
         trees = [key for key in self.store.values if key.startswith("config/snapshots/")]
--- a/waxwingglade/version/tests/test_saved_copy.py
+++ b/waxwingglade/version/tests/test_saved_copy.py
@@ -11,8 +11,8 @@
     ConfigSnapshot,
     Source,
     Tree,
-    keep_copy,
     load_copy,
+    maintain_copy,
     open_active,
     save_copy,
 )
@@ -87,7 +87,7 @@
 
     async def test_each_version_is_copied(self):
         active = ActiveConfig(ConfigSnapshot(1, make_tree()))
-        keeping = asyncio.create_task(keep_copy(active, self.folder, period_s=0.001))
+        keeping = asyncio.create_task(maintain_copy(active, self.folder, period_s=0.001))
         active.offer_records([next_record(active.current, set_value(3))])
         await soon(self.copied(2))
         active.offer_records([next_record(active.current, set_value(4))])
