--- a/waxwingglade/request/__init__.py
+++ b/waxwingglade/request/__init__.py
@@ -1,4 +1,4 @@
-"""What lives as long as a request: the events of a call, its turn, and its way to a target."""
+"""Execution of one request: the order and events of its call, and its attempts at targets."""
 
 from waxwingglade.request.call_execution import CallExecution, new_execution
 from waxwingglade.request.events import CallEvents, replay
--- a/waxwingglade/request/cache.py
+++ b/waxwingglade/request/cache.py
@@ -1,6 +1,6 @@
-"""What becomes of a program's cache while its calls go on.
+"""Release and transfer of a program's prompt cache around its calls.
 
-None of this is needed for a right answer: whatever fails here only costs prefill.
+Answers are correct without either.  A failure here only costs another prefill of the prompt.
 """
 
 import contextlib
@@ -14,7 +14,7 @@
 
 @contextlib.contextmanager
 def tool_pause(execution: CallExecution, tool: ToolName) -> Iterator[None]:
-    """Let a program's cache go for the time of a tool call, where keeping it would not pay."""
+    """Mark a program as paused during a tool call; release cache that is not worth retaining."""
     entry, program = execution.entry, execution.state.program
     for holding in entry.dispatcher.program_paused(program, tool):
         target = entry.targets.get(holding.target)
@@ -27,7 +27,10 @@
 
 
 async def transfer_cache(execution: CallExecution, grant: Grant) -> None:
-    """Copy the program's cache to the target that was granted, where that beats prefill."""
+    """Copy the program's cache to the granted target, if the grant names a source for it.
+
+    A grant names a source where the copy takes less time than another prefill.
+    """
     entry, program = execution.entry, execution.state.program
     source = entry.targets.get(grant.source) if grant.source else None
     if source is None:
--- a/waxwingglade/request/call_execution.py
+++ b/waxwingglade/request/call_execution.py
@@ -1,8 +1,8 @@
-"""The course that every call takes: wait, begin, move on, settle.
+"""The steps that all kinds of calls share: acquire a target, start, reassign, record the outcome.
 
-The start of a call is durable, with its worst case reserved, before anything is sent; its outcome
-is durable before the reply.  Each attempt reserves its own worst case: one that may have run counts
-as spent in full, whatever the next one uses.
+The start of a call, with a reservation for its worst case, is durable before anything is sent.  Its
+outcome is durable before the caller is answered.  Each attempt reserves its own worst case.  An
+attempt that may have run counts as spent in full, whatever the next attempt uses.
 """
 
 from typing import TYPE_CHECKING
@@ -25,39 +25,40 @@
 NOTHING = Amount()
 RETRY_AFTER_S = 1.0
 SAFE_PAUSE_SHARE = 0.5
-"""Part of the time of suspicion in which no other entry can have replaced this one."""
+"""Fraction of `suspect_after_s`; no other entry can take over a log during a shorter pause."""
 
 
 class CallExecution(msgspec.Struct):
-    """One call under way.
+    """A call that is being executed.
 
     Parameters
     ----------
     entry : Entry
-        The process.
+        The entry process that owns the program.
     owned : OwnedLog
-        Log of the program.
+        Log that holds the program's records.
     state : ProgramState
-        The program.
+        State of the program.
     call : Call
-        The call.
+        The call itself.
     policy : ProgramPolicy
-        Policy under which it is served to its end, of the version in force when it arrived.  The
-        budget is that of the program's creation.
+        Policy that was in force when the call arrived; it applies until the call ends.  The budget
+        is taken from the policy at the program's creation instead.
     config_version : ConfigVersion
-        That version.
+        Configuration version that `policy` comes from.
     attempt : str
-        Name under which its text is known.
+        Identifies the generated text; text of another attempt does not continue it.
     idempotent : bool
-        Whether it may be sent again though it may have run.
+        Whether the call may be sent again after an attempt that may have run.
     grant : Grant or None
-        Leave to send to a target, while there is one.
+        Permission to send to a target; None between attempts.
     reserved : Amount
-        What is set aside for all attempts together.
-    burned : Amount
-        The part of it that failed attempts may have used.
-    worst : Failure or None
-        The failure so far that promises least.
+        Reservation for all attempts together.
+    possibly_spent : Amount
+        Part of the reservation that failed attempts may have used.
+    reported_failure : Failure or None
+        Failure to report if no attempt succeeds: the first one whose verdict is not NOT_RUN, else
+        the last one.
     """
 
     entry: "Entry"
@@ -77,7 +78,7 @@
 def new_execution(
     entry: "Entry", owned: "OwnedLog", state: ProgramState, call: Call, attempt: str
 ) -> CallExecution:
-    """Return the course of a call that has just arrived, under the configuration in force."""
+    """Return the execution of a call that has just arrived, under the configuration in force."""
     created = state.created
     path = PolicyPath(entry.own.zone, created.tenant, created.program_class, created.name)
     in_force = entry.policy_for(path)
@@ -85,7 +86,7 @@
 
 
 def work_for(execution: CallExecution, pool: Pool) -> Work:
-    """Return what the decisions have to know of a call; its prompt is filled in elsewhere."""
+    """Return the call as input to queueing and routing; the prompt's fields are set elsewhere."""
     entry, state = execution.entry, execution.state
     running = entry.running_program(state)
     created = state.created
@@ -103,10 +104,10 @@
 
 
 def _deadline_at(seen_at: float, now: float, policy: ProgramPolicy) -> float:
-    """Return the monotonic time after which a call is of no use, in seconds.
+    """Return the monotonic time, in seconds, until which a call may wait for a target.
 
-    That is the program's deadline; once it has passed, a call may still wait a little, since a
-    late program is to be finished all the same.
+    This is the program's deadline.  A program that misses its deadline still has to finish, so its
+    calls may wait for at least `queue_patience_s`.
     """
     return max(seen_at + policy.deadline_s, now + policy.queue_patience_s)
 
@@ -117,7 +118,7 @@
     Returns
     -------
     Outcome[Grant]
-        Leave to send; else a NOT_RUN failure, and nothing is reserved.
+        Permission to send to the target.  After a failure, which is NOT_RUN, nothing is reserved.
     """
     requested_at = execution.entry.clock()
     granted = await execution.entry.dispatcher.acquire(work)
@@ -133,14 +134,18 @@
 
 
 async def record_start(execution: CallExecution, amount: Amount) -> Outcome[None]:
-    """Reserve `amount` and make the start of a call durable."""
+    """Check the budget, reserve `amount` and make the start of the call durable.
+
+    After a failure nothing may be sent to a target.
+    """
     state = execution.state
     if state.ended is not None:
         return not_run(ErrorCode.PROGRAM_ENDED, f"the program ended: {state.ended.reason}")
     allowed = _check_budget(execution, amount)
     if allowed.is_err():
         return allowed
-    # The check and the reservation belong together: nothing may wait between them.
+    # There must be no await between the check and the reservation: another call could then pass
+    # the check for the same part of the budget.
     requested_at = execution.entry.clock()
     execution.reserved = amount
     started = CallStarted(
@@ -164,17 +169,20 @@
 
 
 def _check_wall_time(execution: CallExecution) -> Outcome[None]:
-    """Check the program's wall time once more: making the start durable may have taken long."""
+    """Check that the program is within its limit of wall time.
+
+    The check is repeated once the start is durable, since making it durable may have taken long.
+    """
     root = execution.owned.programs[execution.state.root]
     return check_time(root, root.created.policy.budget, execution.entry.wall_clock())
 
 
 async def _check_ownership(execution: CallExecution, since: float) -> Outcome[None]:
-    """Make sure that no other entry owns the program by now.
+    """Check that no other entry has taken the program over since the monotonic time `since`.
 
-    A process that was paused may find its intent acknowledged long after another entry has taken
-    the program over and gone on with it.  So after a pause in which that can have happened, the
-    copies are asked again before anything is sent.
+    If this process was paused, it may receive the acknowledgement of its append long after another
+    entry has taken over the program and continued it.  After a pause that is long enough for a
+    takeover, the holders of copies are asked again before anything is sent.
     """
     if execution.owned.lost:
         return not_run(ErrorCode.FENCED, "another entry owns the program now", RETRY_AFTER_S)
@@ -198,7 +206,7 @@
 
 
 async def _void_start(execution: CallExecution, failure: Failure) -> Outcome[None]:
-    """Void the start of a call that did not become durable in time; nothing was sent."""
+    """Record that a call did not run, since its start failed or came too late; nothing was sent."""
     refusal = msgspec.structs.replace(failure, verdict=Verdict.NOT_RUN)
     if not execution.owned.lost:
         await _append_end(execution, refusal, NOTHING)
@@ -206,19 +214,19 @@
 
 
 def record_failed_attempt(execution: CallExecution, failure: Failure, amount: Amount) -> None:
-    """Note that an attempt for which `amount` was reserved failed."""
+    """Record the failure of an attempt for which `amount` was reserved."""
     if execution.grant is not None:
         execution.grant.failed(failure)
         execution.grant = None
     if failure.verdict is not Verdict.NOT_RUN:
         execution.possibly_spent = execution.possibly_spent.plus(amount)
     if execution.reported_failure is None or execution.reported_failure.verdict is Verdict.NOT_RUN:
-        # One attempt that may have run outweighs all that did not.
+        # A failure of an attempt that may have run is not replaced by later failures.
         execution.reported_failure = failure
 
 
 async def reassign(execution: CallExecution, work: Work, amount: Amount) -> Outcome[Grant]:
-    """Get another target for a call that has begun, with `amount` set aside for it."""
+    """Acquire another target for a started call, and reserve `amount` for the next attempt."""
     granted = await execution.entry.dispatcher.acquire(work)
     if granted.is_err():
         return granted
@@ -243,16 +251,18 @@
 
 
 async def finish(execution: CallExecution, outcome: Done | Failure, used: Amount) -> Done | Failure:
-    """Make the outcome durable and return what the caller may be told.
+    """Make the outcome durable and return the outcome that the caller gets.
+
+    If the outcome cannot be made durable, the caller gets that failure.
 
     Parameters
     ----------
-    course : Course
+    execution : CallExecution
         The call.
     outcome : Done or Failure
-        Its outcome.
+        Outcome of the call.
     used : Amount
-        What the last attempt used; failed attempts are added.
+        Amount that the last attempt used; the amounts of failed attempts are added.
     """
     appended = await _append_end(execution, outcome, execution.possibly_spent.plus(used))
     if appended.is_ok():
@@ -262,13 +272,13 @@
 
 
 async def finish_failed(execution: CallExecution) -> Done | Failure:
-    """Settle a call whose attempts have all failed."""
+    """Record the outcome of a call whose attempts have all failed."""
     assert execution.reported_failure is not None
     return await finish(execution, execution.reported_failure, NOTHING)
 
 
-async def settle_cancelled(execution: CallExecution) -> None:
-    """Settle a call that was cancelled: all that was reserved counts as spent."""
+async def finish_cancelled(execution: CallExecution) -> None:
+    """Record the outcome of a cancelled call; its whole reservation counts as spent."""
     leaving = execution.entry.members.state is EntryState.DRAINING
     code = ErrorCode.OWNER_LOST if leaving else ErrorCode.CANCELLED
     failure = Failure(Verdict.MAY_HAVE_RUN, code, "the call was cancelled")
--- a/waxwingglade/request/events.py
+++ b/waxwingglade/request/events.py
@@ -1,4 +1,4 @@
-"""The events of one running call, for any number of followers."""
+"""The event stream of one running call, for any number of readers."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -13,11 +13,11 @@
     Parameters
     ----------
     attempt : str
-        Name of the attempt whose text this is.
+        Identifier of the attempt that generates the text.
     call : Call
-        The call.
+        The running call.
     on_text : callable
-        Called at each piece of generated text.
+        Called for each piece of generated text, without arguments.
     """
 
     def __init__(
@@ -37,13 +37,13 @@
         self._wake()
 
     def finish(self, outcome: Done | Failure) -> None:
-        """Set the outcome; a call has only one."""
+        """Set the outcome; after the first time, this has no effect."""
         if self.outcome is None:
             self.outcome = outcome
         self._wake()
 
     async def wait(self) -> Done | Failure:
-        """Return the outcome once there is one."""
+        """Wait for the outcome and return it."""
         while self.outcome is None:
             await self.changed.wait()
         return self.outcome
@@ -51,12 +51,15 @@
     async def follow(
         self, offset: int, attempt: str
     ) -> AsyncIterator[Delta | Reset | Done | Failure]:
-        """Yield what follows `offset` characters of `attempt`, and the outcome last."""
+        """Yield the text after the first `offset` characters of `attempt`, then the outcome.
+
+        A reader that has text of another attempt gets a `Reset` and the text from its start.
+        """
         if offset and attempt != self.attempt:
             offset = 0
             yield Reset(self.attempt)
         while True:
-            # Take the event before the state, so that no change is missed.
+            # The event is read before the state, so that no change between the two is missed.
             changed = self.changed
             text, outcome = self.text, self.outcome
             if len(text) > offset:
@@ -74,10 +77,13 @@
 
 
 async def replay(
-    outcome: Done | Failure, attempt: str, offset: int, known: str
+    outcome: Done | Failure, attempt: str, offset: int, known_attempt: str
 ) -> AsyncIterator[Delta | Reset | Done | Failure]:
-    """Yield a recorded answer from `offset` characters of the attempt `known` on."""
-    if offset and known != attempt:
+    """Yield a recorded answer of `attempt` like `CallEvents.follow`.
+
+    `offset` and `known_attempt` say how many characters of which attempt the reader has.
+    """
+    if offset and known_attempt != attempt:
         offset = 0
         yield Reset(attempt)
     if isinstance(outcome, Done) and len(outcome.text) > offset:
--- a/waxwingglade/request/model_call.py
+++ b/waxwingglade/request/model_call.py
@@ -1,4 +1,4 @@
-"""One model call, from the queue to its durable answer."""
+"""Execution of a model call, from the queue to its durable answer."""
 
 import contextlib
 
@@ -26,36 +26,36 @@
     NOTHING,
     CallExecution,
     finish,
+    finish_cancelled,
     finish_failed,
     reassign,
     record_failed_attempt,
-    settle_cancelled,
     start,
     work_for,
 )
 from waxwingglade.request.events import CallEvents
 
 BYTES_PER_TOKEN = 4
-"""Rough size of a token, for the blocks of a prompt."""
+"""Approximate size of a token, used to split a prompt into blocks."""
 
 MAX_ATTEMPTS = 4
-"""Engines tried for one call; each further one continues the text of the one before."""
+"""Maximum number of attempts for one call; each continues the text of the attempt before."""
 
 
 class Generation(msgspec.Struct):
-    """What is generated for one call, over all its attempts.
+    """The generated text of one call, across all its attempts.
 
     Parameters
     ----------
     call : ModelCall
-        The call, with its limit of tokens filled in.
+        The call, with `max_tokens` set.
     prompt : list of Message
         History and new messages.
     prompt_tokens : int
         Upper bound of the prompt's size in tokens.
     events : CallEvents
-        Where the text goes.
-    produced : int
+        Receives the generated text.
+    generated_tokens : int
         Tokens generated so far.
     """
 
@@ -66,12 +66,12 @@
     generated_tokens: int = 0
 
     def tokens_left(self) -> int:
-        """Return how many tokens may still be generated."""
+        """Return how many more tokens may be generated."""
         assert self.call.max_tokens is not None
         return max(0, self.call.max_tokens - self.generated_tokens)
 
     def max_attempt_tokens(self) -> int:
-        """Return the most tokens that the next attempt can use, prompt included."""
+        """Return an upper bound of the next attempt's tokens, including the prompt."""
         return self.prompt_tokens + max_text_tokens(self.events.text) + self.tokens_left()
 
 
@@ -80,10 +80,10 @@
 
     Parameters
     ----------
-    course : Course
-        The call, not yet begun.
+    execution : CallExecution
+        The call, not yet started.
     events : CallEvents
-        Where generated text goes as it comes.
+        Receives generated text as it arrives.
 
     Returns
     -------
@@ -100,7 +100,7 @@
             return started.err_value
         return await _generate(execution, generation, work)
     except BaseException:
-        await settle_cancelled(execution)
+        await finish_cancelled(execution)
         raise
 
 
@@ -119,7 +119,10 @@
 
 
 def _prompt_blocks(execution: CallExecution, generation: Generation) -> tuple[BlockHash, ...]:
-    """Return the hash chain of the prompt, so that targets are known by what they have cached."""
+    """Return the hash chain of the prompt, which identifies the targets that have it cached.
+
+    Hashes of the unchanged history are reused from the program's previous call.
+    """
     running = execution.entry.running_program(execution.state)
     parts = [_message_bytes(message) for message in generation.prompt]
     block_bytes = execution.entry.table.settings.block_tokens * BYTES_PER_TOKEN
@@ -134,7 +137,7 @@
 
 
 async def _generate(execution: CallExecution, generation: Generation, work: Work) -> Done | Failure:
-    """Stream the answer, continuing on another engine where one fails."""
+    """Stream the answer; after a failure, continue its text in another attempt."""
     for attempt in range(MAX_ATTEMPTS):
         amount = _reservation(execution, generation)
         if attempt and (await reassign(execution, work, amount)).is_err():
@@ -153,7 +156,7 @@
 
 
 def _complete(generation: Generation) -> Done:
-    """Return the answer of an engine that was lost after the last token that was allowed."""
+    """Return the answer of an engine that failed after it had generated the last allowed token."""
     usage = Usage(prompt_tokens=generation.prompt_tokens, output_tokens=generation.generated_tokens)
     return Done(generation.events.text, None, "length", usage)
 
--- a/waxwingglade/request/order.py
+++ b/waxwingglade/request/order.py
@@ -1,7 +1,7 @@
-"""The order of a program's calls.
+"""The order in which a program's calls run.
 
-One call of a program runs at a time.  Calls with a number wait for the numbers before them; calls
-without one run as they come.
+One call of a program runs at a time.  A numbered call waits until the calls with lower numbers have
+ended.  Calls without a number may run as soon as no other call runs.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class CallOrder:
-    """Lets the calls of one program through, one after the other."""
+    """Admits the calls of one program one at a time."""
 
     def __init__(self) -> None:
         self.changed = asyncio.Condition()
@@ -25,21 +25,21 @@
     async def turn(
         self, state: ProgramState, call: Call, timeout_s: float
     ) -> AsyncIterator[Outcome[None]]:
-        """Wait for the call's turn and hold it.
+        """Wait until the call may run, and block other calls until the context ends.
 
         Parameters
         ----------
         state : ProgramState
-            The program; its `next_order` says which number is due.
+            The program; the next numbered call to run has the number `next_order`.
         call : Call
-            The call.
+            The call that wants to run.
         timeout_s : float
-            Seconds to wait for the calls before it.
+            Seconds to wait for earlier calls.
 
         Yields
         ------
         Outcome[None]
-            A failure if the call's number has passed, or the wait was in vain.
+            A failure if a call with this or a higher number has run, or after `timeout_s`.
         """
         if call.order is not None and call.order < state.next_order:
             text = f"call number {call.order} has passed, {state.next_order} is next"
@@ -59,7 +59,7 @@
             await self.release()
 
     async def release(self) -> None:
-        """Let the next call through."""
+        """Allow the next call to run."""
         self.busy = False
         async with self.changed:
             self.changed.notify_all()
--- a/waxwingglade/request/tests/test_cache.py
+++ b/waxwingglade/request/tests/test_cache.py
@@ -1,4 +1,4 @@
-"""A program's cache during tool calls, and its way between engines, with one real entry."""
+"""Tests of a program's cache during tool calls, with one real entry."""
 
 import asyncio
 import unittest
@@ -7,14 +7,14 @@
 from waxwingglade.program import Done
 from waxwingglade.standins import ToolFaults
 
-LONG = "a text that fills whole blocks of the prefix cache " * 40
+LONG_PROMPT = "a text that fills whole blocks of the prefix cache " * 40
 
 
 class Pauses(unittest.IsolatedAsyncioTestCase):
     async def cache_during_tool_call(self, running, pause_s: float):
-        """Begin a call of a tool whose calls took `pause_s`; return its program and task."""
+        """Start a call of a tool whose past calls took `pause_s`; return the program and task."""
         program = await running.create()
-        await running.model(program, "m1", LONG)
+        await running.model(program, "m1", LONG_PROMPT)
         running.tool.faults = ToolFaults(hang=True)
         call = asyncio.create_task(running.tool_call(program, "t1", "booking"))
         pauses = running.entry.dispatcher.pauses
@@ -24,7 +24,7 @@
                 await asyncio.sleep(0.01)
         return program, call
 
-    async def test_cache_is_let_go_where_the_pause_is_long(self):
+    async def test_cache_is_released_during_a_long_pause(self):
         async with one_entry(sampling={"period_s": 1000.0}) as running:
             program, call = await self.cache_during_tool_call(running, pause_s=1000.0)
             async with asyncio.timeout(20):
@@ -32,7 +32,7 @@
                     await asyncio.sleep(0.01)
             call.cancel()
 
-    async def test_cache_is_kept_where_the_pause_is_short(self):
+    async def test_cache_is_retained_during_a_short_pause(self):
         async with one_entry(sampling={"period_s": 1000.0}) as running:
             program, call = await self.cache_during_tool_call(running, pause_s=1.0)
             for _ in range(20):
@@ -40,7 +40,7 @@
             self.assertIn(program, running.engine.core.cache.held)
             call.cancel()
 
-    async def test_a_pause_ends_with_its_call(self):
+    async def test_a_pause_ends_when_its_tool_call_ends(self):
         async with one_entry() as running:
             program = await running.create()
             self.assertIsInstance(await running.tool_call(program, "t1", "booking"), Done)
--- a/waxwingglade/request/tests/test_call_execution.py
+++ b/waxwingglade/request/tests/test_call_execution.py
@@ -1,4 +1,4 @@
-"""What a call reserves and spends over several attempts, with one real entry."""
+"""Tests of the reservations and attempts of a call, with one real entry."""
 
 import asyncio
 import unittest
@@ -13,11 +13,11 @@
 
 TOKENS = 20
 LONG_ANSWER = "tell me all"
-"""A question whose answer by the stand-in is longer than TOKENS."""
+"""A question to which the stand-in's answer is longer than TOKENS."""
 
 
 async def with_second_engine(running):
-    """Add an engine, and return it; the first one is given work before it."""
+    """Add a second engine and return it; the first engine gets work before it."""
     second = EngineStandin()
     await second.start()
     entry = running.entry
@@ -31,32 +31,32 @@
 
 
 class ModelAttempts(unittest.IsolatedAsyncioTestCase):
-    async def test_a_cut_answer_goes_on_elsewhere_within_its_limit(self):
+    async def test_a_truncated_answer_continues_on_another_engine_within_its_token_limit(self):
         for cut_after in (5, 15):
             with self.subTest(cut_after=cut_after):
-                await self.check_cut_answer(cut_after)
+                await self.check_truncated_answer(cut_after)
 
-    async def check_cut_answer(self, cut_after: int) -> None:
-        """Cut every answer after some tokens, and compare with an answer that was not cut."""
+    async def check_truncated_answer(self, cut_after: int) -> None:
+        """Truncate every stream after some tokens; compare with an answer in one stream."""
         policy = ProgramPolicy(max_output_tokens=TOKENS)
         async with one_entry(policy) as running:
             second = await with_second_engine(running)
             for engine in (running.engine, second):
                 engine.faults = EngineFaults(cut_after_tokens=cut_after)
             program = await running.create()
-            cut = await running.model(program, "m1", LONG_ANSWER, max_tokens=TOKENS)
+            continued = await running.model(program, "m1", LONG_ANSWER, max_tokens=TOKENS)
             for engine in (running.engine, second):
                 engine.faults = EngineFaults()
-            whole = await running.model(
+            uninterrupted = await running.model(
                 await running.create("r2"), "m1", LONG_ANSWER, max_tokens=TOKENS
             )
             view = await running.outcome(ReadProgram(TENANT, program))
             await second.stop()
-        self.assertEqual(TOKENS, whole.usage.output_tokens)
-        self.assertEqual(whole.text, cut.text)
-        self.assertGreater(view.tokens_spent, whole.usage.prompt_tokens + TOKENS)
+        self.assertEqual(TOKENS, uninterrupted.usage.output_tokens)
+        self.assertEqual(uninterrupted.text, continued.text)
+        self.assertGreater(view.tokens_spent, uninterrupted.usage.prompt_tokens + TOKENS)
 
-    async def test_every_attempt_that_may_have_run_is_charged_in_full(self):
+    async def test_each_attempt_that_may_have_run_is_charged_in_full(self):
         policy = ProgramPolicy(max_output_tokens=TOKENS, budget=Budget(tokens=120))
         async with one_entry(policy) as running:
             running.engine.faults = EngineFaults(cut_after_tokens=1)
@@ -68,7 +68,7 @@
         self.assertLessEqual(view.tokens_spent, 120)
         self.assertEqual(0, view.tokens_reserved)
 
-    async def test_a_refused_attempt_costs_nothing(self):
+    async def test_a_rejected_attempt_is_not_charged(self):
         async with one_entry() as running:
             running.engine.faults = EngineFaults(refuse=True)
             program = await running.create()
@@ -77,7 +77,7 @@
         self.assertIs(Verdict.NOT_RUN, outcome.verdict)
         self.assertEqual((0, 0, 0), (view.tokens_spent, view.tokens_reserved, view.turns))
 
-    async def test_a_cancelled_call_gives_its_place_back(self):
+    async def test_a_cancelled_call_frees_its_slot(self):
         async with one_entry() as running:
             running.engine.faults = EngineFaults(hang=True)
             program = await running.create()
@@ -93,7 +93,7 @@
 
 
 class Versions(unittest.IsolatedAsyncioTestCase):
-    async def test_a_call_is_served_to_its_end_under_the_version_it_began_with(self):
+    async def test_a_call_keeps_the_configuration_version_it_started_with(self):
         async with one_entry(ProgramPolicy(max_output_tokens=TOKENS)) as running:
             program = await running.create()
             running.engine.faults = EngineFaults(delay_s=0.2)
@@ -102,8 +102,8 @@
             async with asyncio.timeout(20):
                 while not view.in_flight:
                     await asyncio.sleep(0.01)
-            newer = InForce(ProgramPolicy(max_output_tokens=3), ConfigVersion(2))
-            running.entry.policy_for = lambda path: newer
+            newer_version = InForce(ProgramPolicy(max_output_tokens=3), ConfigVersion(2))
+            running.entry.policy_for = lambda path: newer_version
             second = await running.model(program, "m2", LONG_ANSWER)
             log = running.entry.log_for(program)
             started = [decode_record(data).body for data in log.records]
@@ -114,7 +114,7 @@
 
 
 class ToolAttempts(unittest.IsolatedAsyncioTestCase):
-    async def test_a_call_that_may_have_run_is_not_sent_again(self):
+    async def test_a_call_that_may_have_run_and_is_not_idempotent_is_not_sent_again(self):
         async with one_entry() as running:
             running.tool.faults = ToolFaults(cut_after=True)
             program = await running.create()
--- a/waxwingglade/request/tests/test_events.py
+++ b/waxwingglade/request/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Events of a call, followed from any place, and the order of calls."""
+"""Tests of the event stream of a call, read from any offset, and of the order of calls."""
 
 import asyncio
 import unittest
@@ -13,11 +13,11 @@
 from waxwingglade.request.order import CallOrder
 
 ATTEMPT = "a1"
-pieces = st.lists(st.text(min_size=1, max_size=5), max_size=8)
+text_pieces = st.lists(st.text(min_size=1, max_size=5), max_size=8)
 
 
 def text_of(events, before: str = "") -> str:
-    """Return the text that a caller has after events, who had `before` already."""
+    """Return the text that a caller who already had `before` has after the events."""
     text = before
     for event in events:
         if isinstance(event, Reset):
@@ -29,10 +29,10 @@
 
 
 class Follow(unittest.TestCase):
-    @given(pieces, st.integers(0, 40), st.sampled_from([ATTEMPT, "another"]))
-    def test_a_follower_has_the_whole_text_wherever_it_joined(self, parts, offset, attempt):
-        whole = "".join(parts)
-        offset = min(offset, len(whole))
+    @given(text_pieces, st.integers(0, 40), st.sampled_from([ATTEMPT, "another"]))
+    def test_a_reader_has_the_complete_text_from_any_offset(self, parts, offset, attempt):
+        full_text = "".join(parts)
+        offset = min(offset, len(full_text))
 
         async def run():
             events = CallEvents(ATTEMPT, model_call("m1"))
@@ -46,30 +46,30 @@
             for part in parts:
                 events.add_text(part)
                 await asyncio.sleep(0)
-            events.finish(done(whole))
+            events.finish(done(full_text))
             await task
             return seen
 
         seen = asyncio.run(run())
-        known = whole[:offset] if attempt == ATTEMPT or not offset else "x" * offset
-        self.assertEqual(whole, text_of(seen, known))
-        self.assertEqual(done(whole), seen[-1])
+        known = full_text[:offset] if attempt == ATTEMPT or not offset else "x" * offset
+        self.assertEqual(full_text, text_of(seen, known))
+        self.assertEqual(done(full_text), seen[-1])
         self.assertEqual(1, sum(isinstance(event, Done) for event in seen))
 
     @given(st.text(max_size=20), st.integers(0, 20), st.sampled_from([ATTEMPT, "another"]))
-    def test_a_recorded_answer_is_replayed_alike(self, whole, offset, attempt):
-        offset = min(offset, len(whole))
+    def test_a_reader_of_a_recorded_answer_has_the_complete_text(self, full_text, offset, attempt):
+        offset = min(offset, len(full_text))
 
         async def run():
-            return [event async for event in replay(done(whole), ATTEMPT, offset, attempt)]
+            return [event async for event in replay(done(full_text), ATTEMPT, offset, attempt)]
 
-        known = whole[:offset] if attempt == ATTEMPT or not offset else "x" * offset
-        self.assertEqual(whole, text_of(asyncio.run(run()), known))
+        known = full_text[:offset] if attempt == ATTEMPT or not offset else "x" * offset
+        self.assertEqual(full_text, text_of(asyncio.run(run()), known))
 
 
 class Order(unittest.IsolatedAsyncioTestCase):
     async def run_calls(self, numbers, timeout_s: float = 5.0):
-        """Run calls that arrive in an order, and return the order in which they ran."""
+        """Run calls that arrive in the given order; return the order they ran in and the errors."""
         state = fold(created())[PROGRAM]
         order = CallOrder()
         ran = []
@@ -87,7 +87,7 @@
         codes = await asyncio.gather(*(run(number) for number in numbers))
         return ran, codes
 
-    async def test_numbers_run_in_order_however_they_arrive(self):
+    async def test_numbered_calls_run_in_order_whatever_their_order_of_arrival(self):
         ran, _ = await self.run_calls([3, 1, 4, 2])
         self.assertEqual([1, 2, 3, 4], ran)
 
@@ -95,25 +95,25 @@
         state = fold(created())[PROGRAM]
         order = CallOrder()
         running = 0
-        most = 0
+        max_running = 0
 
         async def run(number):
-            nonlocal running, most
+            nonlocal running, max_running
             async with order.turn(state, model_call(f"m{number}"), 5.0):
                 running += 1
-                most = max(most, running)
+                max_running = max(max_running, running)
                 await asyncio.sleep(0)
                 running -= 1
 
         await asyncio.gather(*(run(number) for number in range(5)))
-        self.assertEqual(1, most)
+        self.assertEqual(1, max_running)
 
-    async def test_a_number_that_has_passed_is_refused(self):
+    async def test_a_number_below_the_next_one_is_rejected(self):
         state = fold(created())[PROGRAM]
         state.next_order = 3
         async with CallOrder().turn(state, model_call("m1", order=2), 1.0) as turn:
             self.assertIs(ErrorCode.OUT_OF_ORDER, turn.err_value.code)
 
-    async def test_a_gap_is_refused_after_the_wait(self):
+    async def test_a_number_after_a_gap_is_rejected_after_the_timeout(self):
         ran, codes = await self.run_calls([2], timeout_s=0.01)
         self.assertEqual(([], [ErrorCode.OUT_OF_ORDER]), (ran, codes))
--- a/waxwingglade/request/tests/test_late_send.py
+++ b/waxwingglade/request/tests/test_late_send.py
@@ -1,4 +1,8 @@
-"""An owner that was paused after it asked for its intent to be made durable."""
+"""Guards against sending a call too late.
+
+An owner can be paused, or lose its log, while it waits for the start of a call to become durable.
+Another entry may have taken over the program before the owner continues.
+"""
 
 import unittest
 from unittest.mock import patch
@@ -13,7 +17,7 @@
 
 
 class LateSend(unittest.IsolatedAsyncioTestCase):
-    async def test_an_owner_that_lost_its_log_meanwhile_sends_nothing(self):
+    async def test_an_owner_that_lost_its_log_during_the_append_sends_nothing(self):
         async def append_and_lose(owned, program, *bodies):
             appended = await append(owned, program, *bodies)
             owned.lose(Epoch(owned.epoch + 1))
@@ -26,7 +30,7 @@
             effects = list(running.tool.effects)
         self.assertEqual([], effects)
 
-    async def test_an_owner_that_was_paused_asks_first_whether_it_still_is_the_owner(self):
+    async def test_an_owner_that_was_paused_confirms_its_ownership_before_it_sends(self):
         async with one_entry() as running:
             program = await running.create()
             clock = running.entry.clock
@@ -49,17 +53,17 @@
         self.assertIsInstance(outcome, Failure)
         self.assertIs(Verdict.NOT_RUN, outcome.verdict)
 
-    async def test_a_call_whose_start_took_longer_than_the_program_may_run_is_not_sent(self):
+    async def test_a_call_whose_start_exceeds_the_limit_of_wall_time_is_not_sent(self):
         async with one_entry() as running:
             program = await running.create()
             wall_clock = running.entry.wall_clock
 
-            async def append_for_long(owned, program, *bodies):
+            async def append_slowly(owned, program, *bodies):
                 appended = await append(owned, program, *bodies)
                 running.entry.wall_clock = lambda: wall_clock() + YEAR_S
                 return appended
 
-            with patch.object(OwnedLog, "append", append_for_long):
+            with patch.object(OwnedLog, "append", append_slowly):
                 outcome = await running.tool_call(program, "t1", "booking", slot=1)
             effects = list(running.tool.effects)
         self.assertEqual([], effects)
--- a/waxwingglade/request/tool_call.py
+++ b/waxwingglade/request/tool_call.py
@@ -1,7 +1,7 @@
-"""One tool call, from the queue to its durable answer.
+"""Execution of a tool call, from the queue to its durable answer.
 
-The intent is durable before the first byte goes.  A call that is not idempotent is sent again only
-if it certainly did not run.
+The start of the call is durable before its first byte is sent.  A call that is not idempotent is
+sent again only if it certainly did not run.
 """
 
 from typing import TYPE_CHECKING
@@ -15,10 +15,10 @@
 from waxwingglade.request.call_execution import (
     CallExecution,
     finish,
+    finish_cancelled,
     finish_failed,
     reassign,
     record_failed_attempt,
-    settle_cancelled,
     start,
     work_for,
 )
@@ -35,8 +35,8 @@
 
     Parameters
     ----------
-    course : Course
-        The call, not yet begun.
+    execution : CallExecution
+        The call, not yet started.
 
     Returns
     -------
@@ -58,7 +58,7 @@
         with tool_pause(execution, call.tool):
             return await _send(execution, call, tool, work)
     except BaseException:
-        await settle_cancelled(execution)
+        await finish_cancelled(execution)
         raise
 
 
@@ -72,7 +72,7 @@
 
 
 def idempotency_key(state: ProgramState, call: ToolCall) -> str:
-    """Return the idempotency key of a tool call; it never changes with the attempt."""
+    """Return the idempotency key of a tool call; it is the same for all attempts."""
     return f"{state.program}.{call.call}"
 
 
