--- a/waxwingglade/base/__init__.py
+++ b/waxwingglade/base/__init__.py
@@ -1,4 +1,4 @@
-"""Vocabulary of the package: identifiers, verdicts, exceptions and clocks."""
+"""Basic types of the package: identifiers, verdicts, exceptions and clocks."""
 
 from waxwingglade.base.clock import Clock, monotonic, wall
 from waxwingglade.base.errors import FormatError, SettingsError, WaxwinggladeError
--- a/waxwingglade/base/buffered_metrics.py
+++ b/waxwingglade/base/buffered_metrics.py
@@ -1,7 +1,8 @@
-"""Counts and times that are cheap to take, and turned into metrics when a page of them is read.
+"""Counters and histograms that are cheap to update and are converted when metrics are scraped.
 
-A collector of the metrics library looks its labels up as JSON text each time.  A request adds to
-some ten of them, and the page is read every few seconds, so the work is done there.
+A collector of the metrics library serializes its labels to JSON for each update.  A request updates
+about ten collectors, while metrics are scraped only every few seconds, so the conversion is done at
+the scrape.
 """
 
 from bisect import bisect_left
@@ -18,16 +19,16 @@
 
 
 class BufferedCounter:
-    """A counter by labels.
+    """A counter with labels.
 
     Parameters
     ----------
     registry : Registry
-        Where it is shown.
+        Registry in which the metric is registered.
     name, text : str
-        Its name and what it counts.
+        Name and help text of the metric.
     labels : tuple of str
-        Names of its labels.
+        Names of the labels.
     """
 
     def __init__(self, registry: Registry, name: str, text: str, labels: Labels) -> None:
@@ -36,7 +37,7 @@
         self.counts: Counter[Labels] = Counter()
 
     def add(self, *values: str) -> None:
-        """Count one more with these values of the labels."""
+        """Increment the counter for these label values."""
         self.counts[values] += 1
 
     def publish(self) -> None:
@@ -46,25 +47,25 @@
 
 
 class BucketCounts(msgspec.Struct):
-    """Values with the same labels: how many lie in each bucket alone, and their sum."""
+    """Observations with the same labels: the count of each bucket, not cumulative, and the sum."""
 
     counts: list[int]
     total: float = 0.0
 
 
 class BufferedHistogram:
-    """A histogram by labels.
+    """A histogram with labels.
 
     Parameters
     ----------
     registry : Registry
-        Where it is shown.
+        Registry in which the metric is registered.
     name, text : str
-        Its name and what it holds.
+        Name and help text of the metric.
     bounds : tuple of float
-        Upper bounds of the buckets, the last one infinite.
+        Upper bounds of the buckets; the last one is infinite.
     labels : tuple of str
-        Names of its labels.
+        Names of the labels.
     """
 
     def __init__(
@@ -83,7 +84,7 @@
         )
 
     def observe(self, value: float, *values: str) -> None:
-        """Take in one value with these values of the labels."""
+        """Record one value for these label values."""
         observed = self.observed[values]
         observed.counts[bisect_left(self.bounds, value)] += 1
         observed.total += value
--- a/waxwingglade/base/clock.py
+++ b/waxwingglade/base/clock.py
@@ -1,4 +1,4 @@
-"""Time sources, as functions so that tests can pass their own."""
+"""Time sources, as functions that tests can replace."""
 
 import time
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 Clock = Callable[[], float]
 
 monotonic: Clock = time.monotonic
-"""Seconds from an arbitrary start; used for every interval and lease."""
+"""Seconds since an arbitrary start; used for all intervals and leases."""
 
 wall: Clock = time.time
-"""Seconds since 1970 (UTC); used only in what people and other systems read."""
+"""Seconds since 1970 (UTC); used only for times that people and other systems read."""
--- a/waxwingglade/base/credentials.py
+++ b/waxwingglade/base/credentials.py
@@ -1,4 +1,4 @@
-"""Keys that callers present, read from the Authorization header as RFC 6750 has it."""
+"""Bearer tokens of callers, read from the Authorization header as specified in RFC 6750."""
 
 import hashlib
 from collections.abc import Sequence
@@ -10,12 +10,12 @@
 
 
 def bearer_token(values: Sequence[str]) -> str | None:
-    """Return the token of a request, None if there is none or more than one could be meant.
+    """Return the bearer token of a request, or None if it is missing, malformed or ambiguous.
 
     Parameters
     ----------
     values : sequence of str
-        The values of all Authorization headers of the request.
+        Values of all Authorization headers of the request; more than one is ambiguous.
     """
     if len(values) != 1:
         return None
@@ -26,9 +26,9 @@
 
 
 def digest_of(token: str) -> KeyDigest:
-    """Return the digest under which a key is known.
+    """Return the digest that identifies a token.
 
-    Keys are long and random, so a fast hash without a salt is enough: there is nothing to guess.
+    A fast hash without a salt is enough, since tokens are long and random and so cannot be guessed.
     """
     return KeyDigest(hashlib.sha256(token.encode()).hexdigest())
 
--- a/waxwingglade/base/errors.py
+++ b/waxwingglade/base/errors.py
@@ -1,7 +1,7 @@
 """Exceptions of the package.
 
-Expected failures travel as `waxwingglade.base.verdict.Failure` values.  Exceptions are for faults
-of set-up and of the code, and for data that must be left untouched.
+Expected failures are returned as `waxwingglade.base.verdict.Failure` values.  Exceptions report
+wrong settings, faults of the code, and data that must not be modified.
 """
 
 
@@ -10,8 +10,8 @@
 
 
 class SettingsError(WaxwinggladeError):
-    """A settings file is wrong; the message names file, path and reason of every error."""
+    """Settings are invalid; the message names the file, the path and the reason of each error."""
 
 
 class FormatError(WaxwinggladeError):
-    """Stored or received data is corrupt or of a newer format version; it was left untouched."""
+    """Stored or received data is corrupt or has a newer format version; it was not modified."""
--- a/waxwingglade/base/ids.py
+++ b/waxwingglade/base/ids.py
@@ -1,12 +1,13 @@
 """Identifiers used across the package.
 
-Every identifier is a distinct `typing.NewType`, so a checker can tell a program from a call.
+Every identifier is a distinct `typing.NewType`, so a type checker distinguishes, for example,
+programs from calls.
 
 Notes
 -----
 A log identifier names the zone, the entry and the incarnation that created the log.  A program
-identifier extends the identifier of the log that keeps its records.  Both are unique without any
-agreement, so a zone cut off from the platform can go on creating programs.
+identifier extends the identifier of the log that holds its records.  Both are unique without
+coordination, so a zone that is partitioned from the platform can continue to create programs.
 """
 
 import re
@@ -39,14 +40,14 @@
 
 
 class EntryRef(msgspec.Struct, frozen=True, array_like=True):
-    """One incarnation of an entry, and where its peers reach it.
+    """One incarnation of an entry, and its addresses.
 
     Parameters
     ----------
     entry : EntryId
         Name of the entry VM.
     incarnation : Incarnation
-        Random name of this process; a restarted process has another one.
+        Random name of the process; it changes with each restart.
     zone : ZoneId
         Availability zone of the entry VM.
     peer_address : str
@@ -54,7 +55,7 @@
     http_address : str
         Host and port for callers, such as ``127.0.0.1:8001``.
     disk : Incarnation or ""
-        Name of the entry's data folder, where it has one; it outlives the process.
+        Name of the entry's data folder, if it has one; it stays the same across restarts.
     """
 
     entry: EntryId
@@ -65,22 +66,22 @@
     disk: Incarnation | str = ""
 
     def as_holder(self) -> "EntryRef":
-        """Return the name under which this entry holds copies of logs.
+        """Return the reference that identifies this entry as a holder of copies of logs.
 
-        An entry with a data folder still holds them after a restart, so the folder's name stands
-        in place of the process's.
+        An entry with a data folder still holds its copies after a restart, so the name of the
+        folder replaces the name of the process.
         """
         if not self.disk:
             return self
         return msgspec.structs.replace(self, incarnation=Incarnation(self.disk))
 
     def answers_to(self, incarnation: Incarnation | str) -> bool:
-        """Return whether a message meant for `incarnation` is meant for this entry."""
+        """Return whether a message that is addressed to `incarnation` is for this entry."""
         return incarnation in (self.incarnation, self.disk)
 
 
 def new_nonce() -> str:
-    """Return a random name that no other process will choose."""
+    """Return a random name that is unique across processes."""
     return secrets.token_hex(NONCE_BYTES)
 
 
@@ -90,17 +91,17 @@
 
 
 def kind_of(log: LogId) -> str:
-    """Return the kind under which a log was created."""
+    """Return the kind with which a log was created."""
     return log.rsplit(".", 1)[1].rstrip("0123456789")
 
 
 def make_program_id(log: LogId) -> ProgramId:
-    """Return a fresh identifier for a program whose records are kept in `log`."""
+    """Return a new identifier for a program whose records are stored in `log`."""
     return ProgramId(f"{log}.{new_nonce()}")
 
 
 def log_of(program: ProgramId) -> LogId | None:
-    """Return the log that keeps the records of `program`, or None if the name is malformed."""
+    """Return the log that holds the records of `program`, or None if the name is malformed."""
     parts = program.split(".")
     if len(parts) != LOG_PARTS + 1 or not all(parts):
         return None
--- a/waxwingglade/base/logs.py
+++ b/waxwingglade/base/logs.py
@@ -1,7 +1,8 @@
-"""Structured logs on standard output that never make the process wait.
+"""Structured logs on standard output that never block the process.
 
-Each line is a JSON object.  Lines go through a bounded queue to a thread of their own; when a
-reader is slow the queue fills, further lines are dropped, and their number is logged later.
+Each line is a JSON object.  A separate thread writes the lines from a bounded queue.  If the reader
+of the output is slow, the queue fills up, further lines are dropped, and their number is logged
+later.
 """
 
 import sys
@@ -14,35 +15,35 @@
 from loguru import logger
 
 QUEUE_LINES = 5_000
-"""Lines that wait for a slow reader; some 2 MB."""
+"""Maximum number of queued lines, about 2 MB."""
 
 BATCH_LINES = 200
-"""Lines written at once; what is being written counts beyond the queue."""
+"""Maximum number of lines per write; lines that are being written no longer count as queued."""
 
 MAX_LINES_PER_S = 60.0
-"""Lines of one kind a second; the rest is counted in the next line of that kind."""
+"""Maximum lines per second with the same event; the next such line has the number left out."""
 
 MAX_EVENT_KINDS = 200
-"""Kinds of lines that are bounded by themselves; further ones share a bound."""
+"""Maximum number of events that have their own rate limit; all further events share one limit."""
 
 WRITE_PAUSE_S = 0.05
-"""Seconds between looks of the writing thread while there is nothing to write."""
+"""Seconds that the writing thread sleeps after each write, so that it writes lines in batches."""
 
 _encode = msgspec.json.Encoder(enc_hook=str).encode
 
 
 class LineWriter:
-    """Writes lines from a bounded queue in a thread.
+    """Writes lines from a bounded queue in a separate thread.
 
     Parameters
     ----------
     stream : binary file
-        Where lines go.
+        Destination of the lines.
 
     Attributes
     ----------
     dropped : int
-        Lines left out since the start.
+        Number of lines dropped since the start.
     """
 
     def __init__(self, stream: Any) -> None:
@@ -64,7 +65,7 @@
         self.wake.set()
 
     def stop(self, timeout_s: float) -> None:
-        """Write what is queued, for at most `patience_s` seconds."""
+        """Write the queued lines and end the thread; wait for at most `timeout_s` seconds."""
         self.stopped = True
         self.wake.set()
         self.thread.join(timeout_s)
@@ -93,7 +94,7 @@
             self.stream.write(b"".join(batch))
             self.stream.flush()
         except OSError:
-            # There is nobody to tell: the reader of the logs has gone.
+            # The reader of the logs has closed the pipe, so the error cannot be reported.
             self.dropped += len(batch)
 
 
@@ -103,16 +104,21 @@
     Parameters
     ----------
     process : str
-        Name of the process in each line.
+        Name of the process, included in each line.
     level : str
-        Least severe level that is logged.
+        Lowest level that is logged.
+
+    Returns
+    -------
+    LineWriter
+        The writer, which has to be stopped before the process ends.
     """
     writer = LineWriter(sys.stdout.buffer)
     samplers: dict[str, Sampler] = {}
 
     def sink(message: Any) -> None:
         record = message.record
-        # Lines are bounded by what they say, so that one kind cannot drown another.
+        # Each event has its own rate limit, so that a frequent event cannot suppress others.
         kind = record["message"] if len(samplers) < MAX_EVENT_KINDS else ""
         sampler = samplers.setdefault(kind, Sampler(MAX_LINES_PER_S))
         if not sampler.allows():
@@ -136,12 +142,12 @@
 
 
 class Sampler:
-    """Lets through a bounded number of lines a second, and counts the rest.
+    """Limits the rate of log lines with a token bucket, and counts the lines left out.
 
     Parameters
     ----------
     per_s : float
-        Lines a second.
+        Maximum lines per second; also the size of the bucket.
     """
 
     def __init__(self, per_s: float) -> None:
@@ -151,7 +157,7 @@
         self.left_out = 0
 
     def allows(self) -> bool:
-        """Return whether one more line may be written now."""
+        """Return whether a line may be written now; otherwise count it as left out."""
         now = time.monotonic()
         self.allowance = min(self.per_s, self.allowance + (now - self.filled_at) * self.per_s)
         self.filled_at = now
@@ -162,7 +168,7 @@
         return True
 
     def take_left_out(self) -> int:
-        """Return how many lines were left out since the last call."""
+        """Return the number of lines left out since the last call, and reset it."""
         left_out, self.left_out = self.left_out, 0
         return left_out
 
--- a/waxwingglade/base/loop_delay.py
+++ b/waxwingglade/base/loop_delay.py
@@ -1,4 +1,4 @@
-"""How late the event loop of a process runs what is due."""
+"""Measurement of how late a process's event loop runs scheduled callbacks."""
 
 import asyncio
 from collections import deque
@@ -6,19 +6,19 @@
 from loguru import logger
 
 DELAY_SAMPLES = 20
-"""Sleeps over which the longest delay is told, two to four seconds of them."""
+"""Number of sleeps over which the longest delay is reported; they span two to four seconds."""
 
 LOGGED_DELAY_S = 0.25
-"""Seconds of delay from which on a line is logged."""
+"""Minimum delay, in seconds, that is logged."""
 
 
 class LoopDelay:
-    """Measures the delay of the running event loop by the sleeps of a task that looks regularly.
+    """Measures the delay of the running event loop from the sleeps of a periodic task.
 
     Attributes
     ----------
     delays : deque of float
-        Seconds by which the last sleeps ended late, the newest at the end.
+        Delays of the last sleeps in seconds, newest last.
     """
 
     def __init__(self) -> None:
@@ -26,11 +26,11 @@
 
     @property
     def longest_s(self) -> float:
-        """Longest delay of the last few seconds."""
+        """Longest delay of the last few seconds, in seconds."""
         return max(self.delays, default=0.0)
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep, and note how late that ended."""
+        """Sleep, and record how late the sleep ended."""
         loop = asyncio.get_running_loop()
         due_at = loop.time() + seconds
         await asyncio.sleep(seconds)
--- a/waxwingglade/base/rendezvous.py
+++ b/waxwingglade/base/rendezvous.py
@@ -1,10 +1,10 @@
-"""Rendezvous hashing: processes agree on an order of names for a key without a message."""
+"""Rendezvous hashing, by which processes agree on an order of names without communication."""
 
 import xxhash
 
 
 def weight(key: str | None, name: str) -> int:
-    """Return the weight of a name for a key; the names of a set are ordered by theirs."""
+    """Return the weight of a name for a key; a set of names is ordered by these weights."""
     return xxhash.xxh32_intdigest(f"{key}|{name}".encode())
 
 
--- a/waxwingglade/base/tasks.py
+++ b/waxwingglade/base/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks that never fail in silence."""
+"""Background tasks whose failures are always logged."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -10,7 +10,7 @@
 
 
 def run_detached(coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
-    """Run a coroutine as a task that nobody has to wait for; it is kept until it ends."""
+    """Run a coroutine as a task that nobody has to await; a reference is held until it ends."""
     task = start_task(coroutine)
     _detached.add(task)
     task.add_done_callback(_detached.discard)
@@ -23,7 +23,7 @@
     Returns
     -------
     asyncio.Task
-        The task; the caller has to keep a reference to it.
+        The task; the caller has to hold a reference to it.
     """
     task = asyncio.create_task(coroutine)
     task.add_done_callback(_log_failure)
--- a/waxwingglade/base/tests/loops.py
+++ b/waxwingglade/base/tests/loops.py
@@ -1,4 +1,4 @@
-"""The event loop of the daemons, for tests that otherwise run on the interpreter's own."""
+"""The event loop of the daemons, for tests that would otherwise use the interpreter's default."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class OnDaemonLoop:
-    """Run the asynchronous tests of a class on the daemons' event loop; named before the class."""
+    """Mixin that runs asynchronous tests on the daemons' event loop; must be the first base."""
 
     @classmethod
     def setUpClass(cls) -> None:
--- a/waxwingglade/base/tests/test_logs.py
+++ b/waxwingglade/base/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs that are bounded and never make the process wait."""
+"""Tests that logs are bounded and never block the process."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 class LineWriterTest(unittest.TestCase):
-    def test_a_reader_that_does_not_read_stops_nobody(self) -> None:
+    def test_a_reader_that_does_not_read_does_not_block_the_process(self) -> None:
         reading, writing = os.pipe()
         stream = os.fdopen(writing, "wb", buffering=0)
         writer = logs.LineWriter(stream)
@@ -25,13 +25,13 @@
             done.set()
 
         threading.Thread(target=fill, daemon=True).start()
-        self.assertTrue(done.wait(30.0), "the process waits for its logs")
+        self.assertTrue(done.wait(30.0), "the process is blocked by its logs")
         self.assertGreater(writer.dropped, 0)
         os.close(reading)
         writer.stop(5.0)
         stream.close()
 
-    def test_lines_of_one_kind_are_bounded_and_counted(self) -> None:
+    def test_lines_with_the_same_event_are_limited_and_others_are_not(self) -> None:
         reading, writing = os.pipe()
         stream = mock.Mock(buffer=os.fdopen(writing, "wb", buffering=0))
         with mock.patch("waxwingglade.base.logs.sys.stdout", stream):
@@ -54,7 +54,7 @@
 
 
 class SamplerTest(unittest.TestCase):
-    def test_what_is_left_out_is_counted_once(self) -> None:
+    def test_lines_left_out_are_counted_once(self) -> None:
         sampler = logs.Sampler(5.0)
         with mock.patch("waxwingglade.base.logs.time.monotonic", return_value=sampler.filled_at):
             allowed = sum(sampler.allows() for _ in range(20))
--- a/waxwingglade/base/tests/test_loop_delay.py
+++ b/waxwingglade/base/tests/test_loop_delay.py
@@ -1,4 +1,4 @@
-"""The delay of an event loop that is kept from its work."""
+"""Tests of the measured delay of an event loop that is blocked."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 
 
 class LoopDelayTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_stall_is_told_until_it_is_long_ago(self) -> None:
+    async def test_a_stall_is_reported_until_enough_later_sleeps_have_ended(self) -> None:
         delay = LoopDelay()
         asyncio.get_running_loop().call_soon(time.sleep, STALL_S)
         await delay.sleep(SHORT_S)
--- a/waxwingglade/base/verdict.py
+++ b/waxwingglade/base/verdict.py
@@ -1,6 +1,6 @@
-"""Verdicts: whether a request that did not succeed may have run.
+"""Verdicts, which state whether a failed request may have run.
 
-Every failure in the package carries one, so a caller can decide whether to repeat a request.
+Every failure in the package has a verdict, so that callers can decide whether to repeat a request.
 """
 
 from enum import Enum
@@ -13,7 +13,7 @@
 
 
 class Verdict(Enum):
-    """Whether a request ran at the place that would have executed it."""
+    """Whether a request was executed by the target or process that it was meant for."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -21,7 +21,7 @@
 
 
 class ErrorCode(Enum):
-    """Stable reason of a failure, for programs to act on."""
+    """Stable, machine-readable reason of a failure."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -49,7 +49,7 @@
 
 
 class Failure(msgspec.Struct, frozen=True, tag="failure"):
-    """A failed request, with what is known of its execution.
+    """A failed request, and whether it may have run.
 
     Parameters
     ----------
@@ -58,9 +58,9 @@
     code : ErrorCode
         Reason, stable across releases.
     message : str
-        One line for people.
+        Human-readable description in one line.
     retry_after_s : float or None
-        Seconds after which a repeat is sensible; None where a repeat does not help.
+        Seconds after which a repeat may succeed; None if a repeat does not help.
     """
 
     verdict: Verdict
