--- a/waxwingglade/program/__init__.py
+++ b/waxwingglade/program/__init__.py
@@ -1,4 +1,4 @@
-"""What lives for a program, longer than any process: records, folded state and budget."""
+"""Data of a program, which outlives any process: its records, state and budget."""
 
 from waxwingglade.program.messages import (
     Call,
--- a/waxwingglade/program/budget.py
+++ b/waxwingglade/program/budget.py
@@ -1,8 +1,8 @@
-"""Reservations against a program's budget.
+"""Upper bounds of what calls use, and checks against a program's budget.
 
-Before a call is sent, its worst case is reserved in the log.  The bound on a prompt's tokens is the
-tokens that the engine reported for the history so far plus the UTF-8 bytes of what is new: a
-token is never shorter than a byte.
+Before a call is sent, its worst case is reserved in the log.  The upper bound of a prompt's tokens
+is the number of tokens that the engine reported for the history, plus the UTF-8 bytes of the new
+messages, since a token is never shorter than a byte.
 """
 
 from waxwingglade.base import Err, ErrorCode, Ok, Outcome, not_run
@@ -12,45 +12,45 @@
 from waxwingglade.settings import Budget, ProgramPolicy, ToolSettings
 
 MESSAGE_OVERHEAD_TOKENS = 8
-"""Tokens that a chat template may add around one message."""
+"""Maximum number of tokens that a chat template adds to a message."""
 
 
 def max_prompt_tokens(state: ProgramState, messages: list[Message]) -> int:
     """Return an upper bound of the prompt's size in tokens."""
     recent = _tool_messages_since_model(state) if state.history_tokens else state.history
-    new = sum(_message_bound(message) for message in [*recent, *messages])
+    new = sum(_max_message_tokens(message) for message in [*recent, *messages])
     return state.history_tokens + new
 
 
 def amount_of_tokens(policy: ProgramPolicy, tokens: int) -> Amount:
-    """Return the amount for a number of tokens at the price of a policy."""
+    """Return a number of tokens with their price under a policy."""
     return Amount(tokens, tokens * policy.token_price_microcents)
 
 
 def amount_of_usage(policy: ProgramPolicy, usage: Usage) -> Amount:
-    """Return the amount for what an engine reported."""
+    """Return the tokens that an engine reported, with their price under a policy."""
     return amount_of_tokens(policy, usage.prompt_tokens + usage.output_tokens)
 
 
 def amount_of_tool_call(tool: ToolSettings) -> Amount:
-    """Return the price of a tool call."""
+    """Return the price of a tool call as an amount; it uses no tokens."""
     return Amount(0, tool.price_microcents)
 
 
 def max_text_tokens(text: str) -> int:
-    """Return an upper bound of the tokens in generated text that is sent back to an engine."""
+    """Return an upper bound of the tokens of generated text that is sent to another engine."""
     return len(text.encode()) + MESSAGE_OVERHEAD_TOKENS if text else 0
 
 
 def check_turns(account: Account, budget: Budget) -> Outcome[None]:
-    """Say whether one more turn fits the budget."""
+    """Check that the budget allows one more turn."""
     if account.turns + 1 > budget.turns:
         return _exceeded(f"turns: {budget.turns} used")
     return Ok(None)
 
 
 def check_amount(account: Account, budget: Budget, amount: Amount) -> Outcome[None]:
-    """Say whether `amount` still fits the budget."""
+    """Check that the budget allows `amount` besides what is spent and reserved."""
     used = account.spent.plus(account.reserved).plus(amount)
     if used.tokens > budget.tokens:
         return _exceeded(f"tokens: {used.tokens} needed of {budget.tokens}")
@@ -60,14 +60,14 @@
 
 
 def check_time(state: ProgramState, budget: Budget, now: float) -> Outcome[None]:
-    """Say whether the program may still run at wall time `now`, in seconds since 1970."""
+    """Check that the program may still run at the wall time `now`, in seconds since 1970."""
     if now - state.created.created_at > budget.wall_s:
         return _exceeded(f"wall time: {budget.wall_s} s passed")
     return Ok(None)
 
 
 def check_depth(state: ProgramState, budget: Budget) -> Outcome[None]:
-    """Say whether the program may have a sub-agent."""
+    """Check that the budget allows the program a sub-agent."""
     if state.depth + 1 > budget.depth:
         return _exceeded(f"depth: {budget.depth} levels reached")
     return Ok(None)
@@ -77,12 +77,12 @@
     return not_run(ErrorCode.BUDGET_EXCEEDED, f"budget exceeded: {reason}")
 
 
-def _message_bound(message: Message) -> int:
+def _max_message_tokens(message: Message) -> int:
     return len(message.content.encode()) + MESSAGE_OVERHEAD_TOKENS
 
 
 def _tool_messages_since_model(state: ProgramState) -> list[Message]:
-    """Return the messages that joined the history after the last model call's report."""
+    """Return the tool messages after the last model call, which its token counts exclude."""
     recent: list[Message] = []
     for message in reversed(state.history):
         if message.role is not MessageRole.TOOL:
--- a/waxwingglade/program/messages.py
+++ b/waxwingglade/program/messages.py
@@ -1,4 +1,4 @@
-"""What a program exchanges with models, tools and callers."""
+"""Calls that a program makes, and the messages and events that they exchange."""
 
 from enum import Enum
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class MessageRole(Enum):
-    """Author of a message, as in the usual chat format."""
+    """Author of a message, as in the common chat format."""
 
     SYSTEM = "system"
     USER = "user"
@@ -25,7 +25,10 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Tokens that a model call consumed; `cached_tokens` of the prompt were not prefilled."""
+    """Tokens that a model call used.
+
+    `cached_tokens` is the part of `prompt_tokens` that needed no prefill.
+    """
 
     prompt_tokens: int = 0
     cached_tokens: int = 0
@@ -33,10 +36,10 @@
 
 
 class ModelCall(msgspec.Struct, frozen=True, tag="model"):
-    """Append `messages` to the history and let a model answer.
+    """A call that appends `messages` to the history and asks a model for an answer.
 
-    `order` is the caller's number of the call within the program, counted from 1; None takes the
-    order of arrival.
+    `order` is the number that the caller gives the call within the program, counted from 1.  Calls
+    whose `order` is None run in the order of arrival.
     """
 
     call: CallId
@@ -47,7 +50,7 @@
 
 
 class ToolCall(msgspec.Struct, frozen=True, tag="tool"):
-    """Call a tool service with JSON arguments."""
+    """A call of a tool service with JSON arguments; `order` is as in `ModelCall`."""
 
     call: CallId
     tool: ToolName
@@ -56,7 +59,10 @@
 
 
 class SubProgramCall(msgspec.Struct, frozen=True, tag="sub_program"):
-    """Create a sub-agent that draws on this program's budget."""
+    """A call that creates a sub-agent, which uses this program's budget.
+
+    `order` is as in `ModelCall`.
+    """
 
     call: CallId
     order: int | None = None
@@ -66,9 +72,9 @@
 
 
 class Delta(msgspec.Struct, frozen=True, tag="delta"):
-    """A piece of generated text, `offset` characters into the answer of one attempt.
+    """A piece of generated text that starts `offset` characters into the answer of `attempt`.
 
-    Text of another attempt does not continue what was sent before.
+    Text of one attempt does not continue the text of another.
     """
 
     offset: int
@@ -77,13 +83,13 @@
 
 
 class Reset(msgspec.Struct, frozen=True, tag="reset"):
-    """The text sent so far is void: the call started afresh as `attempt` after a failure."""
+    """Invalidates the text sent so far: after a failure, the call started again as `attempt`."""
 
     attempt: str = ""
 
 
 class Done(msgspec.Struct, frozen=True, tag="done"):
-    """The whole answer of a call that ran, after it became durable."""
+    """The complete answer of a call that ran; it is durable."""
 
     text: str = ""
     result: Any = None
--- a/waxwingglade/program/records.py
+++ b/waxwingglade/program/records.py
@@ -1,7 +1,7 @@
 """Records of a program log.
 
-A program's whole state is the fold of its records (`waxwingglade.program.state`).  Several programs
-share a log; each record names its program.
+The state of a program is computed from its records alone (`waxwingglade.program.state`).  Several
+programs share a log, and each record names its program.
 """
 
 import msgspec
@@ -25,7 +25,7 @@
 
 
 class Amount(msgspec.Struct, frozen=True):
-    """A part of a budget: tokens, and money in millionths of a cent."""
+    """An amount of a budget: tokens, and money in millionths of a cent."""
 
     tokens: int = 0
     money_microcents: int = 0
@@ -39,17 +39,17 @@
         return Amount(self.tokens - other.tokens, self.money_microcents - other.money_microcents)
 
     def clamped_at_zero(self) -> "Amount":
-        """Return the amount with nothing in place of what is below nothing."""
+        """Return the amount with negative values replaced by zero."""
         return Amount(max(0, self.tokens), max(0, self.money_microcents))
 
 
 class Created(msgspec.Struct, frozen=True, tag="created"):
-    """A program began.
+    """A program was created.
 
     Parameters
     ----------
-    tenant, program_class
-        Who it works for and what kind it is.
+    tenant, program_class : TenantId, ClassName
+        Tenant and class of the program.
     policy : ProgramPolicy
         Policy at creation.
     config_version : ConfigVersion
@@ -57,11 +57,11 @@
     created_at : float
         Seconds since 1970.
     request : CallId
-        The caller's own name of the creation, so that a repeat returns the same program.
+        The caller's identifier of the request, so that a repeat returns the same program.
     parent : ProgramId or None
-        Program whose sub-agent this is.
+        Program that created this program as a sub-agent.
     name : ProgramName or None
-        Name of the agent program in the configuration, where it has one.
+        Name of the agent program in the configuration, if it has one.
     """
 
     tenant: TenantId
@@ -75,11 +75,11 @@
 
 
 class CallStarted(msgspec.Struct, frozen=True, tag="call_started"):
-    """A call is about to be sent to `target`, and `reserved` is set aside for it.
+    """A call is about to be sent to `target`, with `reserved` as its reservation.
 
-    For a call that is not idempotent this is the intent: it is durable before the first byte goes.
-    `attempt` tells the text of this attempt from that of a repeat.  The call is served to its end
-    under the configuration of `config_version`.
+    The record is durable before the first byte of the call is sent, so no call is sent that the log
+    does not show.  `attempt` distinguishes the text of this attempt from the text of a repeat.  The
+    configuration version `config_version` applies to the call until it ends.
     """
 
     call: Call
@@ -92,9 +92,9 @@
 
 
 class CallMoved(msgspec.Struct, frozen=True, tag="call_moved"):
-    """A call that did not run, or may be repeated, goes to another target.
+    """A call that did not run, or that may be repeated, is about to be sent to another target.
 
-    `reserved` is set aside for it besides what was before.
+    `reserved` is added to the call's reservation.
     """
 
     call: CallId
@@ -103,7 +103,7 @@
 
 
 class CallEnded(msgspec.Struct, frozen=True, tag="call_ended"):
-    """A call ended; `spent` replaces what was reserved."""
+    """A call ended; `spent` replaces its reservation."""
 
     call: CallId
     outcome: Done | Failure
@@ -112,20 +112,20 @@
 
 
 class ProgramEnded(msgspec.Struct, frozen=True, tag="program_ended"):
-    """A program ended; its targets are to let go of its cache."""
+    """A program ended; its targets have to release its cache."""
 
     reason: str
     ended_at: float
 
 
 class CacheReleased(msgspec.Struct, frozen=True, tag="cache_released"):
-    """Targets confirmed that they hold nothing more of the program."""
+    """Targets confirmed that they no longer hold cache of the program."""
 
     targets: list[TargetId]
 
 
 class TakenOver(msgspec.Struct, frozen=True, tag="taken_over"):
-    """The log has a new owner; everything before this record is settled."""
+    """The log has a new owner; all records before this one are committed."""
 
     entry: str
     incarnation: str
@@ -135,7 +135,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One record, as kept in every copy of a log."""
+    """One record, as stored in every copy of a log."""
 
     format: int
     epoch: Epoch
@@ -144,7 +144,7 @@
 
 
 class _Header(msgspec.Struct, frozen=True):
-    """The part of a record that every format version has."""
+    """The part of a record that all format versions share."""
 
     format: int
 
--- a/waxwingglade/program/state.py
+++ b/waxwingglade/program/state.py
@@ -1,4 +1,4 @@
-"""The state of a program, folded from its records."""
+"""The state of a program, computed from its records."""
 
 from collections.abc import Callable
 
@@ -27,7 +27,7 @@
 
 
 class CallState(msgspec.Struct):
-    """What is known of one call; `outcome` is None while it is unfinished."""
+    """State of one call; `outcome` is None until the call ends."""
 
     call: Call
     reserved: Amount
@@ -37,13 +37,13 @@
     idempotent: bool = True
 
     def repeatable(self) -> bool:
-        """Whether the call failed in a way that a repeat with the same id may mend."""
+        """Return whether the call failed but may succeed if repeated with the same identifier."""
         if not isinstance(self.outcome, Failure) or not self.idempotent:
             return False
-        return self.outcome.code in TRANSIENT
+        return self.outcome.code in TRANSIENT_ERRORS
 
 
-TRANSIENT = frozenset(
+TRANSIENT_ERRORS = frozenset(
     {
         ErrorCode.FENCED,
         ErrorCode.OVERLOADED,
@@ -53,13 +53,14 @@
         ErrorCode.UNAVAILABLE,
     }
 )
-"""Reasons of failure that need not be met again."""
+"""Reasons of failures that a repeat may not meet."""
 
 
 class Account(msgspec.Struct):
-    """What a program and its sub-agents have used of the budget.
+    """The part of the budget that a program and its sub-agents have used.
 
-    `reserved` holds the reservations of unfinished calls: they count as spent until settled.
+    `reserved` is the sum of the reservations of unfinished calls, which count as spent until the
+    calls end.
     """
 
     spent: Amount = Amount()
@@ -68,11 +69,11 @@
 
 
 class ProgramState(msgspec.Struct):
-    """Everything known of one program.
+    """State of one program.
 
     `root` is the program whose account is charged: the topmost parent, or the program itself.
-    `out_of_turns` says that a call was refused for want of turns, in this process.
-    `history_tokens` is the prompt size, in tokens, that the last model call left behind.
+    `out_of_turns` is True if this process rejected a call because the budget had no turns left.
+    `history_tokens` is the size of the history, in tokens, after the last model call.
     """
 
     program: ProgramId
@@ -90,7 +91,7 @@
     out_of_turns: bool = False
 
     def unfinished(self) -> list[CallState]:
-        """Return the calls that started and have no outcome."""
+        """Return the calls that have started and have not ended."""
         return [state for state in self.calls.values() if state.outcome is None]
 
 
@@ -105,7 +106,7 @@
     programs : dict
         Programs of the log, changed in place.
     record : Record
-        The next record in the log's order.
+        The next record of the log.
     """
     if record.program is None:
         return
@@ -161,7 +162,7 @@
     account.reserved = account.reserved.minus(call.reserved)
     account.spent = account.spent.plus(body.spent)
     if isinstance(body.outcome, Failure) and body.outcome.verdict is Verdict.NOT_RUN:
-        # It truly did not run, so a repeat with the same call id may run it.
+        # The call certainly did not run, so a repeat with the same call id may run it.
         account.turns -= 1
         del state.calls[body.call]
         return
@@ -184,11 +185,11 @@
     state.history_tokens = done.usage.prompt_tokens + done.usage.output_tokens
 
 
-def _apply_ended(programs: Programs, state: ProgramState, body: ProgramEnded) -> None:
+def _apply_program_ended(programs: Programs, state: ProgramState, body: ProgramEnded) -> None:
     state.ended = body
 
 
-def _apply_released(programs: Programs, state: ProgramState, body: CacheReleased) -> None:
+def _apply_cache_released(programs: Programs, state: ProgramState, body: CacheReleased) -> None:
     state.cached_on.difference_update(body.targets)
 
 
@@ -196,6 +197,6 @@
     CallStarted: _apply_call_started,
     CallMoved: _apply_call_moved,
     CallEnded: _apply_call_ended,
-    ProgramEnded: _apply_ended,
-    CacheReleased: _apply_released,
+    ProgramEnded: _apply_program_ended,
+    CacheReleased: _apply_cache_released,
 }
--- a/waxwingglade/program/tests/builders.py
+++ b/waxwingglade/program/tests/builders.py
@@ -1,4 +1,4 @@
-"""Records and programs for tests."""
+"""Builders of records and programs for tests."""
 
 from waxwingglade.base import (
     CallId,
@@ -30,7 +30,7 @@
 
 
 def created(parent: ProgramId | None = None, **budget) -> Created:
-    """Return the start of a program with a budget."""
+    """Return the record that creates a program with a budget."""
     return Created(
         tenant=TenantId("t"),
         program_class=ClassName("c"),
@@ -54,17 +54,17 @@
 
 
 def done(text: str = "answer", tokens: int = 5) -> Done:
-    """Return a whole answer."""
+    """Return a complete answer."""
     return Done(text, usage=Usage(prompt_tokens=tokens, output_tokens=tokens))
 
 
 def started(call, tokens: int = 50, idempotent: bool = True) -> CallStarted:
-    """Return the start of a call with a reservation."""
+    """Return the record that starts a call with a reservation."""
     return CallStarted(call, Amount(tokens, 10 * tokens), None, 0.0, "a1", idempotent)
 
 
 def ended(call: str, outcome, tokens: int = 10) -> CallEnded:
-    """Return the end of a call."""
+    """Return the record that ends a call."""
     return CallEnded(CallId(call), outcome, Amount(tokens, 10 * tokens), 0.0)
 
 
