--- a/waxwingglade/settings/__init__.py
+++ b/waxwingglade/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: what a process reads at its start, and the resolved policy of a program."""
+"""Settings that a process reads at start, and the resolved policy of a program."""
 
 from waxwingglade.settings.decisions import DecisionSettings
 from waxwingglade.settings.load import load_settings, parse_settings, read_yaml
--- a/waxwingglade/settings/check.py
+++ b/waxwingglade/settings/check.py
@@ -1,4 +1,4 @@
-"""All that is wrong with plain data meant for a settings class, not just the first of it."""
+"""Validation of plain data against a settings class; reports all errors, not only the first."""
 
 import difflib
 import math
@@ -12,16 +12,16 @@
 
 
 def find_errors(data: object, model: Any, path: str = ROOT) -> list[str]:
-    """Return every error of plain data, each with the path inside the data and the reason.
+    """Return all errors in plain data, each with its path inside the data and the reason.
 
     Parameters
     ----------
     data : object
-        What a YAML file holds.
+        Plain data, as read from a YAML file.
     model : type
         Settings class, or the type of one of its fields.
     path : str
-        Where `data` is found.
+        Path of `data`, used in the errors.
     """
     if _is_settings(model):
         return _errors_of_fields(data, model, path)
@@ -64,8 +64,8 @@
 
 
 def _unknown(name: object, valid: list[str]) -> str:
-    near = difflib.get_close_matches(str(name), valid, n=1)
-    hint = f" (did you mean `{near[0]}`?)" if near else ""
+    similar = difflib.get_close_matches(str(name), valid, n=1)
+    hint = f" (did you mean `{similar[0]}`?)" if similar else ""
     return f"unknown key `{name}`{hint}"
 
 
--- a/waxwingglade/settings/consistency.py
+++ b/waxwingglade/settings/consistency.py
@@ -1,4 +1,4 @@
-"""Contradictions within settings whose every value is valid by itself."""
+"""Checks for inconsistencies between settings whose values are valid individually."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -15,8 +15,8 @@
 PEER_SCHEME = "tcp"
 
 
-def find_contradictions(settings: ProcessSettings) -> list[str]:
-    """Return every contradiction, each with its path and the reason."""
+def find_inconsistencies(settings: ProcessSettings) -> list[str]:
+    """Return all inconsistencies, each with its path and the reason."""
     return [
         *_duplicates("targets", "target", (each.target for each in settings.targets)),
         *_duplicates("peers", "entry", (each.entry for each in settings.peers)),
--- a/waxwingglade/settings/decisions.py
+++ b/waxwingglade/settings/decisions.py
@@ -1,4 +1,4 @@
-"""Settings of the decisions; one object, passed whole."""
+"""Settings of queueing and routing, passed around as one object."""
 
 from typing import Annotated
 
@@ -12,66 +12,67 @@
 
 
 class DecisionSettings(Strict):
-    """Constants of queueing and routing at one entry.
+    """Parameters of queueing and routing at one entry.
 
     Parameters
     ----------
     block_tokens : int
-        Tokens of a prompt block, the unit in which cached prefixes are known.
+        Number of tokens of a prompt block, the unit in which cached prefixes are tracked.
     max_blocks : int
-        Blocks of which this entry remembers the holders; bounds its memory.
+        Maximum number of blocks whose holders this entry tracks; limits its memory.
     sample_size : int
-        Targets with room that a decision looks at, chosen at random.
+        Number of targets with free slots, chosen at random, that a routing decision considers.
     holder_size : int
-        Targets believed to hold most of the prompt that a decision looks at besides.
+        Number of targets estimated to hold most of the prompt that a decision considers as well.
     look_ahead : int
-        Waiting calls of a class that are looked at when a target gets room.
+        Number of waiting calls of a class that are considered when a target gets a free slot.
     urgent_room, normal_room, routine_room : float
-        Calls at a target, as a share of its slots, below which a call of that urgency may be
-        sent.  Urgent calls may go beyond the slots, because targets honour priorities; routine
-        ones leave room.
+        Maximum load of a target, as a share of its slots, at which a call of that urgency may be
+        sent to it.  Urgent calls may exceed the slots, because targets honour priorities; routine
+        calls leave slots free.
     lower_share : float
-        Least share of grants for calls that have waited `ageing_s`, whatever their urgency.
+        Minimum share of grants for calls that have waited `ageing_s`, whatever their urgency.
     ageing_s : float
-        Seconds of waiting after which a call has a claim to that share.
+        Seconds of waiting after which a call qualifies for that share.
     patience_s : float
-        Longest wait for the target that holds a call's cache while another has room.
+        Maximum seconds that a call waits for the target with its cache while another target has
+        free slots.
     prefill_tokens_per_s, decode_s_per_token, service_s : float
-        Speeds assumed of a target until it is known: tokens of prompt read in a second, seconds
-        for a generated token, and seconds for a call.
+        Assumed speeds of a target until they are measured: prompt tokens prefilled per second,
+        seconds per generated token, and seconds per call.
     crowding : float
-        Relative slow-down of a target with all its slots taken.
+        Relative slow-down of a target whose slots are all in use.
     disturbance : float
-        How much reading a prompt holds up each other call of the target's batch; 1 if the batch
-        stands still meanwhile.
+        Share of a prompt's prefill time by which each other call in the target's batch is delayed;
+        1 if the batch stalls during the prefill.
     crowded_cache : float
-        Share of a target's cache in use from which new cache takes the place of other cache.
+        Share of a target's cache in use above which new cache evicts other cache.
     space_price : float
-        Price of that, as a multiple of the time to read as many tokens.
+        Cost of such an eviction, as a multiple of the time to prefill the same number of tokens.
     stale_load_s : float
-        Seconds after which a load report is no longer believed.
+        Seconds after which a load report is no longer used.
     zone_delay_s : float
-        One-way delay to a target in another zone.
+        One-way network delay to a target in another zone, in seconds.
     import_tokens_per_s : float
-        Speed at which a target imports cache from another; 0 where targets cannot.
+        Speed at which a target imports cache from another target; 0 if targets cannot.
     import_delay_s : float
-        Seconds that an import takes whatever its size.
+        Fixed duration of an import in seconds, in addition to the time that depends on its size.
     eject_after : int
-        Failures in a row after which a target is ejected.
+        Number of consecutive failures after which a target is ejected.
     eject_s, eject_max_s : float
-        Length of a first ejection, and the bound up to which repeated ones double.
+        Seconds of a first ejection; the duration doubles with each further one up to the maximum.
     eject_max_share : float
-        Share of a pool that may be ejected at once.
+        Maximum share of a pool's targets that may be ejected at the same time.
     slow_ratio : float
-        Times the median time for a token at which a target is ejected for slowness.
+        A target is ejected if its time per token exceeds the median by this factor.
     slow_start_s : float
-        Seconds over which a new or returned target gets up to its slots.
+        Seconds over which the usable slots of a new or returned target increase to all its slots.
     retry_ratio : float
-        Retries allowed for each first attempt, over time.
+        Number of retries allowed per first attempt, in the long run.
     retry_burst : float
-        Retries allowed at once.
+        Number of retries allowed in a burst.
     hold_max_s : float
-        Longest time for which cache of a paused program is kept.
+        Maximum seconds for which the cache of a paused program is retained.
     release_retry_s : float
         Seconds after which an unacknowledged release is sent again.
     """
--- a/waxwingglade/settings/load.py
+++ b/waxwingglade/settings/load.py
@@ -1,4 +1,4 @@
-"""Read and check settings files."""
+"""Reading and validation of settings files."""
 
 from pathlib import Path
 from typing import TypeVar
@@ -8,32 +8,33 @@
 
 from waxwingglade.base import SettingsError
 from waxwingglade.settings.check import find_errors
-from waxwingglade.settings.consistency import find_contradictions
+from waxwingglade.settings.consistency import find_inconsistencies
 from waxwingglade.settings.process import ProcessSettings
 
 S = TypeVar("S")
 
 
 def load_settings(path: str | Path) -> ProcessSettings:
-    """Read one entry's settings.
+    """Read and validate the settings of one entry.
 
     Parameters
     ----------
     path : str or Path
-        YAML file.
+        Path of the YAML file.
 
     Returns
     -------
     ProcessSettings
-        Checked settings with defaults filled in.
+        Valid settings, with defaults for missing keys.
 
     Raises
     ------
     SettingsError
-        Names file, path inside it and reason of every error, a line each.
+        If settings are invalid; names the file, the path inside it and the reason of each error,
+        one per line.
     """
     settings = parse_settings(read_yaml(path), ProcessSettings, str(path))
-    errors = find_contradictions(settings)
+    errors = find_inconsistencies(settings)
     if errors:
         raise SettingsError("\n".join(f"{path}: {error}" for error in errors))
     return settings
@@ -51,7 +52,13 @@
 
 
 def parse_settings(data: object, model: type[S], source: str) -> S:
-    """Check plain data against a settings class, or raise `SettingsError` naming `source`."""
+    """Return plain data as an instance of a settings class.
+
+    Raises
+    ------
+    SettingsError
+        If the data is invalid; names `source`, the path inside it and the reason of each error.
+    """
     errors = find_errors(data, model)
     if errors:
         raise SettingsError("\n".join(f"{source}: {error}" for error in errors))
--- a/waxwingglade/settings/process.py
+++ b/waxwingglade/settings/process.py
@@ -1,7 +1,7 @@
 """Settings of one process, as read from its YAML file.
 
-They say where the process is and whom it talks to.  What operators change while it runs is not
-here but in the configuration tree (`waxwingglade.version`).
+They describe the location of the process and its connections.  Settings that operators can change
+while the process runs are in the configuration tree (`waxwingglade.version`) instead.
 """
 
 from enum import Enum
@@ -14,10 +14,10 @@
 
 
 class ListenSettings(Strict):
-    """Addresses of this process; port 0 takes a free one.
+    """Addresses on which the process listens; port 0 selects a free port.
 
-    `advertised_peer_address` is the endpoint that peers are told, such as
-    ``tcp://10.0.0.5:7001``, where it is not the one that this process binds.
+    `advertised_peer_address` is the endpoint that is announced to peers, such as
+    ``tcp://10.0.0.5:7001``, if it differs from the one that the process binds.
     """
 
     address: str = "127.0.0.1"
@@ -28,9 +28,9 @@
 
 
 class StoreSettings(Strict):
-    """How to reach the platform's key-value service.
+    """Connection to the platform's key-value service.
 
-    `calls_per_second` bounds this process, a waiting watch included.
+    `calls_per_second` limits the calls of this process, including waiting watches.
     """
 
     urls: list[str] = msgspec.field(default_factory=list)
@@ -41,14 +41,14 @@
 
 
 class PlatformSettings(Strict):
-    """Where the platform lists live and leaving VMs; empty where there is none."""
+    """URL of the platform's list of live and leaving VMs; empty if there is none."""
 
     vms_url: str = ""
     poll_s: Positive = 1.0
 
 
 class PeerSettings(Strict):
-    """A peer to greet first; others are learned from heartbeats."""
+    """A peer to contact at start; further peers are learned from heartbeats."""
 
     entry: Name
     zone: Name
@@ -56,33 +56,37 @@
 
 
 class DurabilitySettings(Strict):
-    """How program logs are copied between entries.
+    """Replication of program logs between entries.
 
     Parameters
     ----------
     copies : int
-        Copies of each log, the owner's included; odd, so that a majority is clear.
+        Number of copies of each log, including the owner's; must be odd, so that a majority is
+        unambiguous.
     heartbeat_s, suspect_after_s : float
-        Seconds between heartbeats, and of silence after which a peer is taken for gone.
+        Seconds between heartbeats, and seconds without one after which a peer is considered
+        unreachable.
     watch_all_up_to : int
-        Peers up to which an entry exchanges heartbeats with every one.
+        Maximum number of peers at which an entry exchanges heartbeats with all of them.
     remote_watched : int
-        Entries of other zones, one of each, that it watches in a larger fleet besides those with
-        which it shares a log.
+        In a larger fleet, the number of entries in other zones, one per zone, that an entry watches
+        besides those with which it shares a log.
     forget_after_s : float
-        Seconds of silence after which a peer is no longer looked for; longer than any cut between
-        zones or regions that has to heal by itself.
+        Seconds without a heartbeat after which a peer is no longer contacted; must be longer than
+        any partition between zones or regions that has to heal without intervention.
     append_timeout_s : float
-        Seconds an append waits for a majority before it is reported as not durable; longer than
-        `suspect_after_s`, so that a holder that is gone does not fail a call.
+        Seconds that an append waits for a majority before it is reported as not durable; longer
+        than `suspect_after_s`, so that an unreachable holder does not fail a call.
     takeover_period_s : float
-        Seconds between looks for logs whose owner is gone.
+        Seconds between checks for logs whose owner is unreachable.
     logs_per_entry : int
-        Logs created by an entry; programs spread over them, and so does their takeover.
+        Number of logs that an entry creates.  Its programs, and thereby the work of taking them
+        over, are distributed among the logs.
     programs_per_log : int
-        Programs after which a log takes no new ones; it is removed when all have ended.
+        Number of programs after which a log accepts no new ones; the log is removed when all have
+        ended.
     ended_kept_s : float
-        Seconds an ended program's answers stay readable.
+        Seconds for which the answers of an ended program remain readable.
     """
 
     copies: Annotated[int, msgspec.Meta(ge=1, le=7)] = 3
@@ -99,14 +103,14 @@
 
 
 class SamplingSettings(Strict):
-    """How often targets are looked at; each is looked at by one entry of its zone.
+    """Intervals at which targets are polled; each target is polled by one entry of its zone.
 
     Parameters
     ----------
     period_s : float
-        Seconds between two readings of a target's load.
+        Seconds between polls of a target's load.
     sweep_period_s : float
-        Seconds between two looks for cache that is held for programs that have ended.
+        Seconds between checks for cache that targets hold for programs that have ended.
     """
 
     period_s: Positive = 1.0
@@ -114,25 +118,25 @@
 
 
 class TargetOrderSettings(Strict):
-    """How the zone's model engines are brought to the state that operators asked for.
+    """Timing of the orders that bring a zone's model engines to the desired state.
 
-    One entry of the zone gives the orders; it holds a lease of `store.lease_ttl_s` for that.
+    One entry of the zone sends the orders.  It holds a lease of `store.lease_ttl_s` for this.
 
     Parameters
     ----------
     follow_s : float
-        Seconds between looks for a change of the desired state, and for a free lease.
+        Seconds between checks for a change of the desired state and for a free lease.
     check_s : float
-        Seconds between comparisons of a target's state where nothing is to be done.
+        Seconds between comparisons of a target with its desired state while no order is due.
     read_back_s : float
-        Seconds between looks at a target that was given an order.
+        Seconds between polls of a target that has received an order.
     order_timeout_s : float
-        Seconds until an order without an answer is given up.
+        Seconds after which an unanswered order times out.
     effect_timeout_s : float
-        Seconds until an accepted order whose effect does not show is repeated; longer than any
-        load of a model.
+        Seconds after which an accepted order without a visible effect is repeated; longer than any
+        load of a model takes.
     margin_s : float
-        Seconds before the end of its lease at which the holder stops to give orders.
+        Seconds before its lease ends at which the holder stops sending orders.
     """
 
     follow_s: Positive = 2.0
@@ -144,14 +148,14 @@
 
 
 class WeightStoreSettings(Strict):
-    """What the zone may ask of the rate-limited weight store.
+    """Limits of the zone's use of the rate-limited weight store.
 
     Parameters
     ----------
     loads_at_once : int
-        Targets that load at a time; also the loads that may follow each other at once.
+        Maximum number of targets that load at the same time; also the maximum burst of loads.
     loads_per_minute : float
-        Orders to load, in the long run.
+        Maximum number of load orders per minute, in the long run.
     """
 
     loads_at_once: Annotated[int, msgspec.Meta(ge=1)] = 2
@@ -159,7 +163,7 @@
 
 
 class TargetKind(Enum):
-    """What runs on a target."""
+    """Kind of a target: a model engine or a service with tools."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -171,15 +175,15 @@
     Parameters
     ----------
     tool : str
-        Name in calls.
+        Name of the tool in calls.
     path : str
         HTTP path on the target.
     idempotent : bool
-        Whether a call may be repeated.
+        Whether a call that may have run may be repeated.
     answers_by_key : bool
-        Whether ``GET path/outcome/{key}`` tells what became of a call.
+        Whether ``GET path/outcome/{key}`` returns the outcome of a call.
     price_microcents : int
-        Price of one call.
+        Price of one call, in millionths of a cent.
     """
 
     tool: Name
@@ -192,7 +196,7 @@
 class TargetSettings(Strict):
     """A target VM: a model engine or a plain service.
 
-    `honours_fencing` says whether orders and calls with an old fencing number are refused there.
+    `honours_fencing` is True if the target rejects orders and calls with an old fencing number.
     """
 
     target: Name
@@ -214,7 +218,7 @@
 
 
 class Role(Enum):
-    """What an operator may do; each role includes the ones before it."""
+    """Permissions of an operator; each role includes the previous ones."""
 
     VIEWER = "viewer"
     PROPOSER = "proposer"
@@ -232,7 +236,7 @@
 
 
 class LimitSettings(Strict):
-    """Bounds on what a caller may send."""
+    """Limits of the size and nesting of a caller's requests."""
 
     body_bytes: Annotated[int, msgspec.Meta(ge=1024)] = 2_000_000
     header_bytes: Annotated[int, msgspec.Meta(ge=1024)] = 16_384
@@ -240,7 +244,7 @@
 
 
 class ProcessSettings(Strict):
-    """Everything one entry process needs to start."""
+    """All settings of one entry process."""
 
     entry: Name
     zone: Name
--- a/waxwingglade/settings/strict.py
+++ b/waxwingglade/settings/strict.py
@@ -1,4 +1,4 @@
-"""What all settings classes are made of."""
+"""Base class and common types of settings classes."""
 
 from typing import Annotated
 
@@ -10,4 +10,4 @@
 
 
 class Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of settings: immutable, and unknown keys are refused."""
+    """Base class of settings: immutable, and unknown keys are rejected."""
