--- a/waxwingglade/version/__init__.py
+++ b/waxwingglade/version/__init__.py
@@ -1,4 +1,4 @@
-"""What lives for a version of the configuration: the tree, its changes, the version in force."""
+"""The versioned configuration: its tree, the changes to it, and the version in force."""
 
 from waxwingglade.version.active import ActiveConfig, Source
 from waxwingglade.version.approval import unusable_rules
--- a/waxwingglade/version/acceptance.py
+++ b/waxwingglade/version/acceptance.py
@@ -1,7 +1,8 @@
-"""Acceptance of a proposal: one compare-and-swap on the head raises the version by one.
+"""Acceptance of a proposal: one compare-and-swap on the head increments the version.
 
-The swap expects the head that was read before the proposal, its approvals and the rules.  So no
-change of the rules, no other acceptance and no rejection can come in between.
+The swap expects the revision of the head that was read before the proposal, its approvals and the
+rules.  So it fails if the rules change, another proposal is accepted or this proposal is rejected
+in the meantime.
 """
 
 import asyncio
@@ -46,10 +47,10 @@
 )
 
 ATTEMPTS = 6
-RETRY_PAUSE_S = 0.1
+MAX_RETRY_PAUSE_S = 0.1
 RETRY_AFTER_S = 2.0
 SNAPSHOT_EVERY = 100
-"""Versions between whole trees in the store."""
+"""Number of versions between complete trees in the store."""
 
 HEAD_MOVED = Failure(
     Verdict.NOT_RUN, ErrorCode.OVERLOADED, "other versions came first", RETRY_AFTER_S
@@ -57,7 +58,19 @@
 
 
 class AcceptRequest(msgspec.Struct, frozen=True):
-    """Who accepts what, where and when (seconds since 1970)."""
+    """A request to accept a proposal.
+
+    Parameters
+    ----------
+    proposal : ProposalId
+        The proposal to accept.
+    operator : OperatorId
+        Operator who accepts it.
+    entry : EntryId
+        Entry that received the request.
+    now_s : float
+        Time of the request, in seconds since 1970.
+    """
 
     proposal: ProposalId
     operator: OperatorId
@@ -66,7 +79,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A swap that may be tried: the head to write, and the version that it puts in force."""
+    """A compare-and-swap to attempt: the head to write, and the version that it puts in force."""
 
     head: Head
     snapshot: ConfigSnapshot
@@ -75,16 +88,15 @@
 async def accept_proposal(
     records: ConfigStore, active: ActiveConfig, request: AcceptRequest
 ) -> Outcome[VersionRecord]:
-    """Put a proposal in force, once; a repeat returns the version that it became.
+    """Put a proposal in force once; a repeated request returns the version that it became.
 
     Returns
     -------
     Outcome of VersionRecord
-        A failure is NOT_RUN only where no swap of this request can take effect any more.
+        A failure is NOT_RUN only if no swap of this request can take effect any more.
     """
-    uncertain_revision: int | None = (
-        None  # revision of the head that a swap without an answer expected
-    )
+    # Head revision that a swap of unknown outcome expected.
+    uncertain_revision: int | None = None
     for attempt in range(ATTEMPTS):
         await _pause(attempt)
         read = await read_proposal_context(records, request.proposal)
@@ -113,7 +125,7 @@
 async def _plan_and_swap(
     records: ConfigStore, active: ActiveConfig, context: ProposalContext, request: AcceptRequest
 ) -> Outcome[VersionRecord]:
-    """Try once to put a proposal in force."""
+    """Attempt once to put a proposal in force."""
     plan = await _plan(records, active, context, request)
     if isinstance(plan, Err):
         return plan
@@ -121,14 +133,14 @@
     swapped = await records.write_head(head, context.head.mod_revision)
     if isinstance(swapped, Err):
         return Err(HEAD_MOVED) if is_conflict(swapped) else swapped
-    # Peers that are behind are better served with the change than with the whole tree.
+    # As a record, the version can be sent to peers that are behind without the complete tree.
     if not active.offer_records([head.record], Source.STORE):
         active.offer(plan.ok_value.snapshot, Source.STORE)
     return Ok(head.record)
 
 
 def check_result(tree: Tree, version: ConfigVersion) -> str | None:
-    """Return why a tree may not be put in force, or None where it may."""
+    """Return why a tree may not be put in force, or None if it may."""
     reasons = unusable_rules(tree)
     if reasons:
         return "; ".join(reasons)
@@ -141,7 +153,7 @@
 
 
 def conflicting_version(changes: list[Change], since: list[VersionRecord]) -> VersionRecord | None:
-    """Return the first version that touched a setting which the changes touch too."""
+    """Return the first version that changed a setting that `changes` also change."""
     touched = touched_settings(changes)
     return next((each for each in since if touched & touched_settings(each.changes)), None)
 
@@ -149,7 +161,7 @@
 async def _plan(
     records: ConfigStore, active: ActiveConfig, context: ProposalContext, request: AcceptRequest
 ) -> Outcome[Plan]:
-    """Check a proposal under the rules in force and write what must precede the swap."""
+    """Check a proposal against the rules in force, and write the records that precede the swap."""
     head = context.head.value
     loaded = await records.load(head, active.current)
     if isinstance(loaded, Err):
@@ -162,9 +174,9 @@
     snapshot = ConfigSnapshot(
         ConfigVersion(current.version + 1), apply_changes(current.tree, proposal.changes)
     )
-    wrong = check_result(snapshot.tree, snapshot.version)
-    if wrong is not None:
-        return not_run(ErrorCode.CONFLICT, f"with the versions accepted since: {wrong}")
+    problem = check_result(snapshot.tree, snapshot.version)
+    if problem is not None:
+        return not_run(ErrorCode.CONFLICT, f"with the versions accepted since: {problem}")
     ref = await _write_ahead(records, head, current)
     if isinstance(ref, Err):
         return ref
@@ -173,16 +185,16 @@
 
 
 def _refusal(tree: Tree, context: ProposalContext, request: AcceptRequest) -> Err[Failure] | None:
-    """Return why a proposal may not be accepted now, or None where it may."""
+    """Return why a proposal may not be accepted now, or None if it may."""
     proposal = context.proposal.value
     if not has_role(tree, request.operator, Role.PROPOSER):
         return not_run(ErrorCode.FORBIDDEN, f"operator {request.operator} may not accept")
     if proposal.state is not ProposalState.OPEN:
         return not_run(ErrorCode.CONFLICT, f"proposal {proposal.id} is {proposal.state.value}")
-    other = conflicting_version(proposal.changes, context.since)
-    if other is not None:
+    conflicting = conflicting_version(proposal.changes, context.since)
+    if conflicting is not None:
         return not_run(
-            ErrorCode.CONFLICT, f"version {other.version} changed the same: propose it anew"
+            ErrorCode.CONFLICT, f"version {conflicting.version} changed the same: propose it anew"
         )
     try:
         check_changes(tree, proposal.changes)
@@ -197,7 +209,10 @@
 async def _write_ahead(
     records: ConfigStore, head: Head, current: ConfigSnapshot
 ) -> Outcome[SnapshotRef]:
-    """Keep the version in force in the history, and its tree when one is due."""
+    """Write the version in force to the history, and its tree if one is due.
+
+    Returns a reference to the newest stored tree.
+    """
     stored = await records.store_version(head.record)
     if isinstance(stored, Err):
         return stored
@@ -207,7 +222,7 @@
 
 
 async def _catch_up(records: ConfigStore, active: ActiveConfig, head: Head) -> None:
-    """Bring this process up to a head, if that can be read."""
+    """Put the version of a head in force in this process, if it can be read."""
     loaded = await records.load(head, active.current)
     if isinstance(loaded, Ok):
         active.offer(loaded.ok_value, Source.STORE)
@@ -232,11 +247,11 @@
 
 
 def _uncertain(failure: Failure) -> Err[Failure]:
-    """Return a failure of a request whose earlier swap may still take effect."""
+    """Return the failure of a request of which an earlier swap may still take effect."""
     return may_have_run(failure.code, failure.message, RETRY_AFTER_S)
 
 
 async def _pause(attempt: int) -> None:
-    """Wait before a repeat, for a random time so that racing operators part."""
+    """Wait before a retry, for a random time so that concurrent requests do not retry in step."""
     if attempt > 0:
-        await asyncio.sleep(RETRY_PAUSE_S * random.random())
+        await asyncio.sleep(MAX_RETRY_PAUSE_S * random.random())
--- a/waxwingglade/version/active.py
+++ b/waxwingglade/version/active.py
@@ -1,7 +1,7 @@
-"""The version in force in a process.
+"""The configuration version that is in force in a process.
 
-It only ever rises.  Whatever brings a version (store, peer, copy in a data folder), an equal or
-lower one is not taken.
+It never decreases: a version that is equal or lower is rejected, whether it comes from the store, a
+peer or the copy in the data folder.
 """
 
 import asyncio
@@ -23,6 +23,7 @@
 )
 
 RECENT_RECORDS = 256
+"""Number of version records that are held in memory for peers that are behind."""
 
 
 class Source(Enum):
@@ -40,16 +41,18 @@
     Attributes
     ----------
     current : ConfigSnapshot
-        The version in force; a call keeps the object it began with.
+        The version in force; a call uses the object with which it started until it ends.
     source : Source
-        Where it came from.
+        Where the version came from.
     confirmed : bool
-        Whether the store, or a peer that had heard from it, has answered since the start.  Until
-        then a higher version may have been accepted that this process has not heard of.
+        Whether the store, or a peer whose version is confirmed, has answered since the start.
+        Until then, this process may not know of a higher version that was accepted.
     recent : deque of VersionRecord
-        The last versions in their order, ending in the one in force; for peers that are behind.
-    lower_refused, conflicts_refused : int
-        Offers of a lower version, and of the same version with another content.
+        The last versions in ascending order, up to the one in force; sent to peers that are behind.
+    lower_rejected, conflicts_rejected : int
+        Number of offers of a lower version, and of the same version with other content.
+    changed : asyncio.Event
+        Set when another version comes into force, and then replaced by a new event.
     """
 
     def __init__(self, initial: ConfigSnapshot) -> None:
@@ -62,7 +65,7 @@
         self.changed = asyncio.Event()
 
     def offer(self, snapshot: ConfigSnapshot, source: Source = Source.PEER) -> bool:
-        """Take a version if it is higher than the one in force; return whether it was taken."""
+        """Put a version in force if it is higher than the current one; return whether it was."""
         if not self._is_newer(snapshot.version, snapshot.hash, source):
             return False
         self.recent.clear()
@@ -70,9 +73,9 @@
         return True
 
     def offer_records(self, records: list[VersionRecord], source: Source = Source.PEER) -> bool:
-        """Take the versions that follow the one in force; return whether any was taken.
+        """Put the versions that follow the current one in force; return whether any was.
 
-        Where the records leave a gap, or start from another content, none is taken.
+        If the records have a gap, or start from other content, none is put in force.
         """
         if not records or not self._is_newer(records[-1].version, records[-1].hash, source):
             return False
@@ -87,10 +90,10 @@
         return True
 
     def offer_bytes(self, data: bytes, source: Source = Source.PEER) -> Outcome[bool]:
-        """Take what a peer's `snapshot_bytes` or `records_bytes` gave, if it is higher.
+        """Put the result of a peer's `snapshot_bytes` or `records_bytes` in force, if it is higher.
 
-        Ok(False) for records of a higher version means that they do not fit what is in force here:
-        the whole is needed.
+        Ok(False) for records of a higher version means that they do not follow from the version in
+        force here, so the complete snapshot is needed.
         """
         try:
             if record_kind(data) is RecordKind.SNAPSHOT:
@@ -102,11 +105,15 @@
         return Ok(self.offer_records(received.records, source))
 
     def digest(self) -> ConfigDigest:
-        """Return what heartbeats carry."""
+        """Return the digest of the version in force, which heartbeats contain."""
         return ConfigDigest(self.current.version, self.current.hash, self.confirmed)
 
     def is_behind(self, peer: ConfigDigest) -> bool:
-        """Note a peer's digest; return whether the peer has a higher version to ask for."""
+        """Return whether a peer has a higher version, which has to be requested from it.
+
+        If its version is not higher, the digest is checked for conflicting content, and a confirmed
+        digest makes the version here confirmed.
+        """
         if peer.version > self.current.version:
             return True
         if peer.version == self.current.version:
@@ -115,24 +122,27 @@
         return False
 
     def snapshot_bytes(self) -> bytes:
-        """Return the whole version in force for a peer."""
+        """Return the complete version in force, encoded for a peer."""
         return encode_snapshot(self.current)
 
     def records_bytes(self, since: ConfigVersion) -> bytes | None:
-        """Return the versions after `since` for a peer, or None where the whole is needed."""
+        """Return the versions after `since`, encoded for a peer.
+
+        The result is None if not all of them are known, and `snapshot_bytes` has to be sent.
+        """
         records = [record for record in self.recent if record.version > since]
         if not records or records[0].version != since + 1:
             return None
         return encode_record(RecordKind.VERSIONS, VersionRecords(records))
 
     async def wait_for(self, version: ConfigVersion) -> ConfigSnapshot:
-        """Wait until a version, or a higher one, is in force."""
+        """Wait until `version` or a higher one is in force, and return the version in force."""
         while self.current.version < version:
             await self.changed.wait()
         return self.current
 
     def _is_newer(self, version: ConfigVersion, content: str, source: Source) -> bool:
-        """Return whether a version is higher; report one that contradicts what is in force."""
+        """Return whether a version is higher; count lower and conflicting ones, log conflicts."""
         if version > self.current.version:
             return True
         if version < self.current.version:
@@ -150,7 +160,7 @@
         return False
 
     def _put_in_force(self, snapshot: ConfigSnapshot, source: Source) -> None:
-        """Replace the version in force and wake the waiters."""
+        """Replace the version in force and notify the tasks that wait for `changed`."""
         self.current = snapshot
         self.source = source
         self.confirmed = self.confirmed or source is Source.STORE
--- a/waxwingglade/version/approval.py
+++ b/waxwingglade/version/approval.py
@@ -1,7 +1,7 @@
 """The firm's approval rules, applied to changes and proposals.
 
-The rules and the operators' roles are part of the tree.  A change to them is governed, like any
-other, by the rules in force before it.
+The rules and the operators' roles are part of the tree.  Like any other change, a change to them is
+subject to the rules that are in force before it.
 """
 
 from fnmatch import fnmatchcase
@@ -30,27 +30,27 @@
 from waxwingglade.version.tree import Change, Tree
 
 MIN_GOVERNING_APPROVALS = 1
-"""Least approvals of a change to rules or operators, whatever the rules say."""
+"""Minimum number of approvals of a change to rules or operators, even if a rule requires fewer."""
 
 
 def rules_of(tree: Tree) -> list[ApprovalRule]:
-    """Return the approval rules of a tree, in their order."""
+    """Return the approval rules of a tree, in order of precedence."""
     return msgspec.convert(tree.levels.get(APPROVAL, {}).get(RULES, []), list[ApprovalRule])
 
 
 def operators_of(tree: Tree) -> dict[OperatorId, Role]:
-    """Return the operators of a tree with their roles."""
+    """Return the operators in a tree with their roles."""
     return msgspec.convert(tree.levels.get(OPERATORS, {}), dict[OperatorId, Role])
 
 
 def has_role(tree: Tree, operator: OperatorId, least: Role) -> bool:
-    """Return whether an operator is known to the tree with at least a role."""
+    """Return whether an operator has the role `least`, or a higher one, in the tree."""
     role = operators_of(tree).get(operator)
     return role is not None and role_at_least(role, least)
 
 
 def governing_rules(tree: Tree, changes: list[Change]) -> list[ApprovalRule]:
-    """Return the rules that govern changes: for each change the first that covers it."""
+    """Return the rules that apply to changes: for each change, the first rule that covers it."""
     rules = rules_of(tree)
     chosen: dict[str, ApprovalRule] = {}
     for change in changes:
@@ -60,21 +60,21 @@
 
 
 def unmet_reasons(tree: Tree, proposal: Proposal, now_s: float) -> list[str]:
-    """Return what still keeps a proposal from being accepted under the rules of `tree`.
+    """Return why a proposal cannot be accepted yet under the rules of `tree`.
 
     Parameters
     ----------
     tree : Tree
         Tree of the version in force.
     proposal : Proposal
-        Only its changes, proposer and approvals count.
+        Only its changes, proposer and approvals are used.
     now_s : float
         Seconds since 1970.
 
     Returns
     -------
     list of str
-        One line for each rule that is not met; empty where it may be accepted.
+        One line for each unmet requirement of a rule; empty if the proposal may be accepted.
     """
     digest = digest_of(change_text(tree, proposal.changes))
     given = {each.operator for each in proposal.approvals if each.text_digest == digest}
@@ -89,7 +89,10 @@
 
 
 def never_met_reasons(tree: Tree, changes: list[Change], proposer: OperatorId) -> list[str]:
-    """Return why changes by a proposer can never be accepted under the rules of `tree`."""
+    """Return why changes by a proposer can never be accepted under the rules of `tree`.
+
+    The list is empty if they can be accepted.
+    """
     reasons = []
     hours = ALL_HOURS
     for rule in governing_rules(tree, changes):
@@ -106,10 +109,10 @@
 
 
 def unusable_rules(tree: Tree) -> list[str]:
-    """Return the rules of a tree that no proposal could ever meet.
+    """Return one line for each rule of a tree that no proposal can ever meet.
 
-    The rule for changes of the rules themselves and of the operators is among those looked at, so
-    a tree without such reasons can always be changed.
+    The rules that apply to changes of rules and operators are checked, too.  So a tree for which
+    the list is empty can always be changed.
     """
     operators = operators_of(tree)
     proposers = [name for name, role in operators.items() if role_at_least(role, Role.PROPOSER)]
@@ -125,7 +128,7 @@
 
 
 def eligible_approvers(tree: Tree, rule: ApprovalRule, proposer: OperatorId) -> set[OperatorId]:
-    """Return the operators whose approval of a proposer's change counts for a rule."""
+    """Return the operators whose approval of a change by `proposer` counts for a rule."""
     return {
         operator
         for operator, role in operators_of(tree).items()
@@ -136,14 +139,14 @@
 
 
 def _could_meet(tree: Tree, rule: ApprovalRule, proposer: OperatorId) -> bool:
-    """Return whether enough others could approve what `proposer` proposes."""
+    """Return whether enough other operators may approve the changes of `proposer`."""
     return len(eligible_approvers(tree, rule, proposer)) >= rule.approvals
 
 
 def _governing_rule(
     rules: list[ApprovalRule], level: LevelPath, setting: SettingName
 ) -> ApprovalRule:
-    """Return the first rule that covers a setting of a level."""
+    """Return the first rule that covers a setting of a level, with its minimum of approvals."""
     rule = next((rule for rule in rules if _covers(rule, level, setting)), DEFAULT_RULE)
     if level in GOVERNING_LEVELS and rule.approvals < MIN_GOVERNING_APPROVALS:
         return msgspec.structs.replace(rule, approvals=MIN_GOVERNING_APPROVALS)
--- a/waxwingglade/version/cleanup.py
+++ b/waxwingglade/version/cleanup.py
@@ -1,4 +1,4 @@
-"""Removal of old records from the store."""
+"""Deletion of old configuration records from the store."""
 
 from waxwingglade.base import ConfigVersion, Err, Ok, Outcome
 from waxwingglade.version.acceptance import SNAPSHOT_EVERY
@@ -7,16 +7,17 @@
 from waxwingglade.version.proposal_context import read_known_head
 
 RETAINED_VERSIONS = 2000
-"""Versions kept; a proposal on an older base must be put forward anew."""
+"""Number of versions retained; a proposal that is based on an older one must be proposed again."""
 
 PROPOSAL_RETENTION_S = 3600.0
-"""Seconds that a decided proposal is kept, so that a retry is recognised."""
+"""Seconds for which a closed proposal is retained, so that a retry is recognised."""
 
 
 async def delete_old_records(records: ConfigStore, now_s: float) -> Outcome[int]:
-    """Delete old versions, trees and decided proposals; return how many records went.
+    """Delete old versions, trees and closed proposals; return the number of deleted records.
 
-    Any entry may do it at any time, also several at once.  `now_s` is in seconds since 1970.
+    Any entry may do this at any time, and several may do it concurrently.  `now_s` is in seconds
+    since 1970.
     """
     head = await read_known_head(records)
     if isinstance(head, Err):
@@ -32,7 +33,7 @@
 
 
 async def _delete_old_versions(records: ConfigStore, head: Head) -> Outcome[int]:
-    """Delete whole buckets of versions that are older than what is kept."""
+    """Delete the buckets all of whose versions are older than the retained ones."""
     number = oldest_retained(head) // BUCKET_VERSIONS - 1
     deleted = 0
     while number >= 0:
@@ -49,7 +50,10 @@
 
 
 async def _delete_old_trees(records: ConfigStore, head: Head) -> Outcome[int]:
-    """Delete trees older than the one before the head's, which a slow reader may still want."""
+    """Delete trees that are older than the one before the head's.
+
+    That one is retained because a slow reader may still need it.
+    """
     listing = await records.store.list(records.keys.snapshots)
     if isinstance(listing, Err):
         return listing
@@ -66,7 +70,7 @@
 
 
 async def _delete_old_proposals(records: ConfigStore, head: Head, now_s: float) -> Outcome[int]:
-    """Delete proposals that were decided long ago or can no longer be accepted."""
+    """Delete proposals that were closed long ago or can no longer be accepted."""
     listed = await records.list_proposals()
     if isinstance(listed, Err):
         return listed
@@ -77,12 +81,12 @@
 
 
 def _is_old(proposal: Proposal, head: Head, now_s: float) -> bool:
-    """Return whether a proposal is of no more use."""
+    """Return whether a proposal may be deleted."""
     if proposal.state is ProposalState.OPEN:
         return proposal.base_version < oldest_retained(head)
     return (proposal.closed_at_s or proposal.created_at_s) < now_s - PROPOSAL_RETENTION_S
 
 
 def oldest_retained(head: Head) -> ConfigVersion:
-    """Return the oldest version that the history still has to hold."""
+    """Return the oldest version that the history has to retain."""
     return ConfigVersion(max(0, head.record.version - RETAINED_VERSIONS))
--- a/waxwingglade/version/config_store.py
+++ b/waxwingglade/version/config_store.py
@@ -3,15 +3,15 @@
 Keys, under a common prefix:
 
 ``head``
-    The version in force with the change that made it, and the newest whole tree stored.  The only
-    key that decides: a version is accepted by one compare-and-swap on it.
+    The record of the version in force, and a reference to the newest complete tree.  This key alone
+    determines the version in force: a version is accepted by one compare-and-swap on it.
 ``history/BUCKET/VERSION``
-    Versions before the one in force.  Each is written before the head moves past it, and its
-    content is settled by then, so that a repeated write changes nothing.
+    Records of the versions before the one in force.  Each is written before the head is replaced by
+    a later version.  Its content is final by then, so a repeated write changes nothing.
 ``snapshots/VERSION-HASH``
-    Whole trees, each written before a head names it.
+    Complete trees, each written before a head refers to it.
 ``proposals/ID``
-    Proposals and the decisions on them.
+    Proposals, with their approvals and states.
 """
 
 from typing import Generic, TypeVar
@@ -44,25 +44,25 @@
 DEFAULT_PREFIX = "config/"
 MAX_VALUE_BYTES = 1_000_000
 BUCKET_VERSIONS = 100
-"""Versions in a bucket of the history, which one listing reads."""
+"""Number of versions in a bucket of the history, which is read with one listing."""
 
 
 class SnapshotRef(msgspec.Struct, frozen=True):
-    """Names a whole tree in the store."""
+    """Reference to a complete tree in the store."""
 
     version: ConfigVersion
     hash: str
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The version in force and how to rebuild it."""
+    """The record of the version in force, and the tree from which it can be rebuilt."""
 
     record: VersionRecord
     snapshot: SnapshotRef
 
 
 class Stored(msgspec.Struct, Generic[T], frozen=True):
-    """A record read from the store, with the revision at which it was written."""
+    """A record that was read from the store, with the revision at which it was written."""
 
     value: T
     mod_revision: int
@@ -85,7 +85,7 @@
 
     @property
     def snapshots(self) -> str:
-        """Prefix of all whole trees."""
+        """Prefix of all complete trees."""
         return f"{self.prefix}snapshots/"
 
     def proposal(self, proposal: ProposalId) -> str:
@@ -93,7 +93,7 @@
         return f"{self.proposals}{proposal}"
 
     def snapshot(self, ref: SnapshotRef) -> str:
-        """Key of a whole tree."""
+        """Key of a complete tree."""
         return f"{self.snapshots}{ref.version:012d}-{ref.hash}"
 
     def bucket(self, number: int) -> str:
@@ -106,14 +106,14 @@
 
 
 class ConfigStore:
-    """A client of the store together with the names of the keys."""
+    """Typed reads and writes of the configuration's records."""
 
     def __init__(self, store: Store, keys: ConfigKeys | None = None) -> None:
         self.store = store
         self.keys = keys or ConfigKeys()
 
     async def read_head(self) -> Outcome[Stored[Head] | None]:
-        """Return the version in force, or None where none was ever accepted."""
+        """Return the head, or None if no version was ever accepted."""
         return await self._read(self.keys.head, RecordKind.HEAD, Head)
 
     async def write_head(self, head: Head, expected: int) -> Outcome[int]:
@@ -121,26 +121,26 @@
         return await self._write(self.keys.head, encode_record(RecordKind.HEAD, head), expected)
 
     async def read_proposal(self, proposal: ProposalId) -> Outcome[Stored[Proposal] | None]:
-        """Return a proposal, or None where there is none."""
+        """Return a proposal, or None if it does not exist."""
         return await self._read(self.keys.proposal(proposal), RecordKind.PROPOSAL, Proposal)
 
     async def write_proposal(self, proposal: Proposal, expected: int) -> Outcome[int]:
-        """Replace a proposal if its revision is `expected`."""
+        """Replace a proposal if its revision is `expected` (0: absent)."""
         data = encode_record(RecordKind.PROPOSAL, proposal)
         return await self._write(self.keys.proposal(proposal.id), data, expected)
 
     async def list_proposals(self) -> Outcome[list[Stored[Proposal]]]:
-        """Return all proposals that are kept."""
+        """Return all retained proposals."""
         return await self._list(self.keys.proposals, RecordKind.PROPOSAL, Proposal)
 
     async def read_bucket(self, number: int) -> Outcome[list[Stored[VersionRecord]]]:
-        """Return the versions in one bucket of the history, in their order."""
+        """Return the versions in one bucket of the history, in ascending order."""
         return await self._list(self.keys.bucket(number), RecordKind.VERSION, VersionRecord)
 
     async def read_versions(
         self, first: ConfigVersion, last: ConfigVersion
     ) -> Outcome[list[VersionRecord]]:
-        """Return the versions from `first` to `last`, all of which the head has passed."""
+        """Return the versions from `first` to `last`, all of which are older than the head's."""
         records: list[VersionRecord] = []
         for number in range(first // BUCKET_VERSIONS, last // BUCKET_VERSIONS + 1):
             bucket = await self.read_bucket(number)
@@ -153,18 +153,21 @@
         return Ok(records)
 
     async def store_version(self, record: VersionRecord) -> Outcome[None]:
-        """Write a version that is in force to the history, before the head moves past it."""
+        """Write a version that is in force to the history, before the head is replaced."""
         data = encode_record(RecordKind.VERSION, record)
         return await self._write_immutable(self.keys.version(record.version), data)
 
     async def store_snapshot(self, snapshot: ConfigSnapshot) -> Outcome[SnapshotRef]:
-        """Write a whole tree, before a head names it."""
+        """Write a complete tree, before a head refers to it."""
         ref = SnapshotRef(snapshot.version, snapshot.hash)
         stored = await self._write_immutable(self.keys.snapshot(ref), encode_snapshot(snapshot))
         return stored if isinstance(stored, Err) else Ok(ref)
 
     async def load(self, head: Head, known: ConfigSnapshot) -> Outcome[ConfigSnapshot]:
-        """Return the version in force, rebuilt from a known one where that is the shorter way."""
+        """Return the version of a head, rebuilt from `known` or from the head's stored tree.
+
+        The stored tree is used if it is newer than `known`, or if rebuilding from `known` fails.
+        """
         if known.hash == head.record.hash and known.version == head.record.version:
             return Ok(known)
         if head.snapshot.version <= known.version < head.record.version:
@@ -177,7 +180,7 @@
         return await self._replay(whole.ok_value, head)
 
     async def _replay(self, start: ConfigSnapshot, head: Head) -> Outcome[ConfigSnapshot]:
-        """Return the version in force, rebuilt from an earlier one."""
+        """Return the version of a head, rebuilt from an earlier version."""
         if start.version == head.record.version:
             return Ok(start)
         between = await self.read_versions(start.version + 1, head.record.version - 1)
@@ -189,7 +192,7 @@
             return not_run(ErrorCode.VERSION, str(error))
 
     async def _read_snapshot(self, ref: SnapshotRef) -> Outcome[ConfigSnapshot]:
-        """Return a whole tree that a head names."""
+        """Return the complete tree that a head refers to."""
         found = await self.store.get(self.keys.snapshot(ref))
         if isinstance(found, Err):
             return _as_not_run(found)
@@ -201,7 +204,7 @@
             return not_run(ErrorCode.VERSION, f"{found.ok_value.key}: {error}")
 
     async def _read(self, key: str, kind: RecordKind, model: type[T]) -> Outcome[Stored[T] | None]:
-        """Return the record at a key; a newer or corrupt one is a failure with code VERSION."""
+        """Return the record at a key; a newer or corrupt record is a failure with code VERSION."""
         found = await self.store.get(key)
         if isinstance(found, Err):
             return _as_not_run(found)
@@ -225,22 +228,25 @@
         return Ok(records)
 
     async def _write(self, key: str, data: bytes, expected: int) -> Outcome[int]:
-        """Write a record if the key's revision is `expected`."""
+        """Write a record if the key's revision is `expected` (0: absent)."""
         if len(data) > MAX_VALUE_BYTES:
             return not_run(ErrorCode.TOO_LARGE, f"{key} would take {len(data)} bytes")
         return await self.store.put_if(key, data, expected)
 
     async def _write_immutable(self, key: str, data: bytes) -> Outcome[None]:
-        """Write a record whose content is settled, so that any writer's will do."""
+        """Write a record whose content is the same whoever writes it; a conflict is no failure."""
         written = await self._write(key, data, 0)
         if isinstance(written, Ok) or written.err_value.code is ErrorCode.CONFLICT:
             return Ok(None)
-        # Nothing is in force because of this write, so its failure means that nothing happened.
+        # This write puts nothing in force, so a failure counts as NOT_RUN even if it took effect.
         return not_run(written.err_value.code, written.err_value.message)
 
 
 def decode_item(item: KeyValue, kind: RecordKind, model: type[T]) -> Outcome[Stored[T]]:
-    """Return the record in a stored value; a newer or corrupt one is a failure, left untouched."""
+    """Return the record in a stored value.
+
+    A newer or corrupt record is a failure with code VERSION, and the value is not modified.
+    """
     try:
         return Ok(Stored(decode_record(kind, item.value, model), item.mod_revision))
     except FormatError as error:
@@ -248,16 +254,16 @@
 
 
 def _as_not_run(outcome: Err) -> Err:
-    """Return the failure of a read as one that changed nothing, even if its answer was lost.
+    """Return the failure of a read with the verdict NOT_RUN, since a read changes nothing.
 
-    Whether an earlier write of the same request may have run is for those to say who made it.
+    If an earlier write of the same request may have run, its caller has to report that.
     """
     failure = outcome.err_value
     return not_run(failure.code, failure.message, failure.retry_after_s)
 
 
 def is_conflict(outcome: Err) -> bool:
-    """Return whether a write failed since somebody else had written."""
+    """Return whether a write failed because the key had another revision than expected."""
     return outcome.err_value.code is ErrorCode.CONFLICT
 
 
--- a/waxwingglade/version/following.py
+++ b/waxwingglade/version/following.py
@@ -1,6 +1,6 @@
-"""Following the store: a process that watches the head keeps its configuration up to date.
+"""Following the store: a process watches the head and puts each new version in force.
 
-Only a few entries of a zone do this; they pass what they learn on to the zone's other entries.
+Only a few entries of a zone do this.  The zone's other entries get new versions from them.
 """
 
 import asyncio
@@ -26,11 +26,11 @@
 from waxwingglade.version.snapshot import ConfigSnapshot, VersionRecord
 from waxwingglade.version.store_api import KeyValue, WatchKind
 
-REREAD_S = 3.0
-"""Seconds between reads of the head beside the watch, since a watch can fall silent."""
+POLL_S = 3.0
+"""Seconds between reads of the head besides the watch, since a watch can stop without an error."""
 
-RETRY_S = 0.5
-"""Seconds before a failed watch is set up again."""
+WATCH_RETRY_S = 0.5
+"""Seconds before a watch that ended or failed is established again."""
 
 FIRST_VERSION = ConfigVersion(1)
 SEED_PROPOSAL = ProposalId("seed")
@@ -38,28 +38,28 @@
 
 
 async def catch_up(records: ConfigStore, active: ActiveConfig) -> Outcome[bool]:
-    """Read the version in force from the store; return whether one is there."""
+    """Read the version in force from the store and offer it; return whether the store has one."""
     head = await records.read_head()
     if isinstance(head, Err):
         return head
     if head.ok_value is None:
         return Ok(False)
-    taken = await _take_head(records, active, head.ok_value.value)
-    return taken if isinstance(taken, Err) else Ok(True)
+    offered = await _offer_head(records, active, head.ok_value.value)
+    return offered if isinstance(offered, Err) else Ok(True)
 
 
 async def seed_store(
     records: ConfigStore, active: ActiveConfig, entry_ref: EntryRef, clock: Clock = wall
 ) -> Outcome[bool]:
-    """Make this entry's initial tree version 1 of a store that holds none.
+    """Write this entry's initial tree as version 1 to a store that has no version.
 
-    Only a tree that operators can go on to change is put there.  Call it after `catch_up` found no
-    version and the peers knew of none.
+    A tree that operators could not change afterwards is not written.  Call this function only after
+    `catch_up` has found no version and the peers know of none.
 
     Returns
     -------
     Outcome of bool
-        Whether this entry's tree was taken.
+        Whether this entry's tree became version 1.
     """
     initial = active.current
     if initial.version > 0:
@@ -81,14 +81,14 @@
 
 
 async def follow_store(records: ConfigStore, active: ActiveConfig) -> None:
-    """Keep a process up to date from the store until cancelled."""
-    rereading = asyncio.create_task(_reread(records, active))
+    """Put each new version of the store in force, until cancelled."""
+    polling = asyncio.create_task(_poll_head(records, active))
     try:
         while True:
             await _watch_once(records, active)
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(WATCH_RETRY_S)
     finally:
-        rereading.cancel()
+        polling.cancel()
 
 
 async def _watch_once(records: ConfigStore, active: ActiveConfig) -> None:
@@ -98,29 +98,29 @@
     if isinstance(listing, Err):
         return
     for item in listing.ok_value.items:
-        await _take_item(records, active, item)
+        await _offer_item(records, active, item)
     try:
         async for event in records.store.watch(key, listing.ok_value.revision + 1):
             if event.kind is WatchKind.DELETE:
                 logger.error("the configuration was deleted from the store; it stays in force")
                 continue
             for item in event.items:
-                await _take_item(records, active, item)
+                await _offer_item(records, active, item)
     except Exception as error:
         logger.warning("the watch of the configuration failed: {}", error)
 
 
-async def _reread(records: ConfigStore, active: ActiveConfig) -> None:
-    """Read the head from time to time."""
+async def _poll_head(records: ConfigStore, active: ActiveConfig) -> None:
+    """Read the head periodically."""
     while True:
-        await asyncio.sleep(REREAD_S)
+        await asyncio.sleep(POLL_S)
         outcome = await catch_up(records, active)
         if isinstance(outcome, Err):
             logger.debug("the configuration was not read: {}", outcome.err_value.message)
 
 
-async def _take_item(records: ConfigStore, active: ActiveConfig, item: KeyValue) -> None:
-    """Offer what a watch or listing gave."""
+async def _offer_item(records: ConfigStore, active: ActiveConfig, item: KeyValue) -> None:
+    """Offer the version in an item of a watch or listing."""
     if item.key != records.keys.head:
         return
     try:
@@ -128,11 +128,11 @@
     except FormatError as error:
         logger.error("{}: {}", item.key, error)
         return
-    await _take_head(records, active, head)
+    await _offer_head(records, active, head)
 
 
-async def _take_head(records: ConfigStore, active: ActiveConfig, head: Head) -> Outcome[None]:
-    """Offer the version of a head, reading from the store what is missing to rebuild it."""
+async def _offer_head(records: ConfigStore, active: ActiveConfig, head: Head) -> Outcome[None]:
+    """Offer the version of a head; read the records from the store that it is rebuilt from."""
     record = head.record
     if record.version < active.current.version:
         logger.error(
@@ -154,7 +154,7 @@
 
 
 def _first_head(first: ConfigSnapshot, entry_ref: EntryRef, at_s: float) -> Head:
-    """Return the head that puts an initial tree in force."""
+    """Return the head that puts the initial tree in force."""
     record = VersionRecord(
         version=first.version,
         base_hash="",
--- a/waxwingglade/version/level.py
+++ b/waxwingglade/version/level.py
@@ -1,8 +1,8 @@
-"""Names of the levels of the tree, and the levels that govern one program.
+"""Names of the tree's levels, and the levels that apply to a program.
 
-A level is named by its path: ``firm``, ``zone:NAME``, ``tenant:NAME``, and below a zone or tenant
-``.../CLASS`` and ``.../CLASS/PROGRAM``.  Two more levels hold what governs changes: ``approval``
-(its setting ``rules``) and ``operators`` (one setting for each operator, the value is the role).
+A level is identified by its path: ``firm``, ``zone:NAME`` or ``tenant:NAME``, and below a zone or
+tenant ``.../CLASS`` and ``.../CLASS/PROGRAM``.  Two more levels control changes: ``approval``, with
+the setting ``rules``, and ``operators``, with a setting for each operator whose value is the role.
 """
 
 from typing import NewType
@@ -27,18 +27,18 @@
 
 
 class PolicyPath(msgspec.Struct, frozen=True):
-    """Where a program stands in the tree.
+    """The path of a program, which determines the levels that apply to it.
 
     Parameters
     ----------
     zone : ZoneId
         Home availability zone.
     tenant : TenantId
-        Customer.
+        Tenant, a customer of the firm.
     program_class : ClassName
-        Class of programs.
+        Class of the program.
     program : ProgramName or None
-        Name of the agent program, as its operators created it; None where it has none.
+        Name of the agent program, given at its creation; None if it has no name.
     """
 
     zone: ZoneId
@@ -58,10 +58,10 @@
 
 
 def governing_levels(path: PolicyPath) -> list[LevelPath]:
-    """Return the levels whose overrides apply to a program, later ones winning.
+    """Return the levels whose overrides apply to a program, in ascending precedence.
 
-    A level nearer to the program wins; of two equally near ones, the tenant's wins over the
-    zone's.
+    A more specific level takes precedence.  Of two equally specific levels, the tenant's takes
+    precedence over the zone's.
     """
     zone = ZONE_PREFIX + path.zone
     tenant = TENANT_PREFIX + path.tenant
@@ -74,7 +74,7 @@
 
 
 def level_error(level: str) -> str | None:
-    """Return why `level` is not the path of a level, or None where it is one."""
+    """Return why `level` is not the path of a level, or None if it is one."""
     if level == FIRM or level in GOVERNING_LEVELS:
         return None
     for prefix in (ZONE_PREFIX, TENANT_PREFIX):
@@ -84,7 +84,7 @@
 
 
 def _names_error(names: list[str]) -> str | None:
-    """Return what is wrong with the names in a path below a zone or tenant."""
+    """Return why the names in a path below a zone or tenant are invalid, or None if valid."""
     if len(names) > MAX_PARTS:
         return "has too many parts: a program is the lowest level"
     for name in names:
--- a/waxwingglade/version/nested_form.py
+++ b/waxwingglade/version/nested_form.py
@@ -1,4 +1,4 @@
-"""The tree as operators write it in YAML: nested, with classes and programs inside."""
+"""Conversion between a tree and the nested form in which operators write it in YAML."""
 
 from typing import Any
 
@@ -19,8 +19,8 @@
     GROUPS,
     POLICY_TYPES,
     check_value,
-    nested,
-    unknown,
+    to_nested,
+    unknown_setting,
 )
 from waxwingglade.version.tree import Tree
 
@@ -30,7 +30,7 @@
 ZONES_KEY = "zones"
 TENANTS_KEY = "tenants"
 CHILD_KEYS = ["classes", "programs"]
-"""Key that holds the children of a zone or tenant, and of a class."""
+"""Keys of the children of a zone or tenant, and of a class."""
 
 BRANCHES = {ZONES_KEY: ZONE_PREFIX, TENANTS_KEY: TENANT_PREFIX}
 SINGLE_LEVELS = [FIRM, APPROVAL, OPERATORS]
@@ -38,21 +38,21 @@
 
 
 def parse_tree(data: object, source: str) -> Tree:
-    """Check a tree written in nested form.
+    """Check a tree in nested form and return it.
 
     Parameters
     ----------
     data : object
-        Plain data, such as a YAML file holds.
+        Plain data, as read from a YAML file.
     source : str
-        Named in errors.
+        Source of the data, named in errors.
 
     Raises
     ------
     SettingsError
-        Names source, level and reason of every error.
+        If the tree is invalid; names the source, the level and the reason of each error.
     FormatError
-        If the tree is of a newer format.
+        If the tree has a newer format.
     """
     if data is None:
         return Tree()
@@ -68,17 +68,17 @@
 
 
 def nested_tree(tree: Tree) -> dict[str, Any]:
-    """Return a tree in nested form, such as `parse_tree` reads."""
+    """Return a tree in the nested form that `parse_tree` reads."""
     result: dict[str, Any] = {FORMAT_KEY: TREE_FORMAT}
     for level in sorted(tree.levels):
         overrides = tree.levels[level]
         node = _node_of(result, level)
-        node.update(overrides if level in GOVERNING_LEVELS else nested(overrides))
+        node.update(overrides if level in GOVERNING_LEVELS else to_nested(overrides))
     return result
 
 
 class _Reader:
-    """Levels read so far and the errors met."""
+    """The levels read so far, and the errors found."""
 
     def __init__(self) -> None:
         self.levels: dict[LevelPath, dict[SettingName, Any]] = {}
@@ -86,7 +86,7 @@
 
 
 def _check_format(found: object, source: str) -> None:
-    """Raise unless the tree's format can be read."""
+    """Raise `SettingsError` or `FormatError` if the tree's format cannot be read."""
     if not isinstance(found, int) or found < 1:
         raise SettingsError(f"{source}: `format` must be a whole number from 1")
     if found > TREE_FORMAT:
@@ -96,24 +96,24 @@
 
 
 def _read_top(reader: _Reader, key: object, content: object) -> None:
-    """Read one top-level entry."""
+    """Read the content of one top-level key."""
     if key == FORMAT_KEY or content is None:
         return
     if key in SINGLE_LEVELS:
         _read_level(reader, LevelPath(str(key)), content, [])
         return
     if key not in BRANCHES:
-        reader.errors.append(str(unknown("tree", key, TOP_KEYS)))
+        reader.errors.append(str(unknown_setting("tree", key, TOP_KEYS)))
         return
     _read_children(reader, BRANCHES[str(key)], str(key), content, CHILD_KEYS)
 
 
 def _read_children(
-    reader: _Reader, prefix: str, place: str, content: object, child_keys: list[str]
+    reader: _Reader, prefix: str, location: str, content: object, child_keys: list[str]
 ) -> None:
-    """Read levels by name; `child_keys` are the keys for children at this depth and below."""
+    """Read the levels in a mapping of names; `child_keys` are the keys of their descendants."""
     if not isinstance(content, dict):
-        reader.errors.append(f"{place}: must be a mapping of names")
+        reader.errors.append(f"{location}: must be a mapping of names")
         return
     for name, node in content.items():
         level = LevelPath(f"{prefix}{name}")
@@ -124,7 +124,7 @@
 
 
 def _read_level(reader: _Reader, level: LevelPath, node: object, child_keys: list[str]) -> None:
-    """Read the overrides of one level and the levels below it."""
+    """Read the overrides of a level, and the levels below it."""
     if node is None:
         return
     if not isinstance(node, dict):
@@ -133,8 +133,8 @@
     overrides = dict(node)
     if child_keys and child_keys[0] in overrides:
         children = overrides.pop(child_keys[0])
-        place = f"{level}: `{child_keys[0]}`"
-        _read_children(reader, f"{level}/", place, children, child_keys[1:])
+        location = f"{level}: `{child_keys[0]}`"
+        _read_children(reader, f"{level}/", location, children, child_keys[1:])
     is_policy = level not in GOVERNING_LEVELS
     flat = _flatten(overrides) if is_policy else overrides
     values = _check_overrides(reader, level, flat, child_keys)
@@ -145,13 +145,13 @@
 def _check_overrides(
     reader: _Reader, level: LevelPath, overrides: dict[Any, Any], child_keys: list[str]
 ) -> dict[SettingName, Any]:
-    """Return a level's overrides in stored form, noting errors."""
+    """Return the valid overrides of a level in stored form, and record the errors."""
     values: dict[SettingName, Any] = {}
     valid = [*POLICY_TYPES, *GROUPS, *child_keys[:1]]
     for name, value in overrides.items():
         try:
             if level not in GOVERNING_LEVELS and name not in valid:
-                raise unknown(level, name, valid)
+                raise unknown_setting(level, name, valid)
             values[SettingName(name)] = check_value(level, str(name), value)
         except SettingsError as error:
             reader.errors.append(str(error))
@@ -159,7 +159,7 @@
 
 
 def _flatten(overrides: dict[Any, Any]) -> dict[Any, Any]:
-    """Return overrides with the members of groups under dotted names."""
+    """Return overrides with dotted names for the members of groups."""
     flat: dict[Any, Any] = {}
     for name, value in overrides.items():
         if name not in GROUPS or not isinstance(value, dict):
@@ -171,7 +171,7 @@
 
 
 def _node_of(result: dict[str, Any], level: LevelPath) -> dict[str, Any]:
-    """Return the nested mapping of a level, made where it is missing."""
+    """Return the nested mapping of a level; create it if it is missing."""
     for key, prefix in BRANCHES.items():
         if not level.startswith(prefix):
             continue
--- a/waxwingglade/version/proposal.py
+++ b/waxwingglade/version/proposal.py
@@ -1,4 +1,4 @@
-"""Proposals: changes that operators have put forward, and what was decided on them."""
+"""Proposals: changes that operators have proposed, with their approvals and states."""
 
 import hashlib
 from enum import Enum
@@ -15,7 +15,7 @@
 
 
 class ProposalState(Enum):
-    """Where a proposal stands; all but OPEN are final."""
+    """State of a proposal; all states except OPEN are final."""
 
     OPEN = "open"
     ACCEPTED = "accepted"
@@ -24,9 +24,9 @@
 
 
 class Approval(msgspec.Struct, frozen=True):
-    """One operator's consent to the text of a change.
+    """One operator's approval of the text of a change.
 
-    `text_digest` is the `digest_of` the text that the operator has read.
+    `text_digest` is `digest_of` of the text that the operator has read.
     """
 
     operator: OperatorId
@@ -35,26 +35,26 @@
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """A change put forward.
+    """A proposed change.
 
     Parameters
     ----------
     id : ProposalId
-        Chosen by the proposer, so that a retry is recognised.
+        Identifier chosen by the proposer, so that a retry is recognised.
     base_version : ConfigVersion
-        Version that the proposer had before them.
+        Version on which the proposer based the change.
     proposer : OperatorId
-        Who put it forward; may not approve it.
+        Operator who proposed the change, and who may not approve it.
     changes : list of Change
-        Overrides to set or remove, never changed afterwards.
+        Overrides to set or remove; they are never changed afterwards.
     text : str
-        The change in words: a line for each override with its old and new value.
+        The change as text: a line for each override with its old and new value.
     created_at_s, closed_at_s : float
         Seconds since 1970.
     closed_by, reason : OperatorId, str
-        Who decided, and why.
+        Operator who accepted, rejected or withdrew the proposal, and the reason.
     version : ConfigVersion or None
-        Version that it became.
+        Version that the proposal became.
     """
 
     id: ProposalId
@@ -72,7 +72,7 @@
 
 
 def change_text(tree: Tree, changes: list[Change]) -> str:
-    """Return changes in words, as they are seen from `tree`; the same for the same change."""
+    """Return changes as text with the old values of `tree`; the order of changes is irrelevant."""
     lines = []
     for change in sorted(changes, key=lambda each: (each.level, each.setting)):
         old = _in_words(override_of(tree, change.level, change.setting))
@@ -82,17 +82,17 @@
 
 
 def digest_of(text: str) -> str:
-    """Return the digest by which an approval names the text of a change."""
+    """Return the digest with which an approval identifies the text of a change."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def touched_settings(changes: list[Change]) -> set[tuple[str, str]]:
-    """Return the levels and settings that changes touch."""
+    """Return the levels and settings that are changed."""
     return {(change.level, change.setting) for change in changes}
 
 
 def with_approval(proposal: Proposal, approval: Approval) -> Outcome[Proposal]:
-    """Return the proposal with one approval more, unchanged where the operator has given it."""
+    """Return the proposal with another approval, or unchanged if the operator has approved it."""
     if any(given.operator == approval.operator for given in proposal.approvals):
         return Ok(proposal)
     if proposal.state is not ProposalState.OPEN:
@@ -108,7 +108,7 @@
 def with_closure(
     proposal: Proposal, state: ProposalState, operator: OperatorId, reason: str, at_s: float
 ) -> Outcome[Proposal]:
-    """Return the proposal rejected or withdrawn, unchanged where it already is."""
+    """Return the proposal as rejected or withdrawn, or unchanged if it already is."""
     if proposal.state is state:
         return Ok(proposal)
     if proposal.state is not ProposalState.OPEN:
@@ -123,7 +123,7 @@
 def with_acceptance(
     proposal: Proposal, version: ConfigVersion, operator: OperatorId, at_s: float
 ) -> Proposal:
-    """Return the proposal as accepted, whatever was recorded of it before."""
+    """Return the proposal as accepted, whatever its recorded state is."""
     return msgspec.structs.replace(
         proposal,
         state=ProposalState.ACCEPTED,
@@ -134,7 +134,7 @@
 
 
 def _in_words(value: object) -> str:
-    """Return a value on one line, whatever it holds."""
+    """Return a value as text in one line."""
     if value is None:
         return INHERITED
     return msgspec.json.encode(value, order="sorted").decode()
--- a/waxwingglade/version/proposal_context.py
+++ b/waxwingglade/version/proposal_context.py
@@ -1,4 +1,4 @@
-"""What the store says about a proposal at one moment, acceptance included."""
+"""A consistent read of a proposal, the version in force, and the versions since its base."""
 
 import msgspec
 
@@ -14,14 +14,14 @@
     Parameters
     ----------
     head : Stored of Head
-        Read before the proposal, so that a decision that is in the proposal's record before the
-        head is swapped is always seen.
+        The head, read before the proposal.  A rejection or withdrawal writes the proposal first and
+        then the head, so an acceptance either reads the closed proposal or fails to swap the head.
     proposal : Stored of Proposal
-        As recorded; the record may lag behind an acceptance.
+        The proposal as recorded; the record may not show an acceptance yet.
     since : list of VersionRecord
         The versions after the proposal's base.
     accepted : VersionRecord or None
-        The version that the proposal became.  Only this tells whether it was accepted.
+        The version that the proposal became.  Only this shows reliably whether it was accepted.
     """
 
     head: Stored[Head]
@@ -31,7 +31,7 @@
 
 
 async def read_known_head(records: ConfigStore) -> Outcome[Stored[Head]]:
-    """Return the version in force; that there is none yet is a failure."""
+    """Return the head; it is a failure if the store has none yet."""
     head = await records.read_head()
     if isinstance(head, Err):
         return head
@@ -43,7 +43,7 @@
 async def read_proposal_context(
     records: ConfigStore, proposal: ProposalId
 ) -> Outcome[ProposalContext]:
-    """Read the version in force, then a proposal, then the versions since its base."""
+    """Read the head, then a proposal, then the versions since the proposal's base."""
     head = await read_known_head(records)
     if isinstance(head, Err):
         return head
@@ -62,7 +62,7 @@
 async def versions_since(
     records: ConfigStore, head: Head, base: ConfigVersion
 ) -> Outcome[list[VersionRecord]]:
-    """Return the versions after `base`, the one in force included."""
+    """Return the versions after `base`, including the one in force."""
     if base >= head.record.version:
         return Ok([])
     between = await records.read_versions(base + 1, head.record.version - 1)
@@ -72,7 +72,10 @@
 
 
 def _from_record(proposal: Stored[Proposal], failure: Err) -> Outcome[ProposalContext]:
-    """Return what a proposal's own record says where the history no longer reaches its base."""
+    """Return the failure for a proposal whose base is older than the retained history.
+
+    Only the proposal's own record can then show whether it was accepted.
+    """
     decided = proposal.value
     if failure.err_value.code is not ErrorCode.NOT_FOUND:
         return failure
@@ -81,5 +84,5 @@
             ErrorCode.CONFLICT,
             f"proposal {decided.id} was accepted as version {decided.version}",
         )
-    # An acceptance whose mark on the record was lost can no longer be looked up.
+    # The proposal may have been accepted without its record showing it; this is now unknown.
     return may_have_run(ErrorCode.NOT_FOUND, f"{failure.err_value.message}: propose anew")
--- a/waxwingglade/version/proposing.py
+++ b/waxwingglade/version/proposing.py
@@ -1,4 +1,4 @@
-"""Putting a change forward: it is checked against the version in force, then recorded once."""
+"""Creation of proposals: a change is checked against the version in force and recorded once."""
 
 import msgspec
 
@@ -28,7 +28,7 @@
 
 
 class ProposalRequest(msgspec.Struct, frozen=True):
-    """What an operator asks for, on the version that they had before them."""
+    """A change that an operator proposes, based on the version `base_version`."""
 
     id: ProposalId
     proposer: OperatorId
@@ -40,7 +40,7 @@
 async def propose_changes(
     records: ConfigStore, active: ActiveConfig, request: ProposalRequest
 ) -> Outcome[Proposal]:
-    """Record a proposal, once; a repeat of the same request returns the proposal."""
+    """Record a proposal once; a repeat of the same request returns the proposal."""
     if not CALL_ID_PATTERN.match(request.id):
         return not_run(ErrorCode.BAD_REQUEST, f"`{request.id}` is not an id for a proposal")
     found = await records.read_proposal(request.id)
@@ -57,7 +57,7 @@
 async def _checked_proposal(
     records: ConfigStore, active: ActiveConfig, request: ProposalRequest
 ) -> Outcome[Proposal]:
-    """Return a draft as a proposal, if it could be accepted some time."""
+    """Return the proposal for a request, if the proposal can ever be accepted."""
     head = await read_known_head(records)
     if isinstance(head, Err):
         return head
@@ -80,7 +80,7 @@
 def _check_changes(
     current: ConfigSnapshot, request: ProposalRequest, since: list[VersionRecord]
 ) -> Outcome[list[Change]]:
-    """Return a draft's changes in stored form, if its proposer may make them."""
+    """Return a request's changes in stored form, if its proposer may make them."""
     if request.base_version > current.version:
         return not_run(ErrorCode.BAD_REQUEST, f"there is no version {request.base_version} yet")
     if not has_role(current.tree, request.proposer, Role.PROPOSER):
@@ -89,30 +89,30 @@
         changes = check_changes(current.tree, request.changes)
     except SettingsError as error:
         return not_run(ErrorCode.BAD_REQUEST, str(error))
-    other = conflicting_version(changes, since)
-    if other is not None:
-        return not_run(ErrorCode.CONFLICT, f"version {other.version} changed the same")
-    never = never_met_reasons(current.tree, changes, request.proposer)
-    if never:
-        return not_run(ErrorCode.FORBIDDEN, "; ".join(never))
+    conflicting = conflicting_version(changes, since)
+    if conflicting is not None:
+        return not_run(ErrorCode.CONFLICT, f"version {conflicting.version} changed the same")
+    reasons = never_met_reasons(current.tree, changes, request.proposer)
+    if reasons:
+        return not_run(ErrorCode.FORBIDDEN, "; ".join(reasons))
     return _check_size_and_result(current, changes)
 
 
 def _check_size_and_result(current: ConfigSnapshot, changes: list[Change]) -> Outcome[list[Change]]:
-    """Return changes that can be stored and leave a tree that can be changed further."""
+    """Return the changes if they can be stored and the resulting tree can be changed further."""
     if len(msgspec.msgpack.encode(changes)) > MAX_PROPOSAL_BYTES:
         return not_run(ErrorCode.TOO_LARGE, f"a proposal may take {MAX_PROPOSAL_BYTES} bytes")
     after = apply_changes(current.tree, changes)
-    wrong = check_result(after, ConfigVersion(current.version + 1))
-    if wrong is not None:
-        return not_run(ErrorCode.BAD_REQUEST, wrong)
+    problem = check_result(after, ConfigVersion(current.version + 1))
+    if problem is not None:
+        return not_run(ErrorCode.BAD_REQUEST, problem)
     return Ok(changes)
 
 
 async def _create(
     records: ConfigStore, proposal: Proposal, request: ProposalRequest
 ) -> Outcome[Proposal]:
-    """Write a new proposal; whoever wrote the same first has done it for us."""
+    """Write a new proposal; if the same proposal has been written by now, return that one."""
     uncertain = False
     for _ in range(ATTEMPTS):
         written = await records.write_proposal(proposal, 0)
@@ -128,7 +128,7 @@
 
 
 def _same_or_conflict(present: Proposal, request: ProposalRequest) -> Outcome[Proposal]:
-    """Return the proposal that is there already, if `draft` is a repeat of what made it."""
+    """Return the existing proposal if `request` is a repeat of the request that created it."""
     try:
         changes = stored_form(request.changes)
     except SettingsError as error:
--- a/waxwingglade/version/record.py
+++ b/waxwingglade/version/record.py
@@ -1,4 +1,4 @@
-"""Encoding of what is stored and sent: each record with its format version and a checksum."""
+"""Encoding of stored and sent records, each with a format version and a checksum."""
 
 import zlib
 from enum import Enum
@@ -12,14 +12,14 @@
 T = TypeVar("T")
 
 FORMAT = 1
-"""Format that this release writes, and the newest that it reads."""
+"""Format version that this release writes, and the newest one that it reads."""
 
 MAX_BODY_BYTES = 32_000_000
 COMPRESSION_LEVEL = 6
 
 
 class RecordKind(Enum):
-    """What a record holds."""
+    """Content of a record."""
 
     HEAD = "head"
     VERSION = "version"
@@ -29,11 +29,11 @@
 
 
 class NewerFormatError(FormatError):
-    """A record was written by a newer release; it must be left untouched."""
+    """A record was written by a newer release and must not be modified."""
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """Frame of every record; the format comes first in every release."""
+    """Envelope of every record; the format is the first field in all releases."""
 
     format: int
     kind: RecordKind
@@ -43,7 +43,7 @@
 
 
 class FormatProbe(msgspec.Struct, frozen=True, array_like=True):
-    """The part of an envelope that every release can read."""
+    """The part of an envelope that all releases can read."""
 
     format: int
 
@@ -58,7 +58,7 @@
 
 
 def record_kind(data: bytes) -> RecordKind:
-    """Return what a record holds, or raise `FormatError`."""
+    """Return the kind of a record, or raise `FormatError`."""
     return _open(data).kind
 
 
@@ -70,7 +70,7 @@
     NewerFormatError
         If a newer release wrote it.
     FormatError
-        If it is torn, corrupt or of another kind.
+        If it is truncated, corrupt or of another kind.
     """
     envelope = _open(data)
     if envelope.kind is not kind:
@@ -82,7 +82,7 @@
 
 
 def _open(data: bytes) -> Envelope:
-    """Return the envelope of a record after its format and checksum were checked."""
+    """Return the envelope of a record; raise `FormatError` if format or checksum is wrong."""
     try:
         found = msgspec.msgpack.decode(data, type=FormatProbe).format
     except msgspec.MsgspecError as error:
@@ -101,7 +101,7 @@
 
 
 def _body_of(envelope: Envelope) -> bytes:
-    """Return the body of a record, decompressed up to a bound."""
+    """Return the body of a record, decompressed to at most `MAX_BODY_BYTES`."""
     if not envelope.compressed:
         return envelope.body
     unpacker = zlib.decompressobj()
--- a/waxwingglade/version/review.py
+++ b/waxwingglade/version/review.py
@@ -1,4 +1,4 @@
-"""Decisions on a proposal's own record: approval, rejection, withdrawal."""
+"""Changes to the record of a proposal: approval, rejection and withdrawal."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,16 +15,16 @@
 from waxwingglade.version.snapshot import VersionRecord
 
 PermissionCheck = Callable[[ProposalContext], Awaitable[Outcome[None]]]
-"""Says whether an operator may decide."""
+"""Checks whether an operator may make a change to a proposal."""
 
 ProposalEdit = Callable[[Proposal], Outcome[Proposal]]
-"""Returns a proposal as it should be; unchanged where it already is."""
+"""Returns the changed proposal, or the same proposal if it has been changed already."""
 
 
 def require_role(
     records: ConfigStore, active: ActiveConfig, operator: OperatorId, least: Role
 ) -> PermissionCheck:
-    """Return a check of an operator's role in the version in force."""
+    """Return a check that an operator has at least a role in the version in force."""
 
     async def check(context: ProposalContext) -> Outcome[None]:
         loaded = await records.load(context.head.value, active.current)
@@ -38,7 +38,7 @@
 
 
 def require_proposer(operator: OperatorId) -> PermissionCheck:
-    """Return a check that an operator decides on their own proposal."""
+    """Return a check that an operator is the proposer."""
 
     async def check(context: ProposalContext) -> Outcome[None]:
         if context.proposal.value.proposer == operator:
@@ -51,8 +51,9 @@
 async def edit_proposal(
     records: ConfigStore, proposal: ProposalId, check: PermissionCheck, edit: ProposalEdit
 ) -> Outcome[Proposal]:
-    """Change a proposal's record by compare-and-swap, unless it is changed already."""
-    uncertain_revision: int | None = None  # revision that a write without an answer expected
+    """Change a proposal's record by compare-and-swap, unless it has been changed already."""
+    # Revision of the proposal that a write of unknown outcome expected.
+    uncertain_revision: int | None = None
     for _ in range(ATTEMPTS):
         read = await read_proposal_context(records, proposal)
         if isinstance(read, Err):
@@ -80,7 +81,7 @@
 async def close_proposal(
     records: ConfigStore, proposal: ProposalId, check: PermissionCheck, edit: ProposalEdit
 ) -> Outcome[Proposal]:
-    """Close a proposal, and see to it that no acceptance under way can still succeed."""
+    """Close a proposal, and ensure that no concurrent acceptance can still succeed."""
     edited = await edit_proposal(records, proposal, check, edit)
     if isinstance(edited, Err):
         return edited
@@ -88,7 +89,7 @@
 
 
 async def mark_accepted(records: ConfigStore, record: VersionRecord) -> None:
-    """Note the acceptance in the proposal's record; the history tells it even without."""
+    """Mark the proposal's record as accepted; a failure is harmless, as the history shows it."""
     found = await records.read_proposal(record.proposal)
     if isinstance(found, Err) or found.ok_value is None:
         return
@@ -102,7 +103,7 @@
 
 
 def current_proposal(context: ProposalContext) -> Proposal:
-    """Return a proposal with its acceptance, even where its record lags behind."""
+    """Return a proposal with its acceptance, even if its record does not show it yet."""
     if context.accepted is None:
         return context.proposal.value
     return _with_version(context.proposal.value, context.accepted)
@@ -111,7 +112,7 @@
 async def _apply_edit(
     context: ProposalContext, check: PermissionCheck, edit: ProposalEdit
 ) -> Outcome[Proposal]:
-    """Return a proposal as an operator wants it, if the operator may."""
+    """Check the permission and return the changed proposal."""
     allowed = await check(context)
     if isinstance(allowed, Err):
         return allowed
@@ -119,9 +120,9 @@
 
 
 async def _fence(records: ConfigStore, proposal: ProposalId) -> Outcome[Proposal]:
-    """Rewrite the head as it is, so that swaps which expect its present revision fail.
+    """Rewrite the head unchanged, so that swaps that expect its current revision fail.
 
-    Who reads the head after this reads the closed proposal after it.
+    An acceptance that reads the head afterwards also reads the closed proposal.
     """
     for _ in range(ATTEMPTS):
         read = await read_proposal_context(records, proposal)
@@ -142,7 +143,7 @@
 
 
 def _with_version(proposal: Proposal, record: VersionRecord) -> Proposal:
-    """Return a proposal as the version that it became shows it."""
+    """Return a proposal as accepted by the record of its version."""
     return with_acceptance(proposal, record.version, record.accepted_by, record.accepted_at_s)
 
 
--- a/waxwingglade/version/rule.py
+++ b/waxwingglade/version/rule.py
@@ -1,4 +1,4 @@
-"""Approval rules as data: which changes need whose approval, and when they may take effect."""
+"""Approval rules: which changes need whose approval, and when they may be accepted."""
 
 from typing import Annotated
 
@@ -17,29 +17,29 @@
 
 
 class HoursUtc(Strict):
-    """Hours of the day (UTC) from `start` until just before `end`; may pass midnight."""
+    """Hours of the day (UTC) from `start` up to but excluding `end`; may span midnight."""
 
     start: Annotated[int, msgspec.Meta(ge=0, le=23)]
     end: Annotated[int, msgspec.Meta(ge=0, le=24)]
 
 
 class ApprovalRule(Strict):
-    """What a change needs before it may be accepted.
+    """Requirements for the acceptance of the changes that the rule covers.
 
     Parameters
     ----------
     name : str
-        For messages.
+        Name of the rule, used in messages.
     levels, settings : list of str
-        Patterns (``*`` and ``?``) of level paths and setting names that the rule covers.
+        Patterns (``*`` and ``?``) of the level paths and setting names that the rule covers.
     approvals : int
-        Approvals needed, each by another operator and none by the proposer.
+        Number of operators, other than the proposer, who have to approve.
     role : Role
-        Least role of an operator whose approval counts.
+        Lowest role of an operator whose approval counts.
     operators : list of OperatorId
-        If not empty, only these operators' approvals count.
+        If not empty, only approvals of these operators count.
     hours : HoursUtc or None
-        When the change may be accepted; None for any time.
+        Hours at which the change may be accepted; None for any time.
     """
 
     name: Name
@@ -52,7 +52,7 @@
 
 
 DEFAULT_RULE = ApprovalRule(name="default")
-"""Governs every change that no rule of the tree covers."""
+"""Applies to each change that no rule of the tree covers."""
 
 
 def role_at_least(role: Role, least: Role) -> bool:
@@ -61,7 +61,7 @@
 
 
 def allowed_hours(rule: ApprovalRule) -> frozenset[int]:
-    """Return the hours of the day (UTC) at which the rule lets a change be accepted."""
+    """Return the hours of the day (UTC) at which the rule allows a change to be accepted."""
     if rule.hours is None:
         return ALL_HOURS
     start, end = rule.hours.start, rule.hours.end
--- a/waxwingglade/version/saved_copy.py
+++ b/waxwingglade/version/saved_copy.py
@@ -1,4 +1,4 @@
-"""A copy of the version in force in a data folder, to start from while the store is down."""
+"""A copy of the version in force in the data folder, used at start while the store is down."""
 
 import asyncio
 import os
@@ -16,14 +16,14 @@
 COPY_NAME = "config.snapshot"
 PARTIAL_SUFFIX = ".partial"
 SAVE_PERIOD_S = 0.5
-"""Seconds between copies while versions follow each other closely."""
+"""Minimum seconds between two copies; of versions in quick succession only the last is copied."""
 
 
 def open_active(settings: ProcessSettings) -> ActiveConfig:
-    """Return the configuration that a process starts with.
+    """Return the configuration with which a process starts.
 
-    It is the tree in the settings as version 0, or the copy in the data folder where there is one.
-    Both may be out of date: `ActiveConfig.confirmed` is False until store or peers were heard.
+    It is the copy in the data folder if there is one, else the tree in the settings as version 0.
+    Both may be outdated, so `ActiveConfig.confirmed` is False until the store or a peer answers.
     """
     initial = ConfigSnapshot(0, parse_tree(settings.config, f"{settings.entry}: config"))
     active = ActiveConfig(initial)
@@ -36,7 +36,10 @@
 
 
 def load_copy(folder: Path) -> ConfigSnapshot | None:
-    """Return the version copied to a folder; one that cannot be read is logged and left."""
+    """Return the version copied to a folder, or None.
+
+    A copy that cannot be read is logged and not modified.
+    """
     path = folder / COPY_NAME
     try:
         return decode_snapshot(path.read_bytes())
@@ -48,9 +51,10 @@
 
 
 def save_copy(folder: Path, snapshot: ConfigSnapshot) -> bool:
-    """Copy a version to a folder, unless what is there is higher or of a newer format.
+    """Copy a version to a folder; return whether it was copied.
 
-    The copy is whole or absent after a crash at any point.
+    A copy of an equal or higher version, or of a newer format, is not replaced.  A crash at any
+    point leaves either the previous copy or the complete new one.
     """
     path = folder / COPY_NAME
     if not _may_replace(path, snapshot):
@@ -68,7 +72,7 @@
 async def maintain_copy(
     active: ActiveConfig, folder: Path, period_s: float = SAVE_PERIOD_S
 ) -> None:
-    """Copy each version to a folder until cancelled, the last of those in a period."""
+    """Copy new versions to a folder until cancelled, at most one every `period_s` seconds."""
     while True:
         changed = active.changed
         snapshot = active.current
@@ -79,7 +83,7 @@
 
 
 async def _try_save(folder: Path, snapshot: ConfigSnapshot) -> None:
-    """Copy a version in a thread, since the disk may be slow; a failure is logged."""
+    """Copy a version in a separate thread, since the disk may be slow; log a failure."""
     try:
         await asyncio.to_thread(save_copy, folder, snapshot)
     except OSError as error:
@@ -87,7 +91,7 @@
 
 
 def _may_replace(path: Path, snapshot: ConfigSnapshot) -> bool:
-    """Return whether a snapshot may take the place of the copy at `path`."""
+    """Return whether a snapshot may replace the copy at `path`."""
     try:
         present = decode_snapshot(path.read_bytes())
     except FileNotFoundError:
@@ -101,7 +105,7 @@
 
 
 def _sync_folder(folder: Path) -> None:
-    """Make the name of a new file durable."""
+    """Make the rename of a file in the folder durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/waxwingglade/version/schema.py
+++ b/waxwingglade/version/schema.py
@@ -1,4 +1,4 @@
-"""Which settings a level may hold, and the check of one value."""
+"""Settings that the levels of the tree may have, and checks of their values."""
 
 import difflib
 import math
@@ -28,11 +28,11 @@
     "max_output_tokens": POSITIVE,
     "budget.wall_s": POSITIVE,
 }
-"""Bounds of numbers; a number that is not named here may not be negative."""
+"""Limits of numeric settings; those that are not listed may not be negative."""
 
 
 def _flat_types(model: type[msgspec.Struct], group: str = "") -> dict[SettingName, Any]:
-    """Return the type of each setting of a settings class, groups flattened to dotted names."""
+    """Return the type of each setting of a settings class, with dotted names for groups."""
     types: dict[SettingName, Any] = {}
     for field in msgspec.structs.fields(model):
         name = group + field.encode_name
@@ -56,7 +56,7 @@
     Raises
     ------
     SettingsError
-        If the level has no such setting or the value does not fit; names level and setting.
+        If the level has no such setting or the value is invalid; names the level and the setting.
     """
     value_type = _type_of(level, setting)
     try:
@@ -69,19 +69,19 @@
 
 
 def is_known(level: LevelPath, setting: str) -> bool:
-    """Return whether this release knows a setting of a level."""
+    """Return whether this release supports a setting of a level."""
     return level == OPERATORS or setting in (POLICY_TYPES if level != APPROVAL else (RULES,))
 
 
-def unknown(level: str, name: object, valid: list[str]) -> SettingsError:
-    """Return the complaint about an unknown name, with the nearest valid one."""
-    near = difflib.get_close_matches(str(name), valid, n=1)
-    hint = f" (did you mean `{near[0]}`?)" if near else ""
+def unknown_setting(level: str, name: object, valid: list[str]) -> SettingsError:
+    """Return the error for an unknown name, which suggests the most similar valid name."""
+    similar = difflib.get_close_matches(str(name), valid, n=1)
+    hint = f" (did you mean `{similar[0]}`?)" if similar else ""
     return SettingsError(f"{level}: unknown setting `{name}`{hint}")
 
 
-def nested(values: dict[SettingName, Any]) -> dict[str, Any]:
-    """Return settings with dotted names as nested groups."""
+def to_nested(values: dict[SettingName, Any]) -> dict[str, Any]:
+    """Return settings with dotted names as nested mappings."""
     result: dict[str, Any] = {}
     for name, value in values.items():
         group, separator, member = name.partition(GROUP_SEPARATOR)
@@ -96,7 +96,7 @@
     """Return the type of a setting of a level, or raise `SettingsError`."""
     if level == APPROVAL:
         if setting != RULES:
-            raise unknown(level, setting, [RULES])
+            raise unknown_setting(level, setting, [RULES])
         return RULES_TYPE
     if level == OPERATORS:
         _check_operator(setting)
@@ -105,11 +105,11 @@
         members = ", ".join(name for name in POLICY_TYPES if name.startswith(setting + "."))
         raise SettingsError(f"{level}: `{setting}` is a group; name one of {members}")
     if setting not in POLICY_TYPES:
-        raise unknown(level, setting, list(POLICY_TYPES))
+        raise unknown_setting(level, setting, list(POLICY_TYPES))
     return POLICY_TYPES[SettingName(setting)]
 
 
 def _check_operator(name: str) -> None:
-    """Raise `SettingsError` if `name` cannot be an operator's."""
+    """Raise `SettingsError` if `name` is not a valid name of an operator."""
     if not NAME_PATTERN.match(name):
         raise SettingsError(f"{OPERATORS}: `{name}` is not an operator's name")
--- a/waxwingglade/version/service.py
+++ b/waxwingglade/version/service.py
@@ -1,7 +1,7 @@
-"""What operators do with the configuration, through any entry.
+"""The operations on the configuration that any entry offers to operators.
 
-Every operation may be repeated after a failure: the proposer chooses the proposal's id, and what
-was done already is reported again rather than done twice.
+Every operation may be repeated after a failure.  The proposer chooses the proposal's identifier,
+and a repeat reports the result of the first request instead of running again.
 """
 
 from waxwingglade.base import Clock, ConfigVersion, EntryRef, Err, Ok, OperatorId, Outcome, wall
@@ -32,24 +32,24 @@
 from waxwingglade.version.tree import Change
 
 HISTORY_LIMIT = 100
-"""Versions shown where the operator names no number."""
+"""Default number of versions to show."""
 
 
 class ConfigService:
-    """The operators' operations, as one entry offers them.
+    """The operations that one entry offers to operators.
 
     Parameters
     ----------
     store : Store
         Client of the platform's key-value service.
     entry_ref : EntryRef
-        This entry; named in the records of versions.
+        This entry; its name is recorded in accepted versions.
     active : ActiveConfig
-        Raised at once by what is accepted here.
+        The version in force here; a version that is accepted here comes into force at once.
     keys : ConfigKeys, optional
         Names of the keys in the store.
     clock : Clock
-        Seconds since 1970, for records and the rules' hours.
+        Wall clock in seconds since 1970, for records and for the hours of rules.
     """
 
     def __init__(
@@ -72,14 +72,14 @@
         base_version: ConfigVersion,
         changes: list[Change],
     ) -> Outcome[Proposal]:
-        """Put changes forward; a repeat with the same id and content returns the proposal."""
+        """Propose changes; a repeat with the same id and content returns the proposal."""
         request = ProposalRequest(proposal, operator, base_version, changes, self.clock())
         return await propose_changes(self.records, self.active, request)
 
     async def approve(
         self, proposal: ProposalId, operator: OperatorId, text_digest: str
     ) -> Outcome[Proposal]:
-        """Approve the text with the given digest (`digest_of` the proposal's text)."""
+        """Approve the text with the given digest (`digest_of` of the proposal's text)."""
         approval = Approval(operator, text_digest, self.clock())
         check = require_role(self.records, self.active, operator, Role.APPROVER)
         return await edit_proposal(
@@ -89,7 +89,7 @@
     async def reject(
         self, proposal: ProposalId, operator: OperatorId, reason: str = ""
     ) -> Outcome[Proposal]:
-        """Close a proposal against its proposer's wish."""
+        """Close a proposal as an approver."""
         at_s = self.clock()
         check = require_role(self.records, self.active, operator, Role.APPROVER)
         return await close_proposal(
@@ -100,7 +100,7 @@
         )
 
     async def withdraw(self, proposal: ProposalId, operator: OperatorId) -> Outcome[Proposal]:
-        """Take one's own proposal back."""
+        """Close a proposal as its proposer."""
         at_s = self.clock()
         return await close_proposal(
             self.records,
@@ -118,12 +118,12 @@
         return outcome
 
     async def proposal(self, proposal: ProposalId) -> Outcome[Proposal]:
-        """Return a proposal as it stands."""
+        """Return a proposal in its current state."""
         read = await read_proposal_context(self.records, proposal)
         return read if isinstance(read, Err) else Ok(current_proposal(read.ok_value))
 
     async def proposals(self, state: ProposalState | None = None) -> Outcome[list[Proposal]]:
-        """Return the proposals that are kept, oldest first, as their records have them."""
+        """Return the retained proposals as recorded, oldest first, optionally only of one state."""
         listed = await self.records.list_proposals()
         if isinstance(listed, Err):
             return listed
@@ -131,7 +131,7 @@
         return Ok(sorted(found, key=lambda each: each.created_at_s))
 
     async def history(self, limit: int = HISTORY_LIMIT) -> Outcome[list[VersionRecord]]:
-        """Return the last accepted versions that are kept, newest first."""
+        """Return the last accepted versions that are retained, newest first."""
         head = await read_known_head(self.records)
         if isinstance(head, Err):
             return head
--- a/waxwingglade/version/snapshot.py
+++ b/waxwingglade/version/snapshot.py
@@ -1,4 +1,4 @@
-"""Versions of the tree: one in memory, and the records from which it is rebuilt."""
+"""Versions of the tree in memory, and the records from which they are rebuilt."""
 
 import functools
 from collections.abc import Iterable
@@ -19,14 +19,14 @@
 from waxwingglade.version.tree import Change, Tree, apply_changes, resolve, tree_hash
 
 CACHED_POLICIES = 8192
-"""Resolved policies that a snapshot remembers."""
+"""Maximum number of resolved policies that a snapshot caches."""
 
 
 class ConfigDigest(msgspec.Struct, frozen=True):
-    """Names a version by number and content, for heartbeats.
+    """Identifies a version by its number and content, for heartbeats.
 
-    `confirmed` says whether the sender has heard since its start from the store, or from a peer
-    that had, that no higher version was known.
+    `confirmed` is as in `ActiveConfig`: since the sender's start, the store or a confirmed peer has
+    answered that it knows no higher version.
     """
 
     version: ConfigVersion
@@ -35,20 +35,20 @@
 
 
 class VersionRecord(msgspec.Struct, frozen=True):
-    """How one version came from the version before: what, by whom and when.
+    """How one version was made from the previous one, by whom and when.
 
     Parameters
     ----------
     version : ConfigVersion
-        The version that it made.
+        Number of the version.
     base_hash, hash : str
-        `tree_hash` before and after.
+        `tree_hash` of the previous version and of this version.
     changes : list of Change
         Overrides set and removed.
     proposal, proposer, approvals : ProposalId, OperatorId, list of Approval
-        The proposal that was accepted.
+        The accepted proposal, with its proposer and approvals.
     accepted_by, entry : OperatorId, EntryId
-        Who accepted it, at which entry.
+        Operator who accepted it, and the entry that received the request.
     accepted_at_s : float
         Seconds since 1970 by that entry's clock.
     """
@@ -72,7 +72,7 @@
 
 
 class SnapshotRecord(msgspec.Struct, frozen=True):
-    """A whole tree, as stored and sent."""
+    """A complete tree, as stored and sent."""
 
     version: ConfigVersion
     hash: str
@@ -82,7 +82,7 @@
 class ConfigSnapshot:
     """One version of the tree in memory.
 
-    A call keeps the snapshot that it began with.
+    A call uses the snapshot with which it started until it ends.
 
     Attributes
     ----------
@@ -101,17 +101,17 @@
         self.cached_resolve = functools.lru_cache(CACHED_POLICIES)(functools.partial(resolve, tree))
 
     def resolve(self, path: PolicyPath) -> ProgramPolicy:
-        """Return the policy of a program; remembered, so that a repeat costs a look-up."""
+        """Return the policy of a program; results are cached."""
         return self.cached_resolve(path)
 
 
 def replay(snapshot: ConfigSnapshot, records: list[VersionRecord]) -> ConfigSnapshot:
-    """Return the version that consecutive records make of a snapshot.
+    """Return the version that results from applying consecutive records to a snapshot.
 
     Raises
     ------
     FormatError
-        If a record does not follow from what is before it.
+        If a record does not follow from the previous version.
     """
     tree, version, content = snapshot.tree, snapshot.version, snapshot.hash
     for record in records:
@@ -120,14 +120,14 @@
         _check_known(record.version, ((each.level, each.setting) for each in record.changes))
         tree = apply_changes(tree, record.changes)
         version, content = record.version, record.hash
-    # One hash over the result is enough: each record names the hash that it starts from.
+    # It is enough to hash the result, since each record contains the hash of its base.
     if records and tree_hash(tree) != content:
         raise FormatError(f"version {version} differs from what was accepted")
     return ConfigSnapshot(version, tree, content)
 
 
 def encode_snapshot(snapshot: ConfigSnapshot) -> bytes:
-    """Return a whole version as a compressed record."""
+    """Return a complete version as a compressed record."""
     record = SnapshotRecord(snapshot.version, snapshot.hash, snapshot.tree)
     return encode_record(RecordKind.SNAPSHOT, record, compress=True)
 
@@ -143,7 +143,7 @@
 
 
 def _check_known(version: ConfigVersion, settings: Iterable[tuple[LevelPath, SettingName]]) -> None:
-    """Raise `NewerFormatError` if a version has a setting that only a newer release knows."""
+    """Raise `NewerFormatError` if a version has a setting that this release does not support."""
     for level, setting in settings:
         if not is_known(level, setting):
             raise NewerFormatError(
--- a/waxwingglade/version/status.py
+++ b/waxwingglade/version/status.py
@@ -1,4 +1,4 @@
-"""Which version each entry has in force, as its heartbeats report."""
+"""The version that each entry has in force, as reported by heartbeats."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class EntryReport(msgspec.Struct, frozen=True):
-    """What an entry last reported, and how many seconds ago."""
+    """The last digest that an entry reported, and its age in seconds."""
 
     entry: EntryId
     digest: ConfigDigest
@@ -16,16 +16,17 @@
 
 
 class ConfigStatus(msgspec.Struct, frozen=True):
-    """The version in force here and at the entries heard from.
+    """The version in force here and at the entries that have sent a report.
 
     Parameters
     ----------
     version, hash, source, confirmed : ConfigVersion, str, Source, bool
-        As in `ActiveConfig`.
+        The version in force here; see `ActiveConfig`.
     entries : list of EntryReport
-        By name of the entry.
+        Last report of each entry, sorted by the entry's name.
     behind, ahead, differing : list of EntryId
-        Entries with a lower version, a higher one, and the same with another content.
+        Entries with a lower version, with a higher version, and with the same version but other
+        content.
     """
 
     version: ConfigVersion
@@ -39,22 +40,22 @@
 
 
 class VersionReports:
-    """Last report of each entry, fed by heartbeats."""
+    """The last report of each entry, updated by heartbeats."""
 
     def __init__(self, clock: Clock = monotonic) -> None:
         self.clock = clock
         self.reports: dict[EntryId, tuple[ConfigDigest, float]] = {}
 
     def report(self, entry: EntryId, digest: ConfigDigest) -> None:
-        """Note what a heartbeat said."""
+        """Record the digest in an entry's heartbeat."""
         self.reports[entry] = (digest, self.clock())
 
     def forget(self, entry: EntryId) -> None:
-        """Drop an entry that has left."""
+        """Remove the report of a departed entry."""
         self.reports.pop(entry, None)
 
     def status(self, active: ActiveConfig) -> ConfigStatus:
-        """Return the reports compared with the version in force here."""
+        """Return all reports, compared with the version in force here."""
         now = self.clock()
         entries = [
             EntryReport(entry, digest, now - at)
@@ -74,5 +75,5 @@
 
 
 def _differs(digest: ConfigDigest, own: ConfigDigest) -> bool:
-    """Return whether two digests give one version two contents."""
+    """Return whether two digests have the same version but different contents."""
     return digest.version == own.version and digest.hash != own.hash
--- a/waxwingglade/version/store_api.py
+++ b/waxwingglade/version/store_api.py
@@ -1,4 +1,4 @@
-"""What the configuration needs of a client of the platform's key-value service."""
+"""Interface of the store client that the configuration uses."""
 
 from collections.abc import AsyncIterator
 from enum import Enum
@@ -27,9 +27,9 @@
 
 
 class WatchKind(Enum):
-    """What a watch reports.
+    """Kind of an event that a watch reports.
 
-    RESYNC says that events were missed; its items are the values as they are now.
+    RESYNC means that events were missed; its items are the current values.
     """
 
     PUT = "put"
@@ -38,7 +38,7 @@
 
 
 class WatchEvent(msgspec.Struct, frozen=True):
-    """One report of a watch."""
+    """One event of a watch."""
 
     kind: WatchKind
     items: list[KeyValue]
@@ -52,11 +52,11 @@
     """
 
     async def get(self, key: str, purpose: str = CONFIG_PURPOSE) -> Outcome[KeyValue | None]:
-        """Return a value, or None where the key is absent."""
+        """Return a value, or None if the key is absent."""
         ...
 
     async def list(self, prefix: str, purpose: str = CONFIG_PURPOSE) -> Outcome[Listing]:
-        """Return all values whose keys start with `prefix`, in the order of their keys."""
+        """Return all values whose keys start with `prefix`, sorted by key."""
         ...
 
     async def put_if(
@@ -74,5 +74,5 @@
     def watch(
         self, prefix: str, from_revision: int, purpose: str = CONFIG_PURPOSE
     ) -> AsyncIterator[WatchEvent]:
-        """Report changes under `prefix` from a revision on; ends when the connection does."""
+        """Yield changes under `prefix` from a revision on, until the connection ends."""
         ...
--- a/waxwingglade/version/tree.py
+++ b/waxwingglade/version/tree.py
@@ -1,4 +1,4 @@
-"""The configuration tree: overrides at levels, and the policy they give a program."""
+"""The configuration tree: overrides at its levels, and the resulting policy of a program."""
 
 from typing import Any
 
@@ -14,16 +14,16 @@
     governing_levels,
     level_error,
 )
-from waxwingglade.version.schema import POLICY_TYPES, check_value, nested
+from waxwingglade.version.schema import POLICY_TYPES, check_value, to_nested
 
 DEFAULT_LEVEL = LevelPath("default")
-"""Named by `explain` where no level overrides the value built in to `ProgramPolicy`."""
+"""Level that `explain` returns for values that no level overrides, the `ProgramPolicy` defaults."""
 
 _canonical = msgspec.msgpack.Encoder(order="deterministic")
 
 
 class Tree(msgspec.Struct, frozen=True):
-    """Overrides by level and setting; never changed in place.
+    """Overrides by level and setting; must not be modified in place.
 
     Settings in groups have dotted names, such as ``budget.tokens``.
     """
@@ -32,7 +32,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One override to set, or to remove (`value` None) so that the level inherits again."""
+    """An override to set, or to remove if `value` is None, so that the level inherits again."""
 
     level: LevelPath
     setting: SettingName
@@ -40,7 +40,7 @@
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """A resolved value and the level that it comes from."""
+    """A resolved value, and the level that it comes from."""
 
     setting: SettingName
     value: Any
@@ -48,13 +48,13 @@
 
 
 def resolve(tree: Tree, path: PolicyPath) -> ProgramPolicy:
-    """Return the policy of a program: built-in values, overridden level by level."""
+    """Return the policy of a program: the defaults, overridden level by level."""
     values: dict[SettingName, Any] = {}
     for level in governing_levels(path):
         overrides = tree.levels.get(level)
         if overrides is not None:
             values.update(overrides)
-    return msgspec.convert(nested(values), ProgramPolicy)
+    return msgspec.convert(to_nested(values), ProgramPolicy)
 
 
 def explain(tree: Tree, path: PolicyPath) -> list[Explanation]:
@@ -71,7 +71,7 @@
 
 
 def apply_changes(tree: Tree, changes: list[Change]) -> Tree:
-    """Return the tree with changes made; they must have been checked before."""
+    """Return the tree with changes applied; `check_changes` must have accepted them."""
     levels = dict(tree.levels)
     for change in changes:
         overrides = dict(levels.get(change.level, {}))
@@ -91,7 +91,7 @@
     Raises
     ------
     SettingsError
-        Names the level and reason of every error, one after the other.
+        If changes are invalid for `tree`; names the level and the reason of each error.
     """
     errors = [] if changes else ["nothing is changed"]
     touched: set[tuple[LevelPath, SettingName]] = set()
@@ -108,12 +108,12 @@
 
 
 def stored_form(changes: list[Change]) -> list[Change]:
-    """Return changes with their values as they are stored, whatever tree they are made to.
+    """Return changes with their values in stored form, without checks against a tree.
 
     Raises
     ------
     SettingsError
-        Names the level and reason of every error, one after the other.
+        If levels, settings or values are invalid; names the level and the reason of each error.
     """
     errors: list[str] = []
     stored: list[Change] = []
@@ -128,17 +128,17 @@
 
 
 def override_of(tree: Tree, level: LevelPath, setting: SettingName) -> Any | None:
-    """Return the value that a level itself holds, or None where it inherits."""
+    """Return the value that a level overrides, or None if the level inherits it."""
     return tree.levels.get(level, {}).get(setting)
 
 
 def tree_hash(tree: Tree) -> str:
-    """Return a hash of a tree's contents, the same whatever the order they were written in."""
+    """Return a hash of a tree's content that does not depend on the order of its items."""
     return xxhash.xxh3_128_hexdigest(_canonical.encode(tree))
 
 
 def encoded_size(tree: Tree) -> int:
-    """Return the bytes of a tree before compression."""
+    """Return the size of an encoded tree in bytes, before compression."""
     return len(_canonical.encode(tree))
 
 
