--- a/waxwingglade/process/tests/test_configuration.py
+++ b/waxwingglade/process/tests/test_configuration.py
@@ -28,7 +28,7 @@
 from waxwingglade.version import ActiveConfig, ConfigDigest, Source
 from waxwingglade.version import ConfigSnapshot as Tree
 from waxwingglade.version.snapshot import replay
-from waxwingglade.version.tests.builders import make_tree, next_record, set_value, soon
+from waxwingglade.version.tests.builders import make_tree, next_record, set_value, with_timeout
 
 PEERS = [
     EntryRef(EntryId(f"peer-{number}"), Incarnation(f"i{number}"), ZoneId("zone-1"), f"tcp://{n}:1")
@@ -84,7 +84,7 @@
         await asyncio.sleep(0.1)
         self.assertFalse(waiting.done())
         self.ahead.let.set()
-        await soon(waiting)
+        await with_timeout(waiting)
         self.assertEqual(5, self.entry.config.current.version)
 
     async def test_it_waits_for_the_store_unless_a_peer_has_heard_from_it(self):
@@ -93,7 +93,7 @@
         self.assertFalse(waiting.done())
         own = self.entry.config.digest()
         self.configuration.heard(PEERS[0], ConfigDigest(own.version, own.hash, confirmed=True))
-        await soon(waiting)
+        await with_timeout(waiting)
         self.assertTrue(self.entry.config.confirmed)
 
     async def read_store(self, *outcomes: Outcome[bool]) -> asyncio.Task:
@@ -115,7 +115,7 @@
             waiting = await self.read_store(NOT_READ, NOT_READ, Ok(True))
             await asyncio.sleep(RETRY_S + SHORT_S)
             self.assertFalse(waiting.done())
-            await soon(waiting)
+            await with_timeout(waiting)
         self.assertEqual(3, self.readings.await_count)
 
     async def test_it_serves_in_the_end_though_nobody_answers(self):
@@ -124,7 +124,7 @@
             mock.patch("waxwingglade.process.configuration.STORE_PATIENCE_S", SHORT_S),
         ):
             waiting = await self.read_store(NOT_READ, NOT_READ)
-            await soon(waiting)
+            await with_timeout(waiting)
         self.assertFalse(self.entry.config.confirmed)
 
     async def test_one_version_from_several_peers_is_fetched_as_a_change(self):
@@ -132,7 +132,7 @@
             self.hear(peer)
         await asyncio.sleep(0.01)
         self.ahead.let.set()
-        await soon(self.settle())
+        await with_timeout(self.settle())
         self.assertEqual(5, self.entry.config.current.version)
         self.assertEqual([4] * MOST_FETCHES, self.ahead.asked)
 
@@ -141,6 +141,6 @@
         self.ahead = Ahead(Tree(ConfigVersion(4), other.tree))
         self.ahead.let.set()
         self.hear(PEERS[0])
-        await soon(self.settle())
+        await with_timeout(self.settle())
         self.assertEqual([4, NOTHING_KNOWN], self.ahead.asked)
         self.assertEqual(self.ahead.active.digest().hash, self.entry.config.digest().hash)
--- a/waxwingglade/version/tests/builders.py
+++ b/waxwingglade/version/tests/builders.py
@@ -99,7 +99,7 @@
     return service
 
 
-async def soon(waiting: Awaitable[T]) -> T:
+async def with_timeout(waiting: Awaitable[T]) -> T:
     """Wait for what a fault could keep from ever coming, so that the test fails and not hangs."""
     return await asyncio.wait_for(waiting, HANG_GUARD_S)
 
--- a/waxwingglade/version/tests/test_following.py
+++ b/waxwingglade/version/tests/test_following.py
@@ -29,7 +29,7 @@
     make_tree,
     seeded_service,
     set_value,
-    soon,
+    with_timeout,
 )
 from waxwingglade.version.tests.fake_store import FakeStore, Fault
 from waxwingglade.version.tests.test_record import with_format
@@ -90,25 +90,25 @@
 
     async def test_a_watcher_learns_each_version_from_the_watch_alone(self):
         following = asyncio.create_task(follow_store(self.records, self.active))
-        await soon(self.active.wait_for(1))
-        await soon(self.watched())
+        await with_timeout(self.active.wait_for(1))
+        await with_timeout(self.watched())
         await accept_values(self.service, 0, 3)
-        await soon(self.active.wait_for(4))
+        await with_timeout(self.active.wait_for(4))
         self.assertEqual(self.active.digest().hash, self.service.active.digest().hash)
         self.assertEqual([each.version for each in self.active.recent], [2, 3, 4])
         following.cancel()
 
     async def test_a_watcher_whose_watch_ended_or_missed_events_catches_up(self):
         following = asyncio.create_task(follow_store(self.records, self.active))
-        await soon(self.watched())
+        await with_timeout(self.watched())
         missed, self.store.watchers = self.store.watchers, []
         await accept_values(self.service, 0, 3)
         self.store.watchers = missed
         self.store.emit(WatchEvent(WatchKind.RESYNC, [self.store.values[HEAD_KEY]]))
-        await soon(self.active.wait_for(4))
+        await with_timeout(self.active.wait_for(4))
         self.store.end_watches()
         await accept_values(self.service, 3, 5)
-        await soon(self.active.wait_for(6))
+        await with_timeout(self.active.wait_for(6))
         self.store.emit(WatchEvent(WatchKind.DELETE, []))
         following.cancel()
 
--- a/waxwingglade/version/tests/test_saved_copy.py
+++ b/waxwingglade/version/tests/test_saved_copy.py
@@ -25,7 +25,7 @@
     make_tree,
     next_record,
     set_value,
-    soon,
+    with_timeout,
 )
 from waxwingglade.version.tests.test_record import with_format
 
@@ -89,9 +89,9 @@
         active = ActiveConfig(ConfigSnapshot(1, make_tree()))
         keeping = asyncio.create_task(maintain_copy(active, self.folder, period_s=0.001))
         active.offer_records([next_record(active.current, set_value(3))])
-        await soon(self.copied(2))
+        await with_timeout(self.copied(2))
         active.offer_records([next_record(active.current, set_value(4))])
-        await soon(self.copied(3))
+        await with_timeout(self.copied(3))
         keeping.cancel()
 
 
--- a/waxwingglade/version/tests/test_service.py
+++ b/waxwingglade/version/tests/test_service.py
@@ -20,7 +20,7 @@
     propose,
     seeded_service,
     set_value,
-    soon,
+    with_timeout,
 )
 from waxwingglade.version.tests.fake_store import FakeStore, Fault
 from waxwingglade.version.tests.test_record import with_format
@@ -121,7 +121,7 @@
                 await approved(self.service, name, set_value(base), base=base)
                 self.store.faults.extend([Fault.NONE, fault])
                 accepting = asyncio.create_task(self.service.accept(ProposalId(name), PEKKA))
-                await soon(self.faults_used())
+                await with_timeout(self.faults_used())
                 self.store.down = True
                 outcome = await accepting
                 self.assertEqual(outcome.err_value.verdict, Verdict.MAY_HAVE_RUN)
@@ -161,7 +161,7 @@
         await approved(self.service, "p1", set_value(7))
         [(reached, go_on)] = self.hold_swaps(1)
         accepting = asyncio.create_task(self.service.accept(ProposalId("p1"), PEKKA))
-        await soon(reached.wait())
+        await with_timeout(reached.wait())
         rejected = (await self.other.reject(ProposalId("p1"), AINO, "too low")).unwrap()
         go_on.set()
         outcome = await accepting
@@ -173,9 +173,9 @@
         await approved(self.service, "p1", set_value(7))
         (swap, let_swap), (fence, let_fence) = self.hold_swaps(2)
         accepting = asyncio.create_task(self.service.accept(ProposalId("p1"), PEKKA))
-        await soon(swap.wait())
+        await with_timeout(swap.wait())
         rejecting = asyncio.create_task(self.other.reject(ProposalId("p1"), AINO))
-        await soon(fence.wait())  # the rejection is recorded, the head not yet rewritten
+        await with_timeout(fence.wait())  # the rejection is recorded, the head not yet rewritten
         let_swap.set()
         record = (await accepting).unwrap()
         let_fence.set()
