--- a/waxwingglade/version/config_store.py
+++ b/waxwingglade/version/config_store.py
@@ -166,7 +166,8 @@
     async def load(self, head: Head, known: ConfigSnapshot) -> Outcome[ConfigSnapshot]:
         """Return the version of a head, rebuilt from `known` or from the head's stored tree.
 
-        The stored tree is used if it is newer than `known`, or if rebuilding from `known` fails.
+        Rebuilding from `known` is tried first if it is older than the head's version but not older
+        than the stored tree.
         """
         if known.hash == head.record.hash and known.version == head.record.version:
             return Ok(known)
--- a/waxwingglade/version/tests/builders.py
+++ b/waxwingglade/version/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data."""
+"""Builders of configuration trees, records and services for tests."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -26,7 +26,7 @@
 
 AINO, EERO, HELMI, PEKKA = (OperatorId(name) for name in ("aino", "eero", "helmi", "pekka"))
 T = TypeVar("T")
-HANG_GUARD_S = 20.0
+TEST_TIMEOUT_S = 20.0
 HEAD_KEY = "config/head"
 NOON_S = 12 * 3600.0
 PATH = PolicyPath("helsinki-1", "job-centres", "booking", "appointment-chat")
@@ -58,7 +58,7 @@
 
 
 def make_tree() -> Tree:
-    """Return a tree with four operators and two rules."""
+    """Return a tree with four operators and two approval rules."""
     return parse_tree(NESTED_TREE, "test")
 
 
@@ -86,7 +86,7 @@
 def make_service(
     store: FakeStore, name: str = "entry-1", now_s: float = NOON_S, tree: Tree | None = None
 ) -> ConfigService:
-    """Return the service of a fresh entry."""
+    """Return the service of an entry that has just started."""
     active = ActiveConfig(ConfigSnapshot(ConfigVersion(0), tree or make_tree()))
     return ConfigService(store, make_ref(name), active, clock=lambda: now_s)
 
@@ -100,22 +100,22 @@
 
 
 async def with_timeout(waiting: Awaitable[T]) -> T:
-    """Wait for what a fault could keep from ever coming, so that the test fails and not hangs."""
-    return await asyncio.wait_for(waiting, HANG_GUARD_S)
+    """Await `waiting` with a timeout, so that a fault makes the test fail instead of hang."""
+    return await asyncio.wait_for(waiting, TEST_TIMEOUT_S)
 
 
 async def propose(
     service: ConfigService, name: str, *changes: Change, base: int = 1, by: OperatorId = PEKKA
 ) -> Proposal:
-    """Put changes forward, which must succeed."""
+    """Propose changes, which must succeed."""
     outcome = await service.propose(ProposalId(name), by, ConfigVersion(base), list(changes))
     return outcome.unwrap()
 
 
-async def approved(
+async def propose_and_approve(
     service: ConfigService, name: str, *changes: Change, base: int = 1, by: tuple = (EERO, HELMI)
 ) -> Proposal:
-    """Put changes forward and have them approved."""
+    """Propose changes and have them approved by the operators `by`."""
     proposal = await propose(service, name, *changes, base=base)
     for operator in by:
         proposal = (await service.approve(proposal.id, operator, digest_of(proposal.text))).unwrap()
--- a/waxwingglade/version/tests/fake_store.py
+++ b/waxwingglade/version/tests/fake_store.py
@@ -1,4 +1,4 @@
-"""An in-memory store with switches for outages, lost answers and delayed writes."""
+"""An in-memory store that simulates outages, lost answers and delayed writes."""
 
 import asyncio
 from collections import Counter, deque
@@ -10,7 +10,7 @@
 
 
 class Fault(Enum):
-    """What happens to a write."""
+    """Fault that affects a write."""
 
     NONE = "none"
     DOWN = "down"
@@ -20,7 +20,7 @@
 
 
 class FakeStore:
-    """Keys with revisions; `faults` are used up by the writes, one each, in their order."""
+    """Keys with revisions; each write consumes the first of the remaining `faults`."""
 
     def __init__(self) -> None:
         self.values: dict[str, KeyValue] = {}
@@ -86,14 +86,14 @@
     async def watch(
         self, prefix: str, from_revision: int, purpose: str = "config"
     ) -> AsyncIterator[WatchEvent]:
-        """Report events until `end_watches`."""
+        """Yield events until `end_watches` is called."""
         queue: asyncio.Queue[WatchEvent | None] = asyncio.Queue()
         self.watchers.append(queue)
         while (event := await queue.get()) is not None:
             yield event
 
     def apply(self, key: str, value: bytes, expected: int) -> Outcome[int]:
-        """Write now, if the revision is the expected one."""
+        """Write immediately if the revision is the expected one."""
         found = self.values.get(key)
         if (found.mod_revision if found else 0) != expected:
             return not_run(ErrorCode.CONFLICT, f"{key} has changed")
@@ -103,18 +103,18 @@
         return Ok(self.revision)
 
     def apply_delayed(self) -> None:
-        """Let the delayed writes arrive."""
+        """Execute the delayed writes."""
         waiting, self.delayed = self.delayed, []
         for write in waiting:
             write()
 
     def emit(self, event: WatchEvent) -> None:
-        """Send an event to all watchers."""
+        """Send an event to all watches."""
         for queue in self.watchers:
             queue.put_nowait(event)
 
     def end_watches(self) -> None:
-        """End all watches, as a broken connection does."""
+        """End all watches, like a lost connection does."""
         watchers, self.watchers = self.watchers, []
         for queue in watchers:
             queue.put_nowait(None)
@@ -126,5 +126,5 @@
 
 
 def lost() -> Outcome:
-    """Return the failure of a write whose answer was lost."""
+    """Return the failure of a call whose answer was lost."""
     return may_have_run(ErrorCode.TIMEOUT, "no answer")
--- a/waxwingglade/version/tests/test_active.py
+++ b/waxwingglade/version/tests/test_active.py
@@ -1,4 +1,4 @@
-"""Tests of the version in force: it only rises, whoever offers what."""
+"""Tests that the version in force never decreases, whatever is offered."""
 
 import asyncio
 import unittest
@@ -38,14 +38,14 @@
 
 
 class TestActive(unittest.IsolatedAsyncioTestCase):
-    def test_a_lower_version_is_never_taken(self):
+    def test_a_lower_version_is_rejected(self):
         active, stale = make_active(5), make_active(4)
         self.assertFalse(active.offer(stale.current))
         self.assertFalse(active.offer_bytes(stale.snapshot_bytes()).unwrap())
         self.assertFalse(active.offer_records(chain(ConfigSnapshot(1, Tree()), 2)))
         self.assertEqual((active.current.version, active.lower_rejected), (5, 3))
 
-    def test_the_same_version_with_another_content_is_reported_and_not_taken(self):
+    def test_the_same_version_with_other_content_is_counted_and_rejected(self):
         active = make_active(5)
         before = active.current
         self.assertFalse(active.offer(ConfigSnapshot(5, Tree())))
@@ -54,7 +54,7 @@
         self.assertEqual(active.conflicts_rejected, 2)
         self.assertIs(active.current, before)
 
-    def test_a_peer_that_is_behind_gets_records_or_the_whole(self):
+    def test_a_peer_that_is_behind_gets_records_or_the_complete_snapshot(self):
         ahead, behind, fresh = make_active(1), make_active(1), make_active(0)
         for record in chain(ahead.current, 3):
             self.assertTrue(ahead.offer_records([record], Source.STORE))
@@ -66,7 +66,7 @@
         self.assertTrue(fresh.offer_bytes(ahead.snapshot_bytes()).unwrap())
         self.assertEqual(fresh.current.version, 4)
 
-    def test_records_that_leave_a_gap_or_were_altered_are_not_taken(self):
+    def test_records_with_a_gap_or_altered_content_are_rejected(self):
         active = make_active(1)
         records = chain(active.current, 3)
         self.assertFalse(active.offer_records(records[1:]))
@@ -78,14 +78,14 @@
         self.assertEqual((active.current.version, other.current.version), (1, 1))
         self.assertTrue(active.offer_records(records))
 
-    def test_a_newer_format_or_corrupt_bytes_are_refused(self):
+    def test_a_newer_format_or_corrupt_bytes_are_rejected(self):
         active, ahead = make_active(1), make_active(9)
         for data in (with_format(ahead.snapshot_bytes(), FORMAT + 1), b"", b"nonsense"):
             outcome = active.offer_bytes(data)
             self.assertEqual(outcome.err_value.code, ErrorCode.VERSION)
         self.assertEqual(active.current.version, 1)
 
-    def test_settings_that_only_a_newer_release_knows_are_refused(self):
+    def test_settings_of_a_newer_release_are_rejected(self):
         active = make_active(1)
         change = set_value(1, "setting_to_come")
         newer = replay_unchecked(active.current, change)
@@ -93,27 +93,27 @@
         self.assertFalse(active.offer_records([next_record(active.current, change)]))
         self.assertEqual(active.current.version, 1)
 
-    def test_only_what_was_heard_from_the_store_confirms(self):
+    def test_only_the_store_or_a_confirmed_peer_confirms_the_version(self):
         active, peer = make_active(3), make_active(3)
         active.is_behind(peer.digest())
         self.assertFalse(active.confirmed)
         peer.offer(ConfigSnapshot(4, make_tree()), Source.STORE)
         active.is_behind(peer.digest())
-        self.assertFalse(active.confirmed)  # known to be behind
+        self.assertFalse(active.confirmed)  # the peer has a higher version
         active.offer_bytes(peer.snapshot_bytes())
         active.is_behind(peer.digest())
         self.assertTrue(active.confirmed)
 
-    def test_a_call_keeps_the_version_that_it_began_with(self):
+    def test_a_call_keeps_the_version_that_it_started_with(self):
         active = make_active(1)
-        begun = active.current
+        of_call = active.current
         change = set_value(3, "queue_limit", "tenant:job-centres")
-        active.offer_records([next_record(begun, change)])
-        self.assertEqual(begun.resolve(PATH).queue_limit, 800)
+        active.offer_records([next_record(of_call, change)])
+        self.assertEqual(of_call.resolve(PATH).queue_limit, 800)
         self.assertEqual(active.current.resolve(PATH).queue_limit, 3)
         self.assertIs(active.current.resolve(PATH), active.current.resolve(PATH))
 
-    async def test_waiters_wake_at_their_version(self):
+    async def test_wait_for_returns_once_the_version_is_in_force(self):
         active = make_active(1)
         waiting = asyncio.create_task(active.wait_for(3))
         records = chain(active.current, 2)
@@ -123,7 +123,7 @@
         active.offer_records(records[1:])
         self.assertEqual((await waiting).version, 3)
 
-    def test_status_tells_who_is_behind_ahead_or_different(self):
+    def test_status_lists_entries_that_are_behind_ahead_or_differing(self):
         reports = VersionReports(clock=lambda: 7.0)
         own = make_active(5)
         for entry, digest in (
@@ -134,8 +134,8 @@
         ):
             reports.report(entry, digest)
         status = reports.status(own)
-        told = (status.behind, status.ahead, status.differing)
-        self.assertEqual(told, (["entry-2"], ["entry-3"], ["entry-4"]))
+        listed = (status.behind, status.ahead, status.differing)
+        self.assertEqual(listed, (["entry-2"], ["entry-3"], ["entry-4"]))
         reports.forget("entry-2")
         self.assertEqual(reports.status(own).behind, [])
 
--- a/waxwingglade/version/tests/test_approval.py
+++ b/waxwingglade/version/tests/test_approval.py
@@ -35,7 +35,7 @@
 
 
 class TestRules(unittest.TestCase):
-    def test_first_rule_that_covers_a_change_governs_it(self):
+    def test_the_first_rule_that_covers_a_change_applies_to_it(self):
         tree = make_tree()
         names = [
             governing_rules(tree, [change])[0].name
@@ -56,11 +56,11 @@
             with self.subTest(operators=operators):
                 short = proposal_of(tree, change, *operators)
                 self.assertTrue(unmet_reasons(tree, short, NOON_S))
-        # The same approvals do not count once the old value, and so the text, is another.
+        # The same approvals no longer count when the old value, and with it the text, has changed.
         moved = apply_changes(tree, [set_value(77, "budget.tokens")])
         self.assertTrue(unmet_reasons(moved, enough, NOON_S))
 
-    def test_hours(self):
+    def test_a_rule_may_restrict_the_hours_and_span_midnight(self):
         tree = tree_with_rules({"name": "night", "approvals": 0, "hours": {"start": 22, "end": 4}})
         proposal = proposal_of(tree, set_value(1))
         self.assertTrue(unmet_reasons(tree, proposal, NOON_S))
@@ -68,7 +68,7 @@
         hours = allowed_hours(ApprovalRule(name="x", hours=HoursUtc(start=22, end=4)))
         self.assertEqual(hours, {22, 23, 0, 1, 2, 3})
 
-    def test_rules_themselves_always_need_an_approval(self):
+    def test_a_change_of_the_rules_always_needs_an_approval(self):
         tree = tree_with_rules({"name": "free", "approvals": 0})
         proposal = proposal_of(tree, set_value([], "rules", "approval"))
         self.assertTrue(unmet_reasons(tree, proposal, NOON_S))
@@ -84,7 +84,7 @@
             with self.subTest(rule=rule["name"]):
                 self.assertIn(rule["name"], " ".join(unusable_rules(tree_with_rules(rule))))
 
-    def test_a_change_that_its_proposer_can_never_get_approved_is_found(self):
+    def test_a_change_that_can_never_be_approved_is_found(self):
         tree = tree_with_rules(
             {"name": "eero", "settings": ["weight"], "operators": ["eero"]},
             {"name": "early", "settings": ["queue_limit"], "hours": {"start": 1, "end": 2}},
@@ -97,7 +97,7 @@
 
 
 class TestApprove(unittest.TestCase):
-    def test_own_or_other_text_is_refused_and_a_repeat_changes_nothing(self):
+    def test_the_proposer_or_another_text_is_rejected_and_a_repeat_changes_nothing(self):
         proposal = proposal_of(make_tree(), set_value(5))
         text_digest = digest_of(proposal.text)
         own = with_approval(proposal, Approval(PEKKA, text_digest, 0.0))
--- a/waxwingglade/version/tests/test_following.py
+++ b/waxwingglade/version/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Tests of following, seeding and tidying the store."""
+"""Tests of following and seeding the store, and of deleting old records."""
 
 import asyncio
 import unittest
@@ -24,9 +24,9 @@
     HEAD_KEY,
     NOON_S,
     PEKKA,
-    approved,
     make_service,
     make_tree,
+    propose_and_approve,
     seeded_service,
     set_value,
     with_timeout,
@@ -36,16 +36,18 @@
 
 
 async def accept_values(service, first, last):
-    """Make one version for each number."""
+    """Accept one version for each number."""
     for number in range(first, last):
         name = f"v{number}"
         base = service.active.current.version
-        await approved(service, name, set_value(number + 1, "max_output_tokens"), base=base)
+        await propose_and_approve(
+            service, name, set_value(number + 1, "max_output_tokens"), base=base
+        )
         (await service.accept(ProposalId(name), PEKKA)).unwrap()
 
 
 class TestSeed(unittest.IsolatedAsyncioTestCase):
-    async def test_of_two_entries_one_seeds_and_the_other_learns(self):
+    async def test_one_of_two_entries_seeds_the_store_and_the_other_reads_the_version(self):
         store = FakeStore()
         one = make_service(store, "entry-1")
         other = make_service(store, "entry-2", tree=changed_tree())
@@ -57,7 +59,7 @@
             self.assertTrue((await catch_up(each.records, each.active)).unwrap())
         self.assertEqual(one.active.digest(), other.active.digest())
 
-    async def test_a_lost_answer_leaves_one_seed(self):
+    async def test_an_entry_whose_seed_is_unanswered_reads_its_own_version(self):
         store = FakeStore()
         service = make_service(store)
         store.faults.extend([Fault.NONE, Fault.ANSWER_LOST])
@@ -66,7 +68,7 @@
         self.assertTrue((await catch_up(service.records, service.active)).unwrap())
         self.assertEqual(service.active.current.version, 1)
 
-    async def test_no_tree_that_cannot_be_changed_or_would_revert_is_stored(self):
+    async def test_a_tree_that_cannot_be_changed_or_would_revert_a_version_is_not_stored(self):
         store = FakeStore()
         for version, tree in ((0, Tree()), (5, make_tree())):
             service = make_service(store)
@@ -84,23 +86,23 @@
         self.active = self.follower.active
         self.records = self.follower.records
 
-    async def watched(self):
+    async def wait_for_watch(self):
         while not self.store.watchers:
             await asyncio.sleep(0)
 
-    async def test_a_watcher_learns_each_version_from_the_watch_alone(self):
+    async def test_the_watch_alone_delivers_each_version(self):
         following = asyncio.create_task(follow_store(self.records, self.active))
         await with_timeout(self.active.wait_for(1))
-        await with_timeout(self.watched())
+        await with_timeout(self.wait_for_watch())
         await accept_values(self.service, 0, 3)
         await with_timeout(self.active.wait_for(4))
         self.assertEqual(self.active.digest().hash, self.service.active.digest().hash)
         self.assertEqual([each.version for each in self.active.recent], [2, 3, 4])
         following.cancel()
 
-    async def test_a_watcher_whose_watch_ended_or_missed_events_catches_up(self):
+    async def test_a_process_catches_up_after_its_watch_missed_events_or_ended(self):
         following = asyncio.create_task(follow_store(self.records, self.active))
-        await with_timeout(self.watched())
+        await with_timeout(self.wait_for_watch())
         missed, self.store.watchers = self.store.watchers, []
         await accept_values(self.service, 0, 3)
         self.store.watchers = missed
@@ -112,7 +114,7 @@
         self.store.emit(WatchEvent(WatchKind.DELETE, []))
         following.cancel()
 
-    async def test_a_fresh_entry_rebuilds_the_version_from_tree_and_history(self):
+    async def test_a_new_entry_rebuilds_the_version_from_tree_and_history(self):
         await accept_values(self.service, 0, SNAPSHOT_EVERY + 5)
         (await catch_up(self.records, self.active)).unwrap()
         self.assertEqual(self.active.digest(), self.service.active.digest())
@@ -120,7 +122,7 @@
         newest = SNAPSHOT_EVERY + 6
         self.assertEqual([each.version for each in history], list(range(newest, 0, -1)))
 
-    async def test_an_outage_or_a_newer_format_keeps_what_is_in_force(self):
+    async def test_the_version_in_force_stays_during_an_outage_or_with_a_newer_format(self):
         (await catch_up(self.records, self.active)).unwrap()
         await accept_values(self.service, 0, 1)
         self.store.down = True
@@ -132,23 +134,23 @@
         self.assertIn("format 2", outcome.err_value.message)
         self.assertEqual(self.active.current.version, 1)
 
-    async def test_a_store_that_went_back_reverts_nobody(self):
+    async def test_an_older_head_in_the_store_does_not_revert_a_process(self):
         old = self.store.values[HEAD_KEY]
         await accept_values(self.service, 0, 2)
         self.store.apply(HEAD_KEY, old.value, self.store.values[HEAD_KEY].mod_revision)
         (await catch_up(self.service.records, self.service.active)).unwrap()
         self.assertEqual(self.service.active.current.version, 3)
 
-    async def test_tidying_deletes_what_is_old_and_nothing_else(self):
+    async def test_only_old_records_are_deleted(self):
         await accept_values(self.service, 0, 3)
-        await approved(self.service, "open", set_value(1), base=4)
+        await propose_and_approve(self.service, "open", set_value(1), base=4)
         self.assertEqual((await delete_old_records(self.records, NOON_S)).unwrap(), 0)
         later = NOON_S + PROPOSAL_RETENTION_S + 1
         self.assertEqual((await delete_old_records(self.records, later)).unwrap(), 3)
-        kept = (await self.service.proposals()).unwrap()
-        self.assertEqual([each.id for each in kept], ["open"])
+        retained = (await self.service.proposals()).unwrap()
+        self.assertEqual([each.id for each in retained], ["open"])
 
-    async def test_tidying_drops_history_and_trees_by_age(self):
+    async def test_old_versions_and_trees_are_deleted(self):
         await accept_values(self.service, 0, 2 * SNAPSHOT_EVERY + 2)
         with_short_history = SNAPSHOT_EVERY
         with mock.patch("waxwingglade.version.cleanup.RETAINED_VERSIONS", with_short_history):
@@ -163,7 +165,7 @@
 
 
 def changed_tree() -> Tree:
-    """Return a tree that differs from the usual one."""
+    """Return a tree that differs from `make_tree`."""
     levels = {**make_tree().levels, "firm": {"queue_limit": 3}}
     return Tree(levels)
 
--- a/waxwingglade/version/tests/test_property.py
+++ b/waxwingglade/version/tests/test_property.py
@@ -1,7 +1,7 @@
-"""Property test: operators at several entries, lost and delayed answers, stale copies.
+"""Property test with operators at several entries, lost and delayed answers, and stale copies.
 
-Whatever they do and whatever is lost, versions never go down, each accepted version was approved
-under the rules of the version before it, and the answers given to operators are true.
+In all cases, versions never decrease, each accepted version was approved under the rules of the
+previous version, and the answers to operators are correct.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 PROPOSALS = [f"p{number}" for number in range(8)]
 ENTRIES = 3
 EXAMPLES = int(os.environ.get("CONFIG_EXAMPLES", "400"))
-PAUSE_TURNS = 3
+PAUSE_ITERATIONS = 3
 
 TWO = [{"name": "two", "settings": ["queue_limit", "rules"], "approvals": 2}]
 CHANGES = [
@@ -56,9 +56,15 @@
 approvers = st.lists(st.sampled_from(OPERATORS), min_size=1, max_size=4)
 a_change = st.sampled_from(CHANGES)
 operation = st.one_of(
-    st.tuples(st.just("carry"), entry, proposal, operator, st.tuples(a_change, approvers)),
-    st.tuples(st.just("carry"), entry, proposal, operator, st.tuples(a_change, approvers)),
-    st.tuples(st.just("carry"), entry, proposal, operator, st.tuples(a_change, approvers)),
+    st.tuples(
+        st.just("propose to accept"), entry, proposal, operator, st.tuples(a_change, approvers)
+    ),
+    st.tuples(
+        st.just("propose to accept"), entry, proposal, operator, st.tuples(a_change, approvers)
+    ),
+    st.tuples(
+        st.just("propose to accept"), entry, proposal, operator, st.tuples(a_change, approvers)
+    ),
     st.tuples(st.just("propose"), entry, proposal, operator, a_change),
     st.tuples(st.just("approve"), entry, proposal, operator),
     st.tuples(st.just("accept"), entry, proposal, operator),
@@ -73,8 +79,8 @@
 fault = st.sampled_from([Fault.NONE] * 12 + list(Fault))
 
 
-class World:
-    """Entries on one store, what they saw, and what operators were told."""
+class Simulation:
+    """Entries on one store, the versions that they had in force, and the answers to operators."""
 
     def __init__(self, store: FakeStore, services: list[ConfigService]) -> None:
         self.store = store
@@ -87,7 +93,7 @@
         self.copies = [each.active.snapshot_bytes() for each in services]
 
     async def run(self, step: tuple) -> None:
-        """Carry out one operation and note the versions in force."""
+        """Execute one operation and record the versions in force."""
         kind, *arguments = step
         if kind == "late writes":
             self.store.apply_delayed()
@@ -100,23 +106,23 @@
         self.observe()
 
     def observe(self) -> None:
-        """Check that no process went back."""
+        """Check that the version in force has not decreased at any entry."""
         for service in self.services:
             active = service.active
             assert active.current.version >= self.seen.get(active, 0)
             self.seen[active] = active.current.version
 
-    async def outage(self, turns: int) -> None:
-        """Let the store be down for some turns of the other tasks."""
+    async def outage(self, iterations: int) -> None:
+        """Take the store down for some iterations of the event loop."""
         await asyncio.sleep(0)
         self.store.down = True
-        for _ in range(turns):
+        for _ in range(iterations):
             await asyncio.sleep(0)
         self.store.down = False
 
-    async def do_carry(self, service, index, name, by, wanted):
-        """Take a change from the proposal to its acceptance."""
-        change, approvers = wanted
+    async def do_propose_to_accept(self, service, index, name, by, change_and_approvers):
+        """Propose a change, have it approved, and accept it."""
+        change, approvers = change_and_approvers
         await catch_up(service.records, service.active)
         await self.do_propose(service, index, name, by, change)
         for each in approvers:
@@ -134,7 +140,7 @@
 
     async def do_accept(self, service, _, name, by):
         self.now_s += 1.0
-        at_s = self.now_s  # names this request in the record of a version
+        at_s = self.now_s  # identifies this request in the record of a version
         service.clock = lambda: at_s
         outcome = await service.accept(ProposalId(name), by)
         if isinstance(outcome, Ok):
@@ -161,15 +167,15 @@
 
 
 async def pause(attempt: int) -> None:
-    """Let the other tasks go on for some turns."""
-    for _ in range(PAUSE_TURNS * attempt):
+    """Let the other tasks run for some iterations of the event loop."""
+    for _ in range(PAUSE_ITERATIONS * attempt):
         await asyncio.sleep(0)
 
 
 def approved_under(tree: Tree, record: VersionRecord) -> bool:
-    """Return whether a version had the approvals that the tree before it asked for.
+    """Return whether a version had the approvals that the previous tree requires.
 
-    Written from the rules' description and not with the code under test.
+    This is an independent implementation of the rules, which does not use the code under test.
     """
     rules = tree.levels["approval"].get("rules", []) if "approval" in tree.levels else []
     roles = tree.levels["operators"]
@@ -189,7 +195,7 @@
 
 
 def covers(rule: dict, change) -> bool:
-    """Return whether one of the rules used here covers a change."""
+    """Return whether a rule covers a change; supports only the rules used in this test."""
     levels_match = "*" in rule["levels"] or change.level in rule["levels"]
     budget = "budget.*" in rule["settings"] and change.setting.startswith("budget.")
     return levels_match and (
@@ -197,25 +203,25 @@
     )
 
 
-async def run_world(rounds: list[list[tuple]], faults: list[Fault]) -> None:
-    """Run rounds of concurrent operations and check what came of them."""
+async def run_simulation(rounds: list[list[tuple]], faults: list[Fault]) -> None:
+    """Run rounds of concurrent operations and check the resulting history."""
     store = FakeStore()
     services = [await seeded_service(store)]
     services += [make_service(store, f"entry-{number}") for number in range(1, ENTRIES)]
     for service in services:
         (await catch_up(service.records, service.active)).unwrap()
-    world = World(store, services)
+    simulation = Simulation(store, services)
     store.faults.extend(faults)
     for steps in rounds:
-        await asyncio.gather(*(world.run(step) for step in steps))
+        await asyncio.gather(*(simulation.run(step) for step in steps))
     store.faults.clear()
     store.apply_delayed()
     history = list(reversed((await services[0].history(10_000)).unwrap()))
-    check_history(world, history)
+    check_history(simulation, history)
 
 
-def check_history(world: World, history: list[VersionRecord]) -> None:
-    """Check accepted versions against the rules and against what operators were told."""
+def check_history(simulation: Simulation, history: list[VersionRecord]) -> None:
+    """Check accepted versions against the rules and against the answers to operators."""
     assert [each.version for each in history] == list(range(1, len(history) + 1))
     tree = make_tree()
     for record in history[1:]:
@@ -223,11 +229,11 @@
         tree = apply_changes(tree, record.changes)
     names = [each.proposal for each in history]
     assert len(names) == len(set(names))
-    assert not world.closed & set(names)
-    assert not world.not_run & {each.accepted_at_s for each in history[1:]}
-    for record in world.accepted:
+    assert not simulation.closed & set(names)
+    assert not simulation.not_run & {each.accepted_at_s for each in history[1:]}
+    for record in simulation.accepted:
         assert record in history
-    for service in world.services:
+    for service in simulation.services:
         assert service.active.current.version <= len(history)
 
 
@@ -238,10 +244,10 @@
         rounds=st.lists(st.lists(operation, min_size=1, max_size=3), min_size=4, max_size=20),
         faults=st.lists(fault, max_size=200),
     )
-    def test_versions_rise_and_were_approved(self, rounds, faults):
-        # Counted turns in place of pauses, so that an example always runs the same way.
+    def test_versions_increase_and_were_approved(self, rounds, faults):
+        # Pauses are a fixed number of iterations of the event loop, so that examples reproduce.
         with mock.patch("waxwingglade.version.acceptance._pause", pause):
-            asyncio.run(run_world(rounds, faults))
+            asyncio.run(run_simulation(rounds, faults))
 
 
 if __name__ == "__main__":
--- a/waxwingglade/version/tests/test_record.py
+++ b/waxwingglade/version/tests/test_record.py
@@ -19,7 +19,7 @@
 
 
 def with_format(data: bytes, number: int) -> bytes:
-    """Return a record as a release with another format would write it."""
+    """Return a record as written by a release with format `number`."""
     fields = msgspec.msgpack.decode(data)
     return msgspec.msgpack.encode([number, *fields[1:], "a field of a later release"])
 
@@ -31,18 +31,18 @@
             data = encode_record(RecordKind.HEAD, value, compress)
             self.assertEqual(decode_record(RecordKind.HEAD, data, SnapshotRef), value)
 
-    def test_newer_format_is_told_apart(self):
+    def test_a_newer_format_is_reported_as_such(self):
         data = with_format(encode_record(RecordKind.HEAD, SnapshotRef(3, "abc")), FORMAT + 1)
         with self.assertRaises(NewerFormatError) as caught:
             decode_record(RecordKind.HEAD, data, SnapshotRef)
         self.assertIn(f"format {FORMAT + 1}", str(caught.exception))
 
-    def test_another_kind_is_refused(self):
+    def test_another_kind_is_rejected(self):
         data = encode_record(RecordKind.HEAD, SnapshotRef(3, "abc"))
         with self.assertRaises(FormatError):
             decode_record(RecordKind.PROPOSAL, data, SnapshotRef)
 
-    def test_every_torn_or_flipped_record_is_refused(self):
+    def test_every_truncated_record_and_every_flipped_bit_is_rejected(self):
         data = encode_snapshot(ConfigSnapshot(1, make_tree()))
         for length in range(len(data)):
             with self.assertRaises(FormatError):
--- a/waxwingglade/version/tests/test_saved_copy.py
+++ b/waxwingglade/version/tests/test_saved_copy.py
@@ -1,4 +1,4 @@
-"""Tests of the copy in a data folder."""
+"""Tests of the copy of the configuration in the data folder."""
 
 import asyncio
 import tempfile
@@ -40,7 +40,7 @@
             "entry-1", "helsinki-1", data_folder=folder.name, config=NESTED_TREE
         )
 
-    def test_a_process_starts_from_the_copy_and_else_from_its_settings(self):
+    def test_a_process_starts_from_the_copy_or_else_from_its_settings(self):
         active = open_active(self.settings)
         self.assertEqual((active.current.version, active.source), (0, Source.SETTINGS))
         self.assertEqual(active.current.resolve(PATH).queue_limit, 800)
@@ -49,7 +49,7 @@
         self.assertEqual((active.current.version, active.source), (7, Source.COPY))
         self.assertFalse(active.confirmed)
 
-    def test_an_old_copy_neither_replaces_a_newer_one_nor_reverts_a_process(self):
+    def test_an_older_version_neither_replaces_a_newer_copy_nor_reverts_a_process(self):
         save_copy(self.folder, ConfigSnapshot(7, make_tree()))
         for version in (6, 7):
             self.assertFalse(save_copy(self.folder, ConfigSnapshot(version, Tree())))
@@ -58,7 +58,7 @@
         self.assertFalse(active.offer(load_copy(self.folder), Source.COPY))
         self.assertEqual(active.current.version, 9)
 
-    def test_a_torn_or_corrupt_copy_is_not_used_and_may_be_replaced(self):
+    def test_a_truncated_or_corrupt_copy_is_not_used_and_may_be_replaced(self):
         whole = encode_snapshot(ConfigSnapshot(7, make_tree()))
         middle = len(whole) // 2
         for data in (whole[:-1], b"", whole[:middle] + b"\0" + whole[middle + 1 :]):
@@ -67,21 +67,21 @@
             self.assertEqual(open_active(self.settings).current.version, 0)
             self.assertTrue(save_copy(self.folder, ConfigSnapshot(3, make_tree())))
 
-    def test_a_partial_write_leaves_the_copy_before_it(self):
+    def test_a_partial_write_leaves_the_previous_copy(self):
         save_copy(self.folder, ConfigSnapshot(7, make_tree()))
         (self.folder / (COPY_NAME + ".partial")).write_bytes(b"cut off by a crash")
         self.assertEqual(load_copy(self.folder).version, 7)
         self.assertTrue(save_copy(self.folder, ConfigSnapshot(8, make_tree())))
         self.assertEqual([each.name for each in self.folder.iterdir()], [COPY_NAME])
 
-    def test_a_copy_of_a_newer_format_is_left_untouched(self):
+    def test_a_copy_of_a_newer_format_is_not_modified(self):
         newer = with_format(encode_snapshot(ConfigSnapshot(7, make_tree())), FORMAT + 1)
         self.path.write_bytes(newer)
         self.assertIsNone(load_copy(self.folder))
         self.assertFalse(save_copy(self.folder, ConfigSnapshot(9, make_tree())))
         self.assertEqual(self.path.read_bytes(), newer)
 
-    async def copied(self, version):
+    async def wait_for_copy(self, version):
         while (copy := load_copy(self.folder)) is None or copy.version < version:
             await asyncio.sleep(0.001)
 
@@ -89,9 +89,9 @@
         active = ActiveConfig(ConfigSnapshot(1, make_tree()))
         keeping = asyncio.create_task(maintain_copy(active, self.folder, period_s=0.001))
         active.offer_records([next_record(active.current, set_value(3))])
-        await with_timeout(self.copied(2))
+        await with_timeout(self.wait_for_copy(2))
         active.offer_records([next_record(active.current, set_value(4))])
-        await with_timeout(self.copied(3))
+        await with_timeout(self.wait_for_copy(3))
         keeping.cancel()
 
 
--- a/waxwingglade/version/tests/test_service.py
+++ b/waxwingglade/version/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' operations: races, lost answers, outages, rules."""
+"""Tests of the operations of operators: races, lost answers, outages and approval rules."""
 
 import asyncio
 import unittest
@@ -15,9 +15,9 @@
     HEAD_KEY,
     HELMI,
     PEKKA,
-    approved,
     make_service,
     propose,
+    propose_and_approve,
     seeded_service,
     set_value,
     with_timeout,
@@ -35,8 +35,8 @@
     def head(self) -> Head:
         return decode_record(RecordKind.HEAD, self.store.values[HEAD_KEY].value, Head)
 
-    def hold_swaps(self, count: int) -> list[tuple[asyncio.Event, asyncio.Event]]:
-        """Hold the next writes of the head; return events `reached` and `go on` of each."""
+    def delay_swaps(self, count: int) -> list[tuple[asyncio.Event, asyncio.Event]]:
+        """Delay the next writes of the head; return the events `reached` and `go_on` of each."""
         held = [(asyncio.Event(), asyncio.Event()) for _ in range(count)]
         waiting = list(held)
 
@@ -49,12 +49,12 @@
         self.store.before_write = hold
         return held
 
-    async def faults_used(self) -> None:
+    async def wait_for_faults(self) -> None:
         while self.store.faults:
             await asyncio.sleep(0)
 
-    async def test_an_approved_proposal_is_in_force_once(self):
-        await approved(self.service, "p1", set_value(7))
+    async def test_an_approved_proposal_comes_into_force_once(self):
+        await propose_and_approve(self.service, "p1", set_value(7))
         record = (await self.service.accept(ProposalId("p1"), PEKKA)).unwrap()
         again = (await self.other.accept(ProposalId("p1"), EERO)).unwrap()
         self.assertEqual((record.version, again), (2, record))
@@ -66,14 +66,14 @@
 
     async def test_without_approval_nothing_is_accepted(self):
         await propose(self.service, "p1", set_value(7))
-        refused = await self.service.accept(ProposalId("p1"), AINO)
-        self.assertEqual(refused.err_value.verdict, Verdict.NOT_RUN)
-        self.assertEqual(refused.err_value.code, ErrorCode.FORBIDDEN)
+        failed = await self.service.accept(ProposalId("p1"), AINO)
+        self.assertEqual(failed.err_value.verdict, Verdict.NOT_RUN)
+        self.assertEqual(failed.err_value.code, ErrorCode.FORBIDDEN)
         self.assertEqual(self.head().record.version, 1)
 
-    async def test_two_operators_race_with_proposals_on_one_setting(self):
-        await approved(self.service, "p1", set_value(7))
-        await approved(self.service, "p2", set_value(8))
+    async def test_of_two_concurrent_proposals_on_one_setting_one_is_accepted(self):
+        await propose_and_approve(self.service, "p1", set_value(7))
+        await propose_and_approve(self.service, "p2", set_value(8))
         outcomes = await asyncio.gather(
             self.service.accept(ProposalId("p1"), PEKKA), self.other.accept(ProposalId("p2"), AINO)
         )
@@ -84,9 +84,9 @@
         self.assertEqual(lost[0].err_value.code, ErrorCode.CONFLICT)
         self.assertEqual(self.head().record, won[0].ok_value)
 
-    async def test_a_proposal_that_is_behind_is_rebased_where_nothing_it_touches_changed(self):
-        await approved(self.service, "p1", set_value(7))
-        await approved(self.service, "p2", set_value(8.0, "weight"))
+    async def test_a_proposal_is_rebased_if_none_of_its_settings_has_changed(self):
+        await propose_and_approve(self.service, "p1", set_value(7))
+        await propose_and_approve(self.service, "p2", set_value(8.0, "weight"))
         outcomes = await asyncio.gather(
             self.service.accept(ProposalId("p1"), PEKKA), self.other.accept(ProposalId("p2"), AINO)
         )
@@ -95,33 +95,33 @@
         self.assertEqual([each.version for each in history], [3, 2, 1])
         self.assertEqual({each.proposal for each in history}, {"p1", "p2", "seed"})
 
-    async def test_two_operators_accept_one_proposal(self):
-        await approved(self.service, "p1", set_value(7))
+    async def test_two_operators_that_accept_one_proposal_get_the_same_version(self):
+        await propose_and_approve(self.service, "p1", set_value(7))
         one, other = await asyncio.gather(
             self.service.accept(ProposalId("p1"), PEKKA), self.other.accept(ProposalId("p1"), AINO)
         )
         self.assertEqual(one.unwrap(), other.unwrap())
         self.assertEqual(self.head().record.version, 2)
 
-    async def test_lost_answers_of_the_swap(self):
+    async def test_acceptance_succeeds_in_spite_of_a_lost_answer_to_the_swap(self):
         for number, fault in enumerate((Fault.ANSWER_LOST, Fault.WRITE_LOST, Fault.DELAYED)):
             with self.subTest(fault=fault):
                 name, base = f"p{number}", number + 1
-                await approved(self.service, name, set_value(number), base=base)
+                await propose_and_approve(self.service, name, set_value(number), base=base)
                 self.store.faults.extend([Fault.NONE, fault])  # the history, then the head
                 record = (await self.service.accept(ProposalId(name), PEKKA)).unwrap()
                 self.store.apply_delayed()
                 self.assertEqual((record.version, self.head().record), (base + 1, record))
 
-    async def test_an_answer_lost_before_an_outage_is_reported_as_uncertain(self):
+    async def test_a_lost_answer_before_an_outage_is_reported_as_uncertain(self):
         for name, fault in (("p1", Fault.ANSWER_LOST), ("p2", Fault.DELAYED)):
             with self.subTest(fault=fault):
                 self.store.down = False
                 base = self.head().record.version
-                await approved(self.service, name, set_value(base), base=base)
+                await propose_and_approve(self.service, name, set_value(base), base=base)
                 self.store.faults.extend([Fault.NONE, fault])
                 accepting = asyncio.create_task(self.service.accept(ProposalId(name), PEKKA))
-                await with_timeout(self.faults_used())
+                await with_timeout(self.wait_for_faults())
                 self.store.down = True
                 outcome = await accepting
                 self.assertEqual(outcome.err_value.verdict, Verdict.MAY_HAVE_RUN)
@@ -132,7 +132,7 @@
                 self.assertEqual(self.head().record.version, base + 1)
 
     async def test_a_request_that_could_read_nothing_is_reported_as_not_run(self):
-        proposal = await approved(self.service, "p1", set_value(7))
+        proposal = await propose_and_approve(self.service, "p1", set_value(7))
         self.store.reads_lost = True
         for outcome in (
             await self.service.propose(ProposalId("p2"), PEKKA, 1, [set_value(8)]),
@@ -143,8 +143,8 @@
             self.assertEqual(outcome.err_value.verdict, Verdict.NOT_RUN)
         self.assertEqual(self.head().record.version, 1)
 
-    async def test_outage_refuses_as_not_run_and_keeps_the_version_in_force(self):
-        await approved(self.service, "p1", set_value(7))
+    async def test_operations_fail_as_not_run_in_an_outage_and_the_version_stays(self):
+        await propose_and_approve(self.service, "p1", set_value(7))
         before = self.service.active.current
         self.store.down = True
         for outcome in (
@@ -157,9 +157,9 @@
             self.assertEqual(outcome.err_value.code, ErrorCode.STORE_UNAVAILABLE)
         self.assertIs(self.service.active.current, before)
 
-    async def test_a_rejection_stops_an_acceptance_under_way(self):
-        await approved(self.service, "p1", set_value(7))
-        [(reached, go_on)] = self.hold_swaps(1)
+    async def test_a_rejection_stops_a_concurrent_acceptance(self):
+        await propose_and_approve(self.service, "p1", set_value(7))
+        [(reached, go_on)] = self.delay_swaps(1)
         accepting = asyncio.create_task(self.service.accept(ProposalId("p1"), PEKKA))
         await with_timeout(reached.wait())
         rejected = (await self.other.reject(ProposalId("p1"), AINO, "too low")).unwrap()
@@ -169,9 +169,9 @@
         self.assertEqual(outcome.err_value.verdict, Verdict.NOT_RUN)
         self.assertEqual(self.head().record.version, 1)
 
-    async def test_a_rejection_that_comes_too_late_says_so(self):
-        await approved(self.service, "p1", set_value(7))
-        (swap, let_swap), (fence, let_fence) = self.hold_swaps(2)
+    async def test_a_rejection_that_comes_too_late_fails_with_a_conflict(self):
+        await propose_and_approve(self.service, "p1", set_value(7))
+        (swap, let_swap), (fence, let_fence) = self.delay_swaps(2)
         accepting = asyncio.create_task(self.service.accept(ProposalId("p1"), PEKKA))
         await with_timeout(swap.wait())
         rejecting = asyncio.create_task(self.other.reject(ProposalId("p1"), AINO))
@@ -182,11 +182,11 @@
         outcome = await rejecting
         self.assertEqual(outcome.err_value.code, ErrorCode.CONFLICT)
         self.assertIn(f"accepted as version {record.version}", outcome.err_value.message)
-        stands = (await self.other.proposal(ProposalId("p1"))).unwrap()
-        self.assertEqual(stands.state, ProposalState.ACCEPTED)
+        current = (await self.other.proposal(ProposalId("p1"))).unwrap()
+        self.assertEqual(current.state, ProposalState.ACCEPTED)
 
     async def test_a_rejection_between_the_reads_of_an_acceptance_stops_it(self):
-        await approved(self.service, "p1", set_value(7))
+        await propose_and_approve(self.service, "p1", set_value(7))
         reads = 0
 
         async def reject_before_second_read(key):
@@ -200,8 +200,8 @@
         self.assertEqual(outcome.err_value.verdict, Verdict.NOT_RUN)
         self.assertEqual(self.head().record.version, 1)
 
-    async def test_who_lacks_the_role_may_do_nothing(self):
-        proposal = await approved(self.service, "p1", set_value(7))
+    async def test_operations_without_the_required_role_are_forbidden(self):
+        proposal = await propose_and_approve(self.service, "p1", set_value(7))
         stranger = OperatorId("stranger")
         for outcome in (
             await self.service.propose(ProposalId("p2"), stranger, 1, [set_value(8)]),
@@ -212,7 +212,7 @@
             self.assertEqual(outcome.err_value.verdict, Verdict.NOT_RUN)
             self.assertEqual(outcome.err_value.code, ErrorCode.FORBIDDEN)
 
-    async def test_what_the_store_could_not_hold_is_refused_at_the_proposal(self):
+    async def test_a_proposal_that_exceeds_the_store_s_limits_is_rejected(self):
         many = [set_value(1, level=f"tenant:customer-{number}") for number in range(8_000)]
         outcome = await self.service.propose(ProposalId("p1"), PEKKA, 1, many)
         self.assertEqual(outcome.err_value.code, ErrorCode.TOO_LARGE)
@@ -220,34 +220,34 @@
             outcome = await self.service.propose(ProposalId("p1"), PEKKA, 1, [set_value(1)])
         self.assertIn("the store holds 100", outcome.err_value.message)
 
-    async def test_calls_to_the_store_for_one_change(self):
+    async def test_number_of_store_calls_for_one_change(self):
         self.store.calls.clear()
-        await approved(self.service, "p1", set_value(7))
+        await propose_and_approve(self.service, "p1", set_value(7))
         (await self.service.accept(ProposalId("p1"), PEKKA)).unwrap()
-        # Three to propose, three for each of two approvals, six to accept.
+        # Three calls to propose, three for each of two approvals, and six to accept.
         self.assertEqual(self.store.calls, {"read": 9, "write": 6})
 
-    async def test_approvals_at_the_same_moment_are_all_kept(self):
+    async def test_concurrent_approvals_are_all_stored(self):
         proposal = await propose(self.service, "p1", set_value(7))
         digest = digest_of(proposal.text)
         await asyncio.gather(
             *(self.service.approve(proposal.id, each, digest) for each in (AINO, EERO, HELMI))
         )
-        kept = (await self.other.proposal(proposal.id)).unwrap().approvals
-        self.assertEqual({each.operator for each in kept}, {AINO, EERO, HELMI})
+        stored = (await self.other.proposal(proposal.id)).unwrap().approvals
+        self.assertEqual({each.operator for each in stored}, {AINO, EERO, HELMI})
 
-    async def test_what_its_proposer_can_never_get_approved_is_refused(self):
+    async def test_a_proposal_that_can_never_be_approved_is_rejected(self):
         rules = [{"name": "eero", "levels": ["firm"], "operators": ["eero"]}]
-        await approved(self.service, "p1", set_value(rules, "rules", "approval"))
+        await propose_and_approve(self.service, "p1", set_value(rules, "rules", "approval"))
         (await self.service.accept(ProposalId("p1"), PEKKA)).unwrap()
         outcome = await self.service.propose(ProposalId("p2"), EERO, 2, [set_value(7)])
         self.assertEqual(outcome.err_value.code, ErrorCode.FORBIDDEN)
         await propose(self.service, "p2", set_value(7), base=2)
 
-    async def test_only_the_proposer_withdraws(self):
+    async def test_only_the_proposer_may_withdraw_a_proposal(self):
         await propose(self.service, "p1", set_value(7))
-        refused = await self.service.withdraw(ProposalId("p1"), AINO)
-        self.assertEqual(refused.err_value.code, ErrorCode.FORBIDDEN)
+        failed = await self.service.withdraw(ProposalId("p1"), AINO)
+        self.assertEqual(failed.err_value.code, ErrorCode.FORBIDDEN)
         for _ in range(2):
             withdrawn = (await self.service.withdraw(ProposalId("p1"), PEKKA)).unwrap()
             self.assertEqual(withdrawn.state, ProposalState.WITHDRAWN)
@@ -268,20 +268,20 @@
         other = await self.service.propose(proposal.id, PEKKA, 1, [set_value(8)])
         self.assertEqual(other.err_value.code, ErrorCode.CONFLICT)
 
-    async def test_rules_change_by_the_rules_before_them(self):
+    async def test_a_change_of_the_rules_is_subject_to_the_previous_rules(self):
         rules = set_value([{"name": "all", "approvals": 3}], "rules", "approval")
-        await approved(self.service, "p1", rules, by=(EERO,))
-        refused = await self.service.accept(ProposalId("p1"), PEKKA)
-        self.assertEqual(refused.err_value.code, ErrorCode.FORBIDDEN)
-        await approved(self.service, "p2", set_value(7), by=(EERO,))
+        await propose_and_approve(self.service, "p1", rules, by=(EERO,))
+        failed = await self.service.accept(ProposalId("p1"), PEKKA)
+        self.assertEqual(failed.err_value.code, ErrorCode.FORBIDDEN)
+        await propose_and_approve(self.service, "p2", set_value(7), by=(EERO,))
         await self.service.approve(ProposalId("p1"), HELMI, digest_of(rules_text(self.store)))
         (await self.service.accept(ProposalId("p1"), PEKKA)).unwrap()
-        # What had enough approvals under the old rules has not under the new ones.
-        refused = await self.service.accept(ProposalId("p2"), PEKKA)
-        self.assertEqual(refused.err_value.code, ErrorCode.FORBIDDEN)
-        self.assertIn("1 of 3", refused.err_value.message)
+        # This proposal had enough approvals under the old rules, but not under the new ones.
+        failed = await self.service.accept(ProposalId("p2"), PEKKA)
+        self.assertEqual(failed.err_value.code, ErrorCode.FORBIDDEN)
+        self.assertIn("1 of 3", failed.err_value.message)
 
-    async def test_a_rule_that_can_never_be_met_is_refused_at_the_proposal(self):
+    async def test_a_proposal_that_makes_a_rule_unusable_is_rejected(self):
         demoted = set_value("viewer", "eero", "operators")
         removed = set_value(None, "helmi", "operators")
         many = set_value([{"name": "many", "approvals": 9}], "rules", "approval")
@@ -289,21 +289,21 @@
             outcome = await self.service.propose(ProposalId("p1"), PEKKA, 1, changes)
             self.assertEqual(outcome.err_value.verdict, Verdict.NOT_RUN)
             self.assertIn("never be met", outcome.err_value.message)
-        # Each alone leaves two others to approve what pekka or aino proposes.
+        # Each change alone leaves two operators who can approve proposals of pekka or aino.
         await propose(self.service, "p1", demoted)
         await propose(self.service, "p2", removed)
 
-    async def test_two_changes_that_together_leave_a_rule_unusable_are_not_both_accepted(self):
-        await approved(self.service, "p1", set_value("viewer", "eero", "operators"))
-        await approved(
+    async def test_of_two_changes_that_together_make_a_rule_unusable_one_is_accepted(self):
+        await propose_and_approve(self.service, "p1", set_value("viewer", "eero", "operators"))
+        await propose_and_approve(
             self.service, "p3", set_value(None, "helmi", "operators"), by=(AINO, EERO, HELMI)
         )
         (await self.service.accept(ProposalId("p1"), PEKKA)).unwrap()
-        refused = await self.service.accept(ProposalId("p3"), PEKKA)
-        self.assertIn("never be met", refused.err_value.message)
+        failed = await self.service.accept(ProposalId("p3"), PEKKA)
+        self.assertIn("never be met", failed.err_value.message)
 
-    async def test_a_newer_format_is_refused_and_left_untouched(self):
-        await approved(self.service, "p1", set_value(7))
+    async def test_a_record_of_a_newer_format_is_rejected_and_not_modified(self):
+        await propose_and_approve(self.service, "p1", set_value(7))
         for key in (HEAD_KEY, "config/proposals/p1"):
             with self.subTest(key=key):
                 present = self.store.values[key]
--- a/waxwingglade/version/tests/test_tree.py
+++ b/waxwingglade/version/tests/test_tree.py
@@ -1,4 +1,4 @@
-"""Tests of the tree: precedence, checks, explanation, the YAML form."""
+"""Tests of the tree: precedence, checks, explanations and the nested form."""
 
 import math
 import unittest
@@ -15,10 +15,10 @@
 
 
 class TestResolve(unittest.TestCase):
-    def test_nearer_level_wins_and_tenant_beats_zone(self):
+    def test_more_specific_levels_take_precedence_and_tenants_over_zones(self):
         policy = resolve(make_tree(), PATH)
-        self.assertEqual(policy.queue_limit, 800)  # the tenant's over the zone's
-        self.assertEqual(policy.weight, 3.0)  # the class in the zone over the tenant's
+        self.assertEqual(policy.queue_limit, 800)  # of the tenant, not of the zone
+        self.assertEqual(policy.weight, 3.0)  # of the class in the zone, not of the tenant
         self.assertEqual(policy.urgency, Urgency.URGENT)
         self.assertEqual((policy.budget.tokens, policy.budget.turns), (100_000, 40))
 
@@ -33,7 +33,7 @@
         program = "tenant:job-centres/booking/appointment-chat"
         self.assertEqual(origin["budget.turns"], (40, program))
 
-    def test_removal_inherits_again_and_leaves_the_old_tree(self):
+    def test_removal_of_an_override_inherits_again_and_does_not_modify_the_old_tree(self):
         tree = make_tree()
         after = apply_changes(tree, [set_value(None, "queue_limit", "tenant:job-centres")])
         self.assertEqual(resolve(after, PATH).queue_limit, 500)
@@ -41,7 +41,7 @@
 
 
 class TestChecks(unittest.TestCase):
-    def assert_refused(self, change, *parts):
+    def assert_rejected(self, change, *parts):
         with self.assertRaises(SettingsError) as caught:
             check_changes(make_tree(), [change])
         for part in parts:
@@ -49,26 +49,26 @@
 
     def test_each_error_names_level_and_reason(self):
         tenant = "tenant:job-centres/booking"
-        self.assert_refused(
+        self.assert_rejected(
             set_value(1, "queue_limt", tenant), tenant, "did you mean `queue_limit`"
         )
-        self.assert_refused(set_value("many", "queue_limit", tenant), tenant, "`queue_limit`")
-        self.assert_refused(set_value(True, "queue_limit"), "firm", "`queue_limit`")
-        self.assert_refused(set_value(-1, "budget.tokens"), "firm", "`budget.tokens`")
-        self.assert_refused(set_value(math.inf, "deadline_s"), "firm", "finite")
-        self.assert_refused(set_value(math.nan, "deadline_s"), "firm", "`deadline_s`")
-        self.assert_refused(set_value(1.1, "latency_weight"), "firm", "`latency_weight`")
-        self.assert_refused(set_value({"tokens": 1}, "budget"), "firm", "group", "budget.tokens")
-        self.assert_refused(set_value(1, level="tenant:A b"), "tenant:A b", "not a name")
-        self.assert_refused(set_value(1, level="tenant:a/b/c/d"), "too many parts")
-        self.assert_refused(set_value(1, level="tennant:a"), "is not a level")
-        self.assert_refused(set_value("boss", "aino", "operators"), "operators", "`aino`")
-        self.assert_refused(
+        self.assert_rejected(set_value("many", "queue_limit", tenant), tenant, "`queue_limit`")
+        self.assert_rejected(set_value(True, "queue_limit"), "firm", "`queue_limit`")
+        self.assert_rejected(set_value(-1, "budget.tokens"), "firm", "`budget.tokens`")
+        self.assert_rejected(set_value(math.inf, "deadline_s"), "firm", "finite")
+        self.assert_rejected(set_value(math.nan, "deadline_s"), "firm", "`deadline_s`")
+        self.assert_rejected(set_value(1.1, "latency_weight"), "firm", "`latency_weight`")
+        self.assert_rejected(set_value({"tokens": 1}, "budget"), "firm", "group", "budget.tokens")
+        self.assert_rejected(set_value(1, level="tenant:A b"), "tenant:A b", "not a name")
+        self.assert_rejected(set_value(1, level="tenant:a/b/c/d"), "too many parts")
+        self.assert_rejected(set_value(1, level="tennant:a"), "is not a level")
+        self.assert_rejected(set_value("boss", "aino", "operators"), "operators", "`aino`")
+        self.assert_rejected(
             set_value([{"name": "x", "approvls": 1}], "rules", "approval"), "approvls"
         )
-        self.assert_refused(set_value(None, "weight"), "firm", "no override to remove")
+        self.assert_rejected(set_value(None, "weight"), "firm", "no override to remove")
 
-    def test_one_setting_may_not_be_changed_twice(self):
+    def test_two_changes_of_one_setting_are_rejected(self):
         with self.assertRaises(SettingsError):
             check_changes(make_tree(), [set_value(1), set_value(2)])
 
@@ -82,7 +82,7 @@
     def test_round_trip(self):
         tree = make_tree()
         written = nested_tree(tree)
-        # Rules are stored with their defaults, so that a later release's cannot change them.
+        # Rules are stored with their defaults, which a later release therefore cannot change.
         self.assertEqual(written.pop("approval")["rules"][1]["role"], "approver")
         expected = {key: value for key, value in NESTED_TREE.items() if key != "approval"}
         self.assertEqual(written, expected)
@@ -106,11 +106,11 @@
         ):
             self.assertIn(part, message)
 
-    def test_newer_format_is_refused(self):
+    def test_newer_format_is_rejected(self):
         with self.assertRaises(FormatError):
             parse_tree({"format": 2, "surprise": 1}, "tree.yaml")
 
-    def test_trees_of_both_firms_can_be_used_and_changed(self):
+    def test_example_trees_of_both_firms_can_be_used_and_changed(self):
         for name in ("kettu-tree.yaml", "kiprono-tree.yaml"):
             tree = parse_tree(read_yaml(EXAMPLES / name), name)
             self.assertEqual(unusable_rules(tree), [])
