--- a/bench/spread_worker.py
+++ b/bench/spread_worker.py
@@ -178,7 +178,7 @@
 
     async def seed(self) -> None:
         """Make the first tree version 1."""
-        records = self.configuration.service.records
+        records = self.configuration.service.config_store
         (await seed_store(records, self.entry.config, self.entry.own)).unwrap()
 
     async def change(self, number: int) -> Answer:
--- a/waxwingglade/process/configuration.py
+++ b/waxwingglade/process/configuration.py
@@ -177,7 +177,7 @@
         """Read the store, again if that fails while a peer that may know better is missing."""
         clock = self.entry.clock
         end_at = clock() + STORE_PATIENCE_S
-        while (found := await catch_up(self.service.records, self.active)).is_err():
+        while (found := await catch_up(self.service.config_store, self.active)).is_err():
             logger.info("the configuration was not read: {}", found.err_value.message)
             if self.active.confirmed or self._sees_all_peers() or clock() >= end_at:
                 return
@@ -196,16 +196,16 @@
         """Follow the store, after making sure that it holds a configuration."""
         pause_s = self.entry.settings.durability.suspect_after_s
         while True:
-            found = await catch_up(self.service.records, self.active)
+            found = await catch_up(self.service.config_store, self.active)
             if found.is_ok() and not found.ok_value:
                 seeded = await seed_store(
-                    self.service.records, self.active, self.entry.own, self.entry.wall_clock
+                    self.service.config_store, self.active, self.entry.own, self.entry.wall_clock
                 )
                 logger.debug("seeding the store: {}", seeded.is_ok() and seeded.ok_value)
             if found.is_ok():
                 break
             await asyncio.sleep(pause_s)
-        await follow_store(self.service.records, self.active)
+        await follow_store(self.service.config_store, self.active)
 
     async def _tidy(self) -> None:
         """Remove old records from the store, if this entry ranks first of all."""
@@ -213,7 +213,7 @@
             await asyncio.sleep(TIDY_PERIOD_S)
             own = self.entry.own
             if rank(TIDY_DUTY, [own, *self.entry.members.usable()])[0] == own:
-                await delete_old_records(self.service.records, self.entry.wall_clock())
+                await delete_old_records(self.service.config_store, self.entry.wall_clock())
 
 
 async def _end(task: asyncio.Task) -> None:
--- a/waxwingglade/version/acceptance.py
+++ b/waxwingglade/version/acceptance.py
@@ -86,7 +86,7 @@
 
 
 async def accept_proposal(
-    records: ConfigStore, active: ActiveConfig, request: AcceptRequest
+    config_store: ConfigStore, active: ActiveConfig, request: AcceptRequest
 ) -> Outcome[VersionRecord]:
     """Put a proposal in force once; a repeated request returns the version that it became.
 
@@ -99,18 +99,18 @@
     uncertain_revision: int | None = None
     for attempt in range(ATTEMPTS):
         await _pause(attempt)
-        read = await read_proposal_context(records, request.proposal)
+        read = await read_proposal_context(config_store, request.proposal)
         if isinstance(read, Err):
             if uncertain_revision is None:
                 return read
             continue
         context = read.ok_value
         if context.accepted is not None:
-            await _catch_up(records, active, context.head.value)
+            await _catch_up(config_store, active, context.head.value)
             return Ok(context.accepted)
         if uncertain_revision != context.head.mod_revision:
             uncertain_revision = None
-        swapped = await _plan_and_swap(records, active, context, request)
+        swapped = await _plan_and_swap(config_store, active, context, request)
         if isinstance(swapped, Ok):
             return swapped
         if is_uncertain(swapped):
@@ -123,14 +123,17 @@
 
 
 async def _plan_and_swap(
-    records: ConfigStore, active: ActiveConfig, context: ProposalContext, request: AcceptRequest
+    config_store: ConfigStore,
+    active: ActiveConfig,
+    context: ProposalContext,
+    request: AcceptRequest,
 ) -> Outcome[VersionRecord]:
     """Attempt once to put a proposal in force."""
-    plan = await _plan(records, active, context, request)
+    plan = await _plan(config_store, active, context, request)
     if isinstance(plan, Err):
         return plan
     head = plan.ok_value.head
-    swapped = await records.write_head(head, context.head.mod_revision)
+    swapped = await config_store.write_head(head, context.head.mod_revision)
     if isinstance(swapped, Err):
         return Err(HEAD_MOVED) if is_conflict(swapped) else swapped
     # As a record, the version can be sent to peers that are behind without the complete tree.
@@ -159,11 +162,14 @@
 
 
 async def _plan(
-    records: ConfigStore, active: ActiveConfig, context: ProposalContext, request: AcceptRequest
+    config_store: ConfigStore,
+    active: ActiveConfig,
+    context: ProposalContext,
+    request: AcceptRequest,
 ) -> Outcome[Plan]:
     """Check a proposal against the rules in force, and write the records that precede the swap."""
     head = context.head.value
-    loaded = await records.load(head, active.current)
+    loaded = await config_store.load(head, active.current)
     if isinstance(loaded, Err):
         return loaded
     current = loaded.ok_value
@@ -177,7 +183,7 @@
     problem = check_result(snapshot.tree, snapshot.version)
     if problem is not None:
         return not_run(ErrorCode.CONFLICT, f"with the versions accepted since: {problem}")
-    ref = await _write_ahead(records, head, current)
+    ref = await _write_ahead(config_store, head, current)
     if isinstance(ref, Err):
         return ref
     record = _record_of(proposal, current, snapshot, request)
@@ -207,23 +213,23 @@
 
 
 async def _write_ahead(
-    records: ConfigStore, head: Head, current: ConfigSnapshot
+    config_store: ConfigStore, head: Head, current: ConfigSnapshot
 ) -> Outcome[SnapshotRef]:
     """Write the version in force to the history, and its tree if one is due.
 
     Returns a reference to the newest stored tree.
     """
-    stored = await records.store_version(head.record)
+    stored = await config_store.store_version(head.record)
     if isinstance(stored, Err):
         return stored
     if current.version - head.snapshot.version < SNAPSHOT_EVERY:
         return Ok(head.snapshot)
-    return await records.store_snapshot(current)
+    return await config_store.store_snapshot(current)
 
 
-async def _catch_up(records: ConfigStore, active: ActiveConfig, head: Head) -> None:
+async def _catch_up(config_store: ConfigStore, active: ActiveConfig, head: Head) -> None:
     """Put the version of a head in force in this process, if it can be read."""
-    loaded = await records.load(head, active.current)
+    loaded = await config_store.load(head, active.current)
     if isinstance(loaded, Ok):
         active.offer(loaded.ok_value, Source.STORE)
 
--- a/waxwingglade/version/cleanup.py
+++ b/waxwingglade/version/cleanup.py
@@ -13,70 +13,74 @@
 """Seconds for which a closed proposal is retained, so that a retry is recognised."""
 
 
-async def delete_old_records(records: ConfigStore, now_s: float) -> Outcome[int]:
+async def delete_old_records(config_store: ConfigStore, now_s: float) -> Outcome[int]:
     """Delete old versions, trees and closed proposals; return the number of deleted records.
 
     Any entry may do this at any time, and several may do it concurrently.  `now_s` is in seconds
     since 1970.
     """
-    head = await read_known_head(records)
+    head = await read_known_head(config_store)
     if isinstance(head, Err):
         return head
     deleted = 0
     for step in (_delete_old_versions, _delete_old_trees):
-        outcome = await step(records, head.ok_value.value)
+        outcome = await step(config_store, head.ok_value.value)
         if isinstance(outcome, Err):
             return outcome
         deleted += outcome.ok_value
-    outcome = await _delete_old_proposals(records, head.ok_value.value, now_s)
+    outcome = await _delete_old_proposals(config_store, head.ok_value.value, now_s)
     return outcome if isinstance(outcome, Err) else Ok(deleted + outcome.ok_value)
 
 
-async def _delete_old_versions(records: ConfigStore, head: Head) -> Outcome[int]:
+async def _delete_old_versions(config_store: ConfigStore, head: Head) -> Outcome[int]:
     """Delete the buckets all of whose versions are older than the retained ones."""
     number = oldest_retained(head) // BUCKET_VERSIONS - 1
     deleted = 0
     while number >= 0:
-        listing = await records.store.list(records.keys.bucket(number))
+        listing = await config_store.store.list(config_store.keys.bucket(number))
         if isinstance(listing, Err):
             return listing
         if not listing.ok_value.items:
             break
         for item in listing.ok_value.items:
-            await records.store.delete_if(item.key, item.mod_revision)
+            await config_store.store.delete_if(item.key, item.mod_revision)
         deleted += len(listing.ok_value.items)
         number -= 1
     return Ok(deleted)
 
 
-async def _delete_old_trees(records: ConfigStore, head: Head) -> Outcome[int]:
+async def _delete_old_trees(config_store: ConfigStore, head: Head) -> Outcome[int]:
     """Delete trees that are older than the one before the head's.
 
     That one is retained because a slow reader may still need it.
     """
-    listing = await records.store.list(records.keys.snapshots)
+    listing = await config_store.store.list(config_store.keys.snapshots)
     if isinstance(listing, Err):
         return listing
     oldest = head.snapshot.version - SNAPSHOT_EVERY
-    prefix = records.keys.snapshots
+    prefix = config_store.keys.snapshots
     old = [
         item
         for item in listing.ok_value.items
         if int(item.key.removeprefix(prefix).split("-")[0]) < oldest
     ]
     for item in old:
-        await records.store.delete_if(item.key, item.mod_revision)
+        await config_store.store.delete_if(item.key, item.mod_revision)
     return Ok(len(old))
 
 
-async def _delete_old_proposals(records: ConfigStore, head: Head, now_s: float) -> Outcome[int]:
+async def _delete_old_proposals(
+    config_store: ConfigStore, head: Head, now_s: float
+) -> Outcome[int]:
     """Delete proposals that were closed long ago or can no longer be accepted."""
-    listed = await records.list_proposals()
+    listed = await config_store.list_proposals()
     if isinstance(listed, Err):
         return listed
     old = [each for each in listed.ok_value if _is_old(each.value, head, now_s)]
     for each in old:
-        await records.store.delete_if(records.keys.proposal(each.value.id), each.mod_revision)
+        await config_store.store.delete_if(
+            config_store.keys.proposal(each.value.id), each.mod_revision
+        )
     return Ok(len(old))
 
 
--- a/waxwingglade/version/following.py
+++ b/waxwingglade/version/following.py
@@ -37,19 +37,19 @@
 SEED_OPERATOR = OperatorId("")
 
 
-async def catch_up(records: ConfigStore, active: ActiveConfig) -> Outcome[bool]:
+async def catch_up(config_store: ConfigStore, active: ActiveConfig) -> Outcome[bool]:
     """Read the version in force from the store and offer it; return whether the store has one."""
-    head = await records.read_head()
+    head = await config_store.read_head()
     if isinstance(head, Err):
         return head
     if head.ok_value is None:
         return Ok(False)
-    offered = await _offer_head(records, active, head.ok_value.value)
+    offered = await _offer_head(config_store, active, head.ok_value.value)
     return offered if isinstance(offered, Err) else Ok(True)
 
 
 async def seed_store(
-    records: ConfigStore, active: ActiveConfig, entry_ref: EntryRef, clock: Clock = wall
+    config_store: ConfigStore, active: ActiveConfig, entry_ref: EntryRef, clock: Clock = wall
 ) -> Outcome[bool]:
     """Write this entry's initial tree as version 1 to a store that has no version.
 
@@ -70,68 +70,68 @@
         logger.warning("the initial tree is not stored, it could not be changed: {}", reasons)
         return Ok(False)
     first = ConfigSnapshot(FIRST_VERSION, initial.tree, initial.hash)
-    stored = await records.store_snapshot(first)
+    stored = await config_store.store_snapshot(first)
     if isinstance(stored, Err):
         return stored
-    written = await records.write_head(_first_head(first, entry_ref, clock()), 0)
+    written = await config_store.write_head(_first_head(first, entry_ref, clock()), 0)
     if isinstance(written, Err):
         return written
     active.offer(first, Source.STORE)
     return Ok(True)
 
 
-async def follow_store(records: ConfigStore, active: ActiveConfig) -> None:
+async def follow_store(config_store: ConfigStore, active: ActiveConfig) -> None:
     """Put each new version of the store in force, until cancelled."""
-    polling = asyncio.create_task(_poll_head(records, active))
+    polling = asyncio.create_task(_poll_head(config_store, active))
     try:
         while True:
-            await _watch_once(records, active)
+            await _watch_once(config_store, active)
             await asyncio.sleep(WATCH_RETRY_S)
     finally:
         polling.cancel()
 
 
-async def _watch_once(records: ConfigStore, active: ActiveConfig) -> None:
+async def _watch_once(config_store: ConfigStore, active: ActiveConfig) -> None:
     """Read the head and watch it until the watch ends or fails."""
-    key = records.keys.head
-    listing = await records.store.list(key)
+    key = config_store.keys.head
+    listing = await config_store.store.list(key)
     if isinstance(listing, Err):
         return
     for item in listing.ok_value.items:
-        await _offer_item(records, active, item)
+        await _offer_item(config_store, active, item)
     try:
-        async for event in records.store.watch(key, listing.ok_value.revision + 1):
+        async for event in config_store.store.watch(key, listing.ok_value.revision + 1):
             if event.kind is WatchKind.DELETE:
                 logger.error("the configuration was deleted from the store; it stays in force")
                 continue
             for item in event.items:
-                await _offer_item(records, active, item)
+                await _offer_item(config_store, active, item)
     except Exception as error:
         logger.warning("the watch of the configuration failed: {}", error)
 
 
-async def _poll_head(records: ConfigStore, active: ActiveConfig) -> None:
+async def _poll_head(config_store: ConfigStore, active: ActiveConfig) -> None:
     """Read the head periodically."""
     while True:
         await asyncio.sleep(POLL_S)
-        outcome = await catch_up(records, active)
+        outcome = await catch_up(config_store, active)
         if isinstance(outcome, Err):
             logger.debug("the configuration was not read: {}", outcome.err_value.message)
 
 
-async def _offer_item(records: ConfigStore, active: ActiveConfig, item: KeyValue) -> None:
+async def _offer_item(config_store: ConfigStore, active: ActiveConfig, item: KeyValue) -> None:
     """Offer the version in an item of a watch or listing."""
-    if item.key != records.keys.head:
+    if item.key != config_store.keys.head:
         return
     try:
         head = decode_record(RecordKind.HEAD, item.value, Head)
     except FormatError as error:
         logger.error("{}: {}", item.key, error)
         return
-    await _offer_head(records, active, head)
+    await _offer_head(config_store, active, head)
 
 
-async def _offer_head(records: ConfigStore, active: ActiveConfig, head: Head) -> Outcome[None]:
+async def _offer_head(config_store: ConfigStore, active: ActiveConfig, head: Head) -> Outcome[None]:
     """Offer the version of a head; read the records from the store that it is rebuilt from."""
     record = head.record
     if record.version < active.current.version:
@@ -143,7 +143,7 @@
     if active.offer_records([record], Source.STORE) or record.version <= active.current.version:
         active.confirmed = True
         return Ok(None)
-    loaded = await records.load(head, active.current)
+    loaded = await config_store.load(head, active.current)
     if isinstance(loaded, Err):
         reason = loaded.err_value.message
         logger.warning("configuration version {} was not read: {}", record.version, reason)
--- a/waxwingglade/version/proposal_context.py
+++ b/waxwingglade/version/proposal_context.py
@@ -30,9 +30,9 @@
     accepted: VersionRecord | None
 
 
-async def read_known_head(records: ConfigStore) -> Outcome[Stored[Head]]:
+async def read_known_head(config_store: ConfigStore) -> Outcome[Stored[Head]]:
     """Return the head; it is a failure if the store has none yet."""
-    head = await records.read_head()
+    head = await config_store.read_head()
     if isinstance(head, Err):
         return head
     if head.ok_value is None:
@@ -41,18 +41,20 @@
 
 
 async def read_proposal_context(
-    records: ConfigStore, proposal: ProposalId
+    config_store: ConfigStore, proposal: ProposalId
 ) -> Outcome[ProposalContext]:
     """Read the head, then a proposal, then the versions since the proposal's base."""
-    head = await read_known_head(records)
+    head = await read_known_head(config_store)
     if isinstance(head, Err):
         return head
-    found = await records.read_proposal(proposal)
+    found = await config_store.read_proposal(proposal)
     if isinstance(found, Err):
         return found
     if found.ok_value is None:
         return not_run(ErrorCode.NOT_FOUND, f"there is no proposal {proposal}")
-    since = await versions_since(records, head.ok_value.value, found.ok_value.value.base_version)
+    since = await versions_since(
+        config_store, head.ok_value.value, found.ok_value.value.base_version
+    )
     if isinstance(since, Err):
         return _from_record(found.ok_value, since)
     accepted = next((each for each in since.ok_value if each.proposal == proposal), None)
@@ -60,12 +62,12 @@
 
 
 async def versions_since(
-    records: ConfigStore, head: Head, base: ConfigVersion
+    config_store: ConfigStore, head: Head, base: ConfigVersion
 ) -> Outcome[list[VersionRecord]]:
     """Return the versions after `base`, including the one in force."""
     if base >= head.record.version:
         return Ok([])
-    between = await records.read_versions(base + 1, head.record.version - 1)
+    between = await config_store.read_versions(base + 1, head.record.version - 1)
     if isinstance(between, Err):
         return between
     return Ok([*between.ok_value, head.record])
--- a/waxwingglade/version/proposing.py
+++ b/waxwingglade/version/proposing.py
@@ -38,33 +38,33 @@
 
 
 async def propose_changes(
-    records: ConfigStore, active: ActiveConfig, request: ProposalRequest
+    config_store: ConfigStore, active: ActiveConfig, request: ProposalRequest
 ) -> Outcome[Proposal]:
     """Record a proposal once; a repeat of the same request returns the proposal."""
     if not CALL_ID_PATTERN.match(request.id):
         return not_run(ErrorCode.BAD_REQUEST, f"`{request.id}` is not an id for a proposal")
-    found = await records.read_proposal(request.id)
+    found = await config_store.read_proposal(request.id)
     if isinstance(found, Err):
         return found
     if found.ok_value is not None:
         return _same_or_conflict(found.ok_value.value, request)
-    checked = await _checked_proposal(records, active, request)
+    checked = await _checked_proposal(config_store, active, request)
     if isinstance(checked, Err):
         return checked
-    return await _create(records, checked.ok_value, request)
+    return await _create(config_store, checked.ok_value, request)
 
 
 async def _checked_proposal(
-    records: ConfigStore, active: ActiveConfig, request: ProposalRequest
+    config_store: ConfigStore, active: ActiveConfig, request: ProposalRequest
 ) -> Outcome[Proposal]:
     """Return the proposal for a request, if the proposal can ever be accepted."""
-    head = await read_known_head(records)
+    head = await read_known_head(config_store)
     if isinstance(head, Err):
         return head
-    loaded = await records.load(head.ok_value.value, active.current)
+    loaded = await config_store.load(head.ok_value.value, active.current)
     if isinstance(loaded, Err):
         return loaded
-    since = await versions_since(records, head.ok_value.value, request.base_version)
+    since = await versions_since(config_store, head.ok_value.value, request.base_version)
     if isinstance(since, Err):
         return since
     checked = _check_changes(loaded.ok_value, request, since.ok_value)
@@ -110,18 +110,18 @@
 
 
 async def _create(
-    records: ConfigStore, proposal: Proposal, request: ProposalRequest
+    config_store: ConfigStore, proposal: Proposal, request: ProposalRequest
 ) -> Outcome[Proposal]:
     """Write a new proposal; if the same proposal has been written by now, return that one."""
     uncertain = False
     for _ in range(ATTEMPTS):
-        written = await records.write_proposal(proposal, 0)
+        written = await config_store.write_proposal(proposal, 0)
         if isinstance(written, Ok):
             return Ok(proposal)
         uncertain = uncertain or is_uncertain(written)
         if not uncertain and not is_conflict(written):
             return written
-        found = await records.read_proposal(request.id)
+        found = await config_store.read_proposal(request.id)
         if isinstance(found, Ok) and found.ok_value is not None:
             return _same_or_conflict(found.ok_value.value, request)
     return may_have_run(ErrorCode.STORE_UNAVAILABLE, "the store's answer was lost: ask again")
--- a/waxwingglade/version/review.py
+++ b/waxwingglade/version/review.py
@@ -22,12 +22,12 @@
 
 
 def require_role(
-    records: ConfigStore, active: ActiveConfig, operator: OperatorId, least: Role
+    config_store: ConfigStore, active: ActiveConfig, operator: OperatorId, least: Role
 ) -> PermissionCheck:
     """Return a check that an operator has at least a role in the version in force."""
 
     async def check(context: ProposalContext) -> Outcome[None]:
-        loaded = await records.load(context.head.value, active.current)
+        loaded = await config_store.load(context.head.value, active.current)
         if isinstance(loaded, Err):
             return loaded
         if has_role(loaded.ok_value.tree, operator, least):
@@ -49,13 +49,13 @@
 
 
 async def edit_proposal(
-    records: ConfigStore, proposal: ProposalId, check: PermissionCheck, edit: ProposalEdit
+    config_store: ConfigStore, proposal: ProposalId, check: PermissionCheck, edit: ProposalEdit
 ) -> Outcome[Proposal]:
     """Change a proposal's record by compare-and-swap, unless it has been changed already."""
     # Revision of the proposal that a write of unknown outcome expected.
     uncertain_revision: int | None = None
     for _ in range(ATTEMPTS):
-        read = await read_proposal_context(records, proposal)
+        read = await read_proposal_context(config_store, proposal)
         if isinstance(read, Err):
             if uncertain_revision is None:
                 return read
@@ -68,7 +68,7 @@
         if edited.ok_value == read.ok_value.proposal.value:
             return edited
         revision = read.ok_value.proposal.mod_revision
-        written = await records.write_proposal(edited.ok_value, revision)
+        written = await config_store.write_proposal(edited.ok_value, revision)
         if isinstance(written, Ok):
             return edited
         if is_uncertain(written):
@@ -79,24 +79,24 @@
 
 
 async def close_proposal(
-    records: ConfigStore, proposal: ProposalId, check: PermissionCheck, edit: ProposalEdit
+    config_store: ConfigStore, proposal: ProposalId, check: PermissionCheck, edit: ProposalEdit
 ) -> Outcome[Proposal]:
     """Close a proposal, and ensure that no concurrent acceptance can still succeed."""
-    edited = await edit_proposal(records, proposal, check, edit)
+    edited = await edit_proposal(config_store, proposal, check, edit)
     if isinstance(edited, Err):
         return edited
-    return await _fence(records, proposal)
+    return await _fence(config_store, proposal)
 
 
-async def mark_accepted(records: ConfigStore, record: VersionRecord) -> None:
+async def mark_accepted(config_store: ConfigStore, record: VersionRecord) -> None:
     """Mark the proposal's record as accepted; a failure is harmless, as the history shows it."""
-    found = await records.read_proposal(record.proposal)
+    found = await config_store.read_proposal(record.proposal)
     if isinstance(found, Err) or found.ok_value is None:
         return
     marked = _with_version(found.ok_value.value, record)
     if marked == found.ok_value.value:
         return
-    written = await records.write_proposal(marked, found.ok_value.mod_revision)
+    written = await config_store.write_proposal(marked, found.ok_value.mod_revision)
     if isinstance(written, Err):
         reason = written.err_value.message
         logger.debug("proposal {} is not marked as accepted: {}", record.proposal, reason)
@@ -119,22 +119,22 @@
     return edit(current_proposal(context))
 
 
-async def _fence(records: ConfigStore, proposal: ProposalId) -> Outcome[Proposal]:
+async def _fence(config_store: ConfigStore, proposal: ProposalId) -> Outcome[Proposal]:
     """Rewrite the head unchanged, so that swaps that expect its current revision fail.
 
     An acceptance that reads the head afterwards also reads the closed proposal.
     """
     for _ in range(ATTEMPTS):
-        read = await read_proposal_context(records, proposal)
+        read = await read_proposal_context(config_store, proposal)
         if isinstance(read, Err):
             continue
         context = read.ok_value
         if context.accepted is not None:
-            await mark_accepted(records, context.accepted)
+            await mark_accepted(config_store, context.accepted)
             version = context.accepted.version
             message = f"proposal {proposal} was accepted as version {version}"
             return not_run(ErrorCode.CONFLICT, message)
-        fenced = await records.write_head(context.head.value, context.head.mod_revision)
+        fenced = await config_store.write_head(context.head.value, context.head.mod_revision)
         if isinstance(fenced, Ok):
             return Ok(context.proposal.value)
     return may_have_run(
--- a/waxwingglade/version/service.py
+++ b/waxwingglade/version/service.py
@@ -60,7 +60,7 @@
         keys: ConfigKeys | None = None,
         clock: Clock = wall,
     ) -> None:
-        self.records = ConfigStore(store, keys)
+        self.config_store = ConfigStore(store, keys)
         self.entry_ref = entry_ref
         self.active = active
         self.clock = clock
@@ -74,16 +74,16 @@
     ) -> Outcome[Proposal]:
         """Propose changes; a repeat with the same id and content returns the proposal."""
         request = ProposalRequest(proposal, operator, base_version, changes, self.clock())
-        return await propose_changes(self.records, self.active, request)
+        return await propose_changes(self.config_store, self.active, request)
 
     async def approve(
         self, proposal: ProposalId, operator: OperatorId, text_digest: str
     ) -> Outcome[Proposal]:
         """Approve the text with the given digest (`digest_of` of the proposal's text)."""
         approval = Approval(operator, text_digest, self.clock())
-        check = require_role(self.records, self.active, operator, Role.APPROVER)
+        check = require_role(self.config_store, self.active, operator, Role.APPROVER)
         return await edit_proposal(
-            self.records, proposal, check, lambda each: with_approval(each, approval)
+            self.config_store, proposal, check, lambda each: with_approval(each, approval)
         )
 
     async def reject(
@@ -91,9 +91,9 @@
     ) -> Outcome[Proposal]:
         """Close a proposal as an approver."""
         at_s = self.clock()
-        check = require_role(self.records, self.active, operator, Role.APPROVER)
+        check = require_role(self.config_store, self.active, operator, Role.APPROVER)
         return await close_proposal(
-            self.records,
+            self.config_store,
             proposal,
             check,
             lambda each: with_closure(each, ProposalState.REJECTED, operator, reason, at_s),
@@ -103,7 +103,7 @@
         """Close a proposal as its proposer."""
         at_s = self.clock()
         return await close_proposal(
-            self.records,
+            self.config_store,
             proposal,
             require_proposer(operator),
             lambda each: with_closure(each, ProposalState.WITHDRAWN, operator, "", at_s),
@@ -112,19 +112,19 @@
     async def accept(self, proposal: ProposalId, operator: OperatorId) -> Outcome[VersionRecord]:
         """Put an approved proposal in force; a repeat returns the version that it became."""
         request = AcceptRequest(proposal, operator, self.entry_ref.entry, self.clock())
-        outcome = await accept_proposal(self.records, self.active, request)
+        outcome = await accept_proposal(self.config_store, self.active, request)
         if isinstance(outcome, Ok):
-            await mark_accepted(self.records, outcome.ok_value)
+            await mark_accepted(self.config_store, outcome.ok_value)
         return outcome
 
     async def proposal(self, proposal: ProposalId) -> Outcome[Proposal]:
         """Return a proposal in its current state."""
-        read = await read_proposal_context(self.records, proposal)
+        read = await read_proposal_context(self.config_store, proposal)
         return read if isinstance(read, Err) else Ok(current_proposal(read.ok_value))
 
     async def proposals(self, state: ProposalState | None = None) -> Outcome[list[Proposal]]:
         """Return the retained proposals as recorded, oldest first, optionally only of one state."""
-        listed = await self.records.list_proposals()
+        listed = await self.config_store.list_proposals()
         if isinstance(listed, Err):
             return listed
         found = [each.value for each in listed.ok_value if state in (None, each.value.state)]
@@ -132,13 +132,13 @@
 
     async def history(self, limit: int = HISTORY_LIMIT) -> Outcome[list[VersionRecord]]:
         """Return the last accepted versions that are retained, newest first."""
-        head = await read_known_head(self.records)
+        head = await read_known_head(self.config_store)
         if isinstance(head, Err):
             return head
         versions = [head.ok_value.value.record]
         number = (versions[0].version - 1) // BUCKET_VERSIONS
         while len(versions) < limit and number >= 0:
-            bucket = await self.records.read_bucket(number)
+            bucket = await self.config_store.read_bucket(number)
             if isinstance(bucket, Err):
                 return bucket
             newest = versions[-1].version
--- a/waxwingglade/version/tests/builders.py
+++ b/waxwingglade/version/tests/builders.py
@@ -94,7 +94,7 @@
 async def seeded_service(store: FakeStore) -> ConfigService:
     """Return a service whose tree is version 1 in the store."""
     service = make_service(store)
-    seeded = await seed_store(service.records, service.active, service.entry_ref)
+    seeded = await seed_store(service.config_store, service.active, service.entry_ref)
     assert seeded.ok_value
     return service
 
--- a/waxwingglade/version/tests/test_property.py
+++ b/waxwingglade/version/tests/test_property.py
@@ -123,7 +123,7 @@
     async def do_propose_to_accept(self, service, index, name, by, change_and_approvers):
         """Propose a change, have it approved, and accept it."""
         change, approvers = change_and_approvers
-        await catch_up(service.records, service.active)
+        await catch_up(service.config_store, service.active)
         await self.do_propose(service, index, name, by, change)
         for each in approvers:
             await self.do_approve(service, index, name, each)
@@ -155,7 +155,7 @@
             self.closed.add(name)
 
     async def do_catch_up(self, service, index):
-        await catch_up(service.records, service.active)
+        await catch_up(service.config_store, service.active)
         self.copies[index] = service.active.snapshot_bytes()
 
     async def do_stale_peer(self, service, _, other):
@@ -209,7 +209,7 @@
     services = [await seeded_service(store)]
     services += [make_service(store, f"entry-{number}") for number in range(1, ENTRIES)]
     for service in services:
-        (await catch_up(service.records, service.active)).unwrap()
+        (await catch_up(service.config_store, service.active)).unwrap()
     simulation = Simulation(store, services)
     store.faults.extend(faults)
     for steps in rounds:
