--- a/waxwingglade/base/buffered_metrics.py
+++ b/waxwingglade/base/buffered_metrics.py
@@ -41,7 +41,7 @@
         self.counts[values] += 1
 
     def publish(self) -> None:
-        """Bring the collector up to date."""
+        """Copy the current values to the collector of the metrics library."""
         for values, count in self.counts.items():
             self.collector.set(dict(zip(self.labels, values, strict=True)), count)
 
@@ -90,7 +90,7 @@
         observed.total += value
 
     def publish(self) -> None:
-        """Bring the collector up to date."""
+        """Copy the current values to the collector of the metrics library."""
         for values, observed in self.observed.items():
             histogram = Histogram(*self.bounds)
             histogram.buckets = dict(zip(self.bounds, accumulate(observed.counts), strict=True))
--- a/waxwingglade/request/call_execution.py
+++ b/waxwingglade/request/call_execution.py
@@ -126,10 +126,10 @@
     if granted.is_err():
         return granted
     execution.grant = granted.ok_value
-    begun = await record_start(execution, amount)
-    if begun.is_err():
-        execution.grant.failed(begun.err_value)
-        return Err(begun.err_value)
+    recorded = await record_start(execution, amount)
+    if recorded.is_err():
+        execution.grant.failed(recorded.err_value)
+        return Err(recorded.err_value)
     return granted
 
 
--- a/waxwingglade/version/config_store.py
+++ b/waxwingglade/version/config_store.py
@@ -175,10 +175,10 @@
             rebuilt = await self._replay(known, head)
             if isinstance(rebuilt, Ok):
                 return rebuilt
-        whole = await self._read_snapshot(head.snapshot)
-        if isinstance(whole, Err):
-            return whole
-        return await self._replay(whole.ok_value, head)
+        stored_tree = await self._read_snapshot(head.snapshot)
+        if isinstance(stored_tree, Err):
+            return stored_tree
+        return await self._replay(stored_tree.ok_value, head)
 
     async def _replay(self, start: ConfigSnapshot, head: Head) -> Outcome[ConfigSnapshot]:
         """Return the version of a head, rebuilt from an earlier version."""
--- a/waxwingglade/version/tests/test_saved_copy.py
+++ b/waxwingglade/version/tests/test_saved_copy.py
@@ -59,9 +59,9 @@
         self.assertEqual(active.current.version, 9)
 
     def test_a_truncated_or_corrupt_copy_is_not_used_and_may_be_replaced(self):
-        whole = encode_snapshot(ConfigSnapshot(7, make_tree()))
-        middle = len(whole) // 2
-        for data in (whole[:-1], b"", whole[:middle] + b"\0" + whole[middle + 1 :]):
+        encoded = encode_snapshot(ConfigSnapshot(7, make_tree()))
+        middle = len(encoded) // 2
+        for data in (encoded[:-1], b"", encoded[:middle] + b"\0" + encoded[middle + 1 :]):
             self.path.write_bytes(data)
             self.assertIsNone(load_copy(self.folder))
             self.assertEqual(open_active(self.settings).current.version, 0)
--- a/waxwingglade/version/tests/test_service.py
+++ b/waxwingglade/version/tests/test_service.py
@@ -37,17 +37,17 @@
 
     def delay_swaps(self, count: int) -> list[tuple[asyncio.Event, asyncio.Event]]:
         """Delay the next writes of the head; return the events `reached` and `go_on` of each."""
-        held = [(asyncio.Event(), asyncio.Event()) for _ in range(count)]
-        waiting = list(held)
+        delayed = [(asyncio.Event(), asyncio.Event()) for _ in range(count)]
+        pending = list(delayed)
 
-        async def hold(key):
-            if key == HEAD_KEY and waiting:
-                reached, go_on = waiting.pop(0)
+        async def delay(key):
+            if key == HEAD_KEY and pending:
+                reached, go_on = pending.pop(0)
                 reached.set()
                 await go_on.wait()
 
-        self.store.before_write = hold
-        return held
+        self.store.before_write = delay
+        return delayed
 
     async def wait_for_faults(self) -> None:
         while self.store.faults:
@@ -77,12 +77,12 @@
         outcomes = await asyncio.gather(
             self.service.accept(ProposalId("p1"), PEKKA), self.other.accept(ProposalId("p2"), AINO)
         )
-        won = [each for each in outcomes if isinstance(each, Ok)]
-        lost = [each for each in outcomes if not isinstance(each, Ok)]
-        self.assertEqual((len(won), len(lost)), (1, 1))
-        self.assertEqual(lost[0].err_value.verdict, Verdict.NOT_RUN)
-        self.assertEqual(lost[0].err_value.code, ErrorCode.CONFLICT)
-        self.assertEqual(self.head().record, won[0].ok_value)
+        accepted = [each for each in outcomes if isinstance(each, Ok)]
+        failed = [each for each in outcomes if not isinstance(each, Ok)]
+        self.assertEqual((len(accepted), len(failed)), (1, 1))
+        self.assertEqual(failed[0].err_value.verdict, Verdict.NOT_RUN)
+        self.assertEqual(failed[0].err_value.code, ErrorCode.CONFLICT)
+        self.assertEqual(self.head().record, accepted[0].ok_value)
 
     async def test_a_proposal_is_rebased_if_none_of_its_settings_has_changed(self):
         await propose_and_approve(self.service, "p1", set_value(7))
