--- a/waxwingglade/version/tests/test_active.py
+++ b/waxwingglade/version/tests/test_active.py
@@ -106,10 +106,10 @@
 
     def test_a_call_keeps_the_version_that_it_started_with(self):
         active = make_active(1)
-        of_call = active.current
+        call_snapshot = active.current
         change = set_value(3, "queue_limit", "tenant:job-centres")
-        active.offer_records([next_record(of_call, change)])
-        self.assertEqual(of_call.resolve(PATH).queue_limit, 800)
+        active.offer_records([next_record(call_snapshot, change)])
+        self.assertEqual(call_snapshot.resolve(PATH).queue_limit, 800)
         self.assertEqual(active.current.resolve(PATH).queue_limit, 3)
         self.assertIs(active.current.resolve(PATH), active.current.resolve(PATH))
 
