--- a/waxwingglade/process/copies.py
+++ b/waxwingglade/process/copies.py
@@ -63,7 +63,7 @@
         self.damaged: dict[LogId, Epoch] = {}
         self.disk: Disk | None = None
 
-    def use_disk(self, disk: Disk) -> None:
+    def attach_disk(self, disk: Disk) -> None:
         """Take up what a data folder holds, and keep it up to date from now on."""
         loaded = disk.load()
         self.logs = loaded.copies
@@ -169,7 +169,7 @@
         text = f"the copy of log {message.log} here is damaged"
         return Refused(Failure(Verdict.NOT_RUN, ErrorCode.NOT_FOUND, text))
 
-    def keep_demoted(self, owned: "OwnedLog") -> None:
+    def retain_demoted(self, owned: "OwnedLog") -> None:
         """Keep a log that this process owned, or failed to take over, as a mere copy."""
         self.logs[owned.log] = LogCopy(
             promised=owned.fenced_by or owned.epoch,
--- a/waxwingglade/process/daemon.py
+++ b/waxwingglade/process/daemon.py
@@ -18,7 +18,7 @@
 from waxwingglade.process.expiry import expire_programs
 from waxwingglade.process.members import Heartbeats
 from waxwingglade.process.operating import operating_application
-from waxwingglade.process.ownership import keep_logs, open_logs
+from waxwingglade.process.ownership import maintain_logs, open_logs
 from waxwingglade.process.peers import answer_peer
 from waxwingglade.process.release import release_ended
 from waxwingglade.process.sampling import sample_loads
@@ -83,7 +83,7 @@
     def _start_tasks(self) -> None:
         """Start what an entry does beside serving, each in a task of its own."""
         entry = self.entry
-        entry.spawn(keep_logs(entry))
+        entry.spawn(maintain_logs(entry))
         entry.spawn(release_ended(entry))
         entry.spawn(expire_programs(entry))
         entry.spawn(sample_loads(entry))
--- a/waxwingglade/process/drain.py
+++ b/waxwingglade/process/drain.py
@@ -20,7 +20,7 @@
 from waxwingglade.process.entry import Entry
 from waxwingglade.process.log_copy import LogCopy
 from waxwingglade.process.owned_log import OwnedLog
-from waxwingglade.process.ownership import adopt, fallback_of
+from waxwingglade.process.ownership import fallback_entry, take_over_log
 from waxwingglade.process.placement import rank
 
 LOOK_S = 0.05
@@ -122,6 +122,6 @@
         text = "this entry cannot take the log now"
         return Refused(Failure(Verdict.NOT_RUN, ErrorCode.UNAVAILABLE, text, RETRY_AFTER_S))
     copy = entry.copies.logs.get(body.log)
-    fallback = fallback_of(body.log, copy) if copy else None
-    taken = await adopt(entry, body.log, fallback, invited=not body.orphaned)
+    fallback = fallback_entry(body.log, copy) if copy else None
+    taken = await take_over_log(entry, body.log, fallback, requested_by_owner=not body.orphaned)
     return Refused(taken.err_value) if taken.is_err() else LogTaken()
--- a/waxwingglade/process/entry.py
+++ b/waxwingglade/process/entry.py
@@ -129,7 +129,7 @@
         self.log_numbers = itertools.count()
         self.copies = Copies(self._owned_epoch, self._seal_owned, clock)
         if self.disk is not None:
-            self.copies.use_disk(self.disk)
+            self.copies.attach_disk(self.disk)
         self.running: dict[ProgramId, RunningProgram] = {}
         self.created: dict[tuple[TenantId, CallId], ProgramId] = {}
         self.tasks: set[asyncio.Task] = set()
@@ -159,7 +159,7 @@
         if self.owned.get(owned.log) is not owned or owned.fenced_by is None:
             return
         del self.owned[owned.log]
-        self.copies.keep_demoted(owned)
+        self.copies.retain_demoted(owned)
         self.spawn(owned.stop())
         for program, state in owned.programs.items():
             self.created.pop((state.created.tenant, state.created.request), None)
--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -34,11 +34,11 @@
 from waxwingglade.process.owned_log import OwnedLog
 from waxwingglade.process.placement import choose_copies, is_spread, rank
 from waxwingglade.process.reconfigure import change_copies, register
-from waxwingglade.process.takeover import Takeover, take_over
+from waxwingglade.process.takeover import TakeoverContext, take_over
 from waxwingglade.process.unfinished import resolve_unfinished
 from waxwingglade.settings import CutPolicy
 
-FEWEST_COPIES = 2
+MIN_COPIES = 2
 """Copies to which a log may shrink while its other holders are gone."""
 
 RANK_DELAY_PERIODS = 4
@@ -100,20 +100,20 @@
         and _can_append(entry, owned)
         and len(owned.programs) < limit
     ]
-    if len(entry.members.usable()) + 1 < fewest_copies(entry):
+    if len(entry.members.usable()) + 1 < min_copies(entry):
         return
     for _ in range(entry.settings.durability.logs_per_entry - len(entry.open_logs[cut])):
         open_log(entry, cut)
 
 
-def fewest_copies(entry: Entry) -> int:
+def min_copies(entry: Entry) -> int:
     """Return the copies without which no program is created: two, but where there are no peers."""
-    return min(FEWEST_COPIES, entry.settings.durability.copies) if entry.settings.peers else 1
+    return min(MIN_COPIES, entry.settings.durability.copies) if entry.settings.peers else 1
 
 
 def _can_append(entry: Entry, owned: OwnedLog) -> bool:
     alive = sum(owned.alive(ref) for ref in owned.copies)
-    needed = max(fewest_copies(entry), len(owned.copies) // 2 + 1)
+    needed = max(min_copies(entry), len(owned.copies) // 2 + 1)
     return not owned.lost and alive >= needed
 
 
@@ -145,12 +145,12 @@
 # --- keeping whole ------------------------------------------------------------------------------
 
 
-async def keep_logs(entry: Entry) -> None:
+async def maintain_logs(entry: Entry) -> None:
     """Look after logs, owned and held, until the process ends."""
     while True:
         await asyncio.sleep(entry.settings.durability.takeover_period_s)
         try:
-            forget_lost_logs(entry)
+            demote_lost_logs(entry)
             for owned in list(entry.owned.values()):
                 await _keep_log(entry, owned)
             _look_for_orphans(entry)
@@ -158,7 +158,7 @@
             logger.exception("looking after logs failed; trying again")
 
 
-def forget_lost_logs(entry: Entry) -> None:
+def demote_lost_logs(entry: Entry) -> None:
     """Keep logs that another entry has taken over as mere copies."""
     for owned in list(entry.owned.values()):
         if owned.lost:
@@ -188,14 +188,14 @@
     claimer = owned.contested_by
     if claimer is None or await _serves(entry, claimer, owned.log):
         return
-    await adopt(entry, owned.log, None, invited=True)
+    await take_over_log(entry, owned.log, None, requested_by_owner=True)
 
 
 def better_copies(entry: Entry, owned: OwnedLog) -> list[EntryRef] | None:
     """Return better holders for a log, or None if those it has are as good as can be had."""
     holding = frozenset(ref.incarnation for ref in owned.copies)
     copies = wanted_copies(entry, owned.log, holding)
-    if len(copies) < min(FEWEST_COPIES, len(owned.copies)):
+    if len(copies) < min(MIN_COPIES, len(owned.copies)):
         # A record has to be in two places; better to wait for a peer than to give that up.
         return None
     if is_spread(owned.log, owned.copies) and not is_spread(owned.log, copies):
@@ -249,7 +249,7 @@
 
 async def _is_rescued(entry: Entry, log: LogId, copy: LogCopy) -> bool:
     if entry.members.state is not EntryState.DRAINING:
-        return (await adopt(entry, log, fallback_of(log, copy))).is_ok()
+        return (await take_over_log(entry, log, fallback_entry(log, copy))).is_ok()
     # A leaving entry takes nothing over.  It may be the only one that knows of the loss: a holder
     # that the store names need not have been sent the log yet.  One peer is asked at a time, as two
     # would claim the log from each other.
@@ -289,15 +289,15 @@
         entry.copies.forget(present.log, present.epoch)
 
 
-def fallback_of(log: LogId, copy: LogCopy) -> LogEntry | None:
+def fallback_entry(log: LogId, copy: LogCopy) -> LogEntry | None:
     """Return what a copy says of its log, for a log that the store never had a record of."""
     if copy.owner is None or copy.registered:
         return None
     return LogEntry(FORMAT_VERSION, log, copy.epoch, copy.owner, copy.copies)
 
 
-async def adopt(
-    entry: Entry, log: LogId, fallback: LogEntry | None, invited: bool = False
+async def take_over_log(
+    entry: Entry, log: LogId, fallback: LogEntry | None, requested_by_owner: bool = False
 ) -> Outcome[OwnedLog]:
     """Take a log over and settle what its last owner left unfinished."""
     if log in entry.taking_over:
@@ -309,12 +309,12 @@
     def build(name: LogId, epoch: Epoch, records: list[bytes]) -> OwnedLog:
         return build_log(entry, name, epoch, records)
 
-    means = Takeover(
-        entry.own, entry.directory, ask, build, entry.copies.keep_demoted, fewest_copies(entry)
+    means = TakeoverContext(
+        entry.own, entry.directory, ask, build, entry.copies.retain_demoted, min_copies(entry)
     )
     entry.taking_over.add(log)
     try:
-        taken = await take_over(means, log, fallback, invited)
+        taken = await take_over(means, log, fallback, requested_by_owner)
     finally:
         entry.taking_over.discard(log)
     if taken.is_err():
--- a/waxwingglade/process/takeover.py
+++ b/waxwingglade/process/takeover.py
@@ -38,7 +38,7 @@
 A = TypeVar("A", LogFound, SealedCopy)
 
 
-class Takeover(msgspec.Struct):
+class TakeoverContext(msgspec.Struct):
     """What a takeover needs of the process.
 
     Parameters
@@ -51,9 +51,9 @@
         Sends a request to an entry, this one included, and returns its answer.
     build : callable
         Makes the owned log with its new copies, started, from epoch and records.
-    keep_as_copy : callable
+    retain_as_copy : callable
         Keeps what was built as a mere copy, when the takeover failed after it was copied.
-    fewest_copies : int
+    min_copies : int
         Copies without which a log is not taken over.
     """
 
@@ -61,8 +61,8 @@
     directory: Directory
     ask: Ask
     build: Build
-    keep_as_copy: Callable[[OwnedLog], None]
-    fewest_copies: int
+    retain_as_copy: Callable[[OwnedLog], None]
+    min_copies: int
 
 
 def copies_to_seal(copies: int) -> int:
@@ -75,19 +75,19 @@
 
 
 async def take_over(
-    means: Takeover, log: LogId, fallback: LogEntry | None, invited: bool = False
+    means: TakeoverContext, log: LogId, fallback: LogEntry | None, requested_by_owner: bool = False
 ) -> Outcome[OwnedLog]:
     """Become the owner of a log.
 
     Parameters
     ----------
-    means : Takeover
+    means : TakeoverContext
         What is needed of the process.
     log : LogId
         The log.
     fallback : LogEntry or None
         What the copy here says of the log, used where the store has no record of it.
-    invited : bool
+    requested_by_owner : bool
         Whether the owner itself asked for it, so that nobody else needs to be asked.
 
     Returns
@@ -101,7 +101,7 @@
     before = found.ok_value.entry or fallback
     if before is None:
         return not_run(ErrorCode.NOT_FOUND, f"log {log} is not known")
-    if not invited:
+    if not requested_by_owner:
         agreed = await _owner_is_gone(means, before)
         if agreed.is_err():
             return agreed
@@ -111,7 +111,7 @@
     return await _rebuild(means, claimed.ok_value)
 
 
-async def _rebuild(means: Takeover, claimed: Versioned) -> Outcome[OwnedLog]:
+async def _rebuild(means: TakeoverContext, claimed: Versioned) -> Outcome[OwnedLog]:
     """Make the log anew from its copies, under the epoch that was claimed."""
     entry = claimed.entry
     assert entry is not None
@@ -122,14 +122,14 @@
     settled = await _settle(means, owned, entry, claimed.revision)
     if settled.is_err():
         # The store may name this entry as a holder already, if only the answer was lost.
-        means.keep_as_copy(owned)
+        means.retain_as_copy(owned)
         await owned.stop()
         return settled
     _drop_others(means, owned, entry)
     return Ok(owned)
 
 
-async def _owner_is_gone(means: Takeover, before: LogEntry) -> Outcome[None]:
+async def _owner_is_gone(means: TakeoverContext, before: LogEntry) -> Outcome[None]:
     """Check that enough copies can be reached, and that none of them still sees the owner."""
     needed = copies_to_seal(len(before.copies))
     answers = await _ask_copies(means, before, FindLog(before.log), LogFound, needed)
@@ -144,7 +144,7 @@
     return Ok(None)
 
 
-async def _claim(means: Takeover, before: LogEntry, revision: int) -> Outcome[Versioned]:
+async def _claim(means: TakeoverContext, before: LogEntry, revision: int) -> Outcome[Versioned]:
     entry = msgspec.structs.replace(
         before, format=FORMAT_VERSION, epoch=Epoch(before.epoch + 1), owner=means.own
     )
@@ -152,7 +152,7 @@
     return written.map(lambda new_revision: Versioned(entry, new_revision))
 
 
-async def _seal(means: Takeover, entry: LogEntry) -> Outcome[SealedCopy]:
+async def _seal(means: TakeoverContext, entry: LogEntry) -> Outcome[SealedCopy]:
     """Seal enough copies and return the one that holds most."""
     needed = copies_to_seal(len(entry.copies))
     message = SealCopy(entry.log, entry.epoch)
@@ -163,7 +163,7 @@
 
 
 async def _ask_copies(
-    means: Takeover, entry: LogEntry, message: PeerBody, wanted: type[A], needed: int
+    means: TakeoverContext, entry: LogEntry, message: PeerBody, wanted: type[A], needed: int
 ) -> Outcome[list[A]]:
     """Ask every copy and return the answers of the wanted type once enough have come."""
     waiting = {asyncio.create_task(means.ask(ref, message)) for ref in entry.copies}
@@ -181,10 +181,10 @@
 
 
 async def _settle(
-    means: Takeover, owned: OwnedLog, entry: LogEntry, revision: int
+    means: TakeoverContext, owned: OwnedLog, entry: LogEntry, revision: int
 ) -> Outcome[None]:
     own = owned.own
-    if len(owned.copies) < means.fewest_copies:
+    if len(owned.copies) < means.min_copies:
         text = f"only {len(owned.copies)} entries could hold log {owned.log}"
         return not_run(ErrorCode.UNAVAILABLE, text, RETRY_AFTER_S)
     appended = await owned.append(None, TakenOver(own.entry, own.incarnation))
@@ -198,7 +198,7 @@
     return Ok(None)
 
 
-def _drop_others(means: Takeover, owned: OwnedLog, entry: LogEntry) -> None:
+def _drop_others(means: TakeoverContext, owned: OwnedLog, entry: LogEntry) -> None:
     """Tell the copies that are no longer needed; one that does not hear it finds out later."""
     kept = {ref.incarnation for ref in owned.copies}
     message = DropCopy(owned.log, owned.epoch, 0)
--- a/waxwingglade/process/tests/fakes.py
+++ b/waxwingglade/process/tests/fakes.py
@@ -37,7 +37,7 @@
 from waxwingglade.process.directory import Directory
 from waxwingglade.process.owned_log import OwnedLog
 from waxwingglade.process.reconfigure import change_copies, register
-from waxwingglade.process.takeover import Takeover, take_over
+from waxwingglade.process.takeover import TakeoverContext, take_over
 from waxwingglade.program import Created, decode_record
 from waxwingglade.settings import DurabilitySettings, ProgramPolicy
 
@@ -170,7 +170,7 @@
 
     def _demote(self) -> None:
         assert self.owned is not None
-        self.copies.keep_demoted(self.owned)
+        self.copies.retain_demoted(self.owned)
         self.owned = None
 
     def build(self, log: LogId, epoch: Epoch, records: list[bytes], copies=None) -> OwnedLog:
@@ -210,12 +210,12 @@
 
     async def adopt(self):
         """Try to take the log over."""
-        means = Takeover(
+        means = TakeoverContext(
             self.ref,
             Directory(self.store),
             self.ask,
             self.build,
-            self.copies.keep_demoted,
+            self.copies.retain_demoted,
             FEWEST_COPIES,
         )
         taken = await take_over(means, LOG, None)
--- a/waxwingglade/process/tests/test_half_takeover.py
+++ b/waxwingglade/process/tests/test_half_takeover.py
@@ -15,7 +15,7 @@
 )
 from waxwingglade.connection.peer_messages import LogFound
 from waxwingglade.process.directory import FORMAT_VERSION, LogEntry, Versioned
-from waxwingglade.process.takeover import Takeover, take_over
+from waxwingglade.process.takeover import TakeoverContext, take_over
 
 LOG = LogId("z.e0.i0.home0")
 
@@ -43,7 +43,7 @@
         async def ask(_ref, _message):
             return Ok(LogFound(owner, Epoch(2), serving=False, owner_gone=False))
 
-        means = Takeover(own, Directory(), ask, None, None, 2)
+        means = TakeoverContext(own, Directory(), ask, None, None, 2)
         return (await take_over(means, LOG, None)).err_value.code
 
     async def test_copies_that_take_it_for_the_owner_do_not_keep_it_from_trying_again(self):
--- a/waxwingglade/process/tests/test_leaving_copies.py
+++ b/waxwingglade/process/tests/test_leaving_copies.py
@@ -94,12 +94,12 @@
         self.assertNotIn(LOG, self.entry.copies.logs)
 
     async def test_a_leaving_entry_takes_no_log_over(self) -> None:
-        with mock.patch.object(ownership, "adopt", mock.AsyncMock()) as adopt:
+        with mock.patch.object(ownership, "take_over_log", mock.AsyncMock()) as take_over_log:
             leaving = asyncio.create_task(self.leave())
             await asyncio.sleep(SOON_S)
             leaving.cancel()
             await asyncio.gather(leaving, return_exceptions=True)
-        adopt.assert_not_called()
+        take_over_log.assert_not_called()
 
     async def test_a_peer_is_asked_to_take_over_what_only_a_leaving_entry_holds(self) -> None:
         asked: list[PeerBody] = []
@@ -119,9 +119,9 @@
     async def test_others_are_asked_whether_the_owner_is_gone_unless_it_asks_itself(self) -> None:
         refusal = mock.AsyncMock(return_value=not_run(ErrorCode.UNAVAILABLE, "not now"))
         for orphaned in (True, False):
-            with mock.patch.object(draining, "adopt", refusal) as adopt:
+            with mock.patch.object(draining, "take_over_log", refusal) as take_over_log:
                 await draining.take_from_leaving(self.entry, TakeLog(LOG, orphaned))
-            self.assertEqual(adopt.call_args.kwargs, {"invited": not orphaned})
+            self.assertEqual(take_over_log.call_args.kwargs, {"requested_by_owner": not orphaned})
 
     async def test_nobody_is_waited_for_where_no_peer_is_left(self) -> None:
         self.entry.members.hear(self.other, EntryState.DRAINING, ConfigVersion(0))
