--- a/waxwingglade/process/calls.py
+++ b/waxwingglade/process/calls.py
@@ -68,7 +68,7 @@
         async for event in _recorded(owned, known, request.offset, request.attempt):
             yield event
         return
-    if events is None and owned.leaving:
+    if events is None and owned.handing_over:
         yield await _wait_for_handover(entry, owned)
         return
     if events is None:
@@ -85,7 +85,7 @@
     """Hold a new call until the log has its next owner; what is returned sends it there."""
     try:
         async with asyncio.timeout(entry.settings.drain_timeout_s):
-            await owned.left.wait()
+            await owned.handed_over.wait()
     except TimeoutError:
         text = "this entry is leaving"
         return Failure(Verdict.NOT_RUN, ErrorCode.DRAINING, text, RETRY_AFTER_S)
@@ -109,7 +109,7 @@
 async def _recorded(
     owned: OwnedLog, known: CallState, offset: int, attempt: str
 ) -> AsyncIterator[CallerEvent]:
-    durable = await owned.durable()
+    durable = await owned.wait_until_durable()
     if durable.is_err():
         yield durable.err_value
         return
@@ -194,7 +194,7 @@
 
 def _cut_short(owned: OwnedLog) -> Failure:
     """Return what is told of a call that was cancelled, or broke off in an unforeseen way."""
-    if owned.lost:
+    if owned.fenced:
         return Failure(Verdict.MAY_HAVE_RUN, ErrorCode.FENCED, TAKEN_OVER, RETRY_AFTER_S)
     return Failure(Verdict.MAY_HAVE_RUN, ErrorCode.CANCELLED, "the call was cut short")
 
--- a/waxwingglade/process/drain.py
+++ b/waxwingglade/process/drain.py
@@ -44,7 +44,7 @@
             await _give_all_away(entry)
             await _wait_for_copies(entry)
     except TimeoutError:
-        left = [log for log, owned in entry.owned.items() if not owned.lost]
+        left = [log for log, owned in entry.owned.items() if not owned.fenced]
         logger.warning("left with {} logs and {} copies", len(left), len(entry.copies.logs))
 
 
@@ -67,8 +67,8 @@
 
 async def _give_away(entry: Entry, owned: OwnedLog) -> None:
     """Hand a log to the first peer that takes it, once no call of it runs."""
-    owned.leaving = True
-    while not owned.lost:
+    owned.handing_over = True
+    while not owned.fenced:
         if _calls_running(entry, owned):
             await asyncio.sleep(LOOK_S)
             continue
--- a/waxwingglade/process/entry.py
+++ b/waxwingglade/process/entry.py
@@ -147,7 +147,7 @@
     def _seal_owned(self, message: SealCopy) -> SealedCopy | Fenced:
         owned = self.owned[message.log]
         answer = owned.seal(message)
-        if owned.lost:
+        if owned.fenced:
             self.demote(owned)
         return answer
 
@@ -218,7 +218,7 @@
         """Return the log of a program, if this process owns it."""
         log = log_of(program)
         owned = self.owned.get(log) if log else None
-        return None if owned is None or owned.lost else owned
+        return None if owned is None or owned.fenced else owned
 
     def running_program(self, state: ProgramState) -> RunningProgram:
         """Return what a program needs while this process owns it."""
--- a/waxwingglade/process/expiry.py
+++ b/waxwingglade/process/expiry.py
@@ -29,7 +29,7 @@
 async def _expire_programs_of(entry: Entry, owned: OwnedLog) -> None:
     for state in list(owned.programs.values()):
         reason = over_limit(entry, owned, state)
-        if reason is not None and not owned.lost:
+        if reason is not None and not owned.fenced:
             await end_program(entry, owned, state, reason)
     if _is_finished(entry, owned):
         await _remove(entry, owned)
--- a/waxwingglade/process/listing.py
+++ b/waxwingglade/process/listing.py
@@ -48,7 +48,7 @@
     wanted = (
         _summary(entry, owned, state)
         for owned in entry.owned.values()
-        if not owned.lost
+        if not owned.fenced
         for state in owned.programs.values()
         if _is_wanted(state, request)
     )
--- a/waxwingglade/process/log_requests.py
+++ b/waxwingglade/process/log_requests.py
@@ -39,14 +39,14 @@
 def _append(entry: Entry, body: AppendRecords) -> PeerBody:
     owned = entry.owned.get(body.log)
     if owned is not None and body.epoch > owned.epoch:
-        owned.lose(body.epoch)
+        owned.fence(body.epoch)
         entry.demote(owned)
     return entry.copies.append(body)
 
 
 def _find_log(entry: Entry, body: FindLog) -> LogFound:
     owned = entry.owned.get(body.log)
-    if owned is not None and not owned.lost:
+    if owned is not None and not owned.fenced:
         return LogFound(entry.own, owned.epoch, serving=True)
     busy = body.log in entry.taking_over
     copy = entry.copies.logs.get(body.log)
--- a/waxwingglade/process/owned_log.py
+++ b/waxwingglade/process/owned_log.py
@@ -99,8 +99,8 @@
         self.store_revision = 0
         self.tasks: set[asyncio.Task] = set()
         self.contested_by: EntryRef | None = None
-        self.leaving = False
-        self.left = asyncio.Event()
+        self.handing_over = False
+        self.handed_over = asyncio.Event()
         self.wake: dict[Incarnation, asyncio.Event] = {}
         self.openings = 0
         self.opened_as: dict[Incarnation, int] = {}
@@ -130,28 +130,28 @@
         self._release_waiters(len(self.records) + 1)
 
     @property
-    def lost(self) -> bool:
+    def fenced(self) -> bool:
         """Whether another entry has taken the log over."""
         return self.fenced_by is not None
 
-    def keep_task(self, task: asyncio.Task) -> None:
+    def track_task(self, task: asyncio.Task) -> None:
         """Hold a reference to a task until it ends."""
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def lose(self, epoch: Epoch) -> None:
+    def fence(self, epoch: Epoch) -> None:
         """Stop acting as the owner: a copy has promised itself to `epoch`."""
-        if self.lost:
+        if self.fenced:
             return
         logger.warning("log {} at epoch {} was taken over at epoch {}", self.log, self.epoch, epoch)
         self.fenced_by = epoch
         for event in self.wake.values():
             event.set()
         self.answered.set()
-        self.left.set()
+        self.handed_over.set()
         self._release_waiters(len(self.records) + 1)
 
-    def is_open(self) -> bool:
+    def has_majority(self) -> bool:
         """Return whether a majority of the copies exists, be it without records."""
         existing = sum(ref.incarnation in self.acked for ref in self.copies)
         return existing > len(self.copies) // 2
@@ -167,7 +167,7 @@
             Number of records in the log after these.  A failure says MAY_HAVE_RUN where the
             records may yet become durable, NOT_RUN where they were not added.
         """
-        if self.lost:
+        if self.fenced:
             return not_run(ErrorCode.FENCED, TAKEN_OVER, RETRY_AFTER_S)
         for body in bodies:
             data = encode_record(self.epoch, program, body)
@@ -176,23 +176,23 @@
         self.acked[self.own.incarnation] = len(self.records)
         for event in self.wake.values():
             event.set()
-        return await self.durable(len(self.records))
+        return await self.wait_until_durable(len(self.records))
 
-    async def durable(self, length: int | None = None) -> Outcome[Sequence]:
+    async def wait_until_durable(self, length: int | None = None) -> Outcome[Sequence]:
         """Wait until the first `length` records (all, if None) are durable."""
         length = len(self.records) if length is None else length
         self._advance()
-        if self.committed < length and not self.lost:
+        if self.committed < length and not self.fenced:
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             heapq.heappush(self.waiters, (length, next(self.tie_breaker), future))
             await asyncio.wait([future], timeout=self.settings.append_timeout_s)
         if self.committed >= length:
             return Ok(Sequence(length))
-        if self.lost:
+        if self.fenced:
             return may_have_run(ErrorCode.FENCED, TAKEN_OVER, RETRY_AFTER_S)
         return may_have_run(ErrorCode.UNAVAILABLE, TOO_FEW_COPIES, RETRY_AFTER_S)
 
-    async def confirm(self) -> Outcome[None]:
+    async def confirm_ownership(self) -> Outcome[None]:
         """Make sure that this process still was the owner after this was called.
 
         What a read returns must not be older than what another owner has made durable meanwhile,
@@ -208,11 +208,11 @@
         """Wait until the holders' answers are enough; `otherwise` says what was missing."""
         try:
             async with asyncio.timeout(self.settings.append_timeout_s):
-                while not self.lost and not enough():
+                while not self.fenced and not enough():
                     await self.answered.wait()
         except TimeoutError:
             return not_run(ErrorCode.UNAVAILABLE, otherwise, RETRY_AFTER_S)
-        if self.lost:
+        if self.fenced:
             return not_run(ErrorCode.FENCED, TAKEN_OVER, RETRY_AFTER_S)
         return Ok(None)
 
@@ -235,7 +235,7 @@
         """Give way to a higher epoch and hand out the records."""
         if message.epoch <= max(self.epoch, self.fenced_by or Epoch(0)):
             return Fenced(self.fenced_by or self.epoch)
-        self.lose(message.epoch)
+        self.fence(message.epoch)
         self.fenced_by = message.epoch
         return SealedCopy(self.epoch, self.records)
 
@@ -247,7 +247,7 @@
         for member in copies:
             self._start_sender(member)
 
-    async def change_ready(self) -> Outcome[None]:
+    async def wait_for_new_copies(self) -> Outcome[None]:
         """Wait until the new copies alone hold every record that was made durable so far.
 
         That the old copies hold them is not enough: a later owner may only be told of the new ones.
@@ -301,17 +301,17 @@
         task.cancel()
         drop = DropCopy(self.log, self.epoch, self.opened_as[member.incarnation])
         link = self.links.to(member.peer_address, member.incarnation)
-        self.keep_task(start_task(link.request(drop, self.settings.append_timeout_s)))
+        self.track_task(start_task(link.request(drop, self.settings.append_timeout_s)))
 
     async def _send_to(self, member: EntryRef) -> None:
-        """Bring a holder every record, and every question of `confirm`, until the log is lost."""
+        """Bring a holder every record, and every question of `confirm_ownership`, until the log is lost."""
         link = self.links.to(member.peer_address, member.incarnation)
         event = self.wake[member.incarnation]
         opening = self.opened_as[member.incarnation]
         position = 0
         opened = False
         probed = 0
-        while not self.lost:
+        while not self.fenced:
             if opened and position == len(self.records) and probed == self.probe:
                 event.clear()
                 await event.wait()
@@ -321,7 +321,7 @@
             reply = await link.request(message, self.settings.suspect_after_s / 2)
             answer = reply.ok_value if reply.is_ok() else None
             if isinstance(answer, Fenced):
-                self.lose(answer.epoch)
+                self.fence(answer.epoch)
                 return
             if isinstance(answer, Behind):
                 position = answer.length
--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -114,7 +114,7 @@
 def _can_append(entry: Entry, owned: OwnedLog) -> bool:
     alive = sum(owned.alive(ref) for ref in owned.copies)
     needed = max(min_copies(entry), len(owned.copies) // 2 + 1)
-    return not owned.lost and alive >= needed
+    return not owned.fenced and alive >= needed
 
 
 def build_log(entry: Entry, log: LogId, epoch: Epoch, records: list[bytes]) -> OwnedLog:
@@ -150,7 +150,7 @@
     while True:
         await asyncio.sleep(entry.settings.durability.takeover_period_s)
         try:
-            demote_lost_logs(entry)
+            demote_fenced_logs(entry)
             for owned in list(entry.owned.values()):
                 await _keep_log(entry, owned)
             _look_for_orphans(entry)
@@ -158,10 +158,10 @@
             logger.exception("looking after logs failed; trying again")
 
 
-def demote_lost_logs(entry: Entry) -> None:
+def demote_fenced_logs(entry: Entry) -> None:
     """Keep logs that another entry has taken over as mere copies."""
     for owned in list(entry.owned.values()):
-        if owned.lost:
+        if owned.fenced:
             entry.demote(owned)
 
 
--- a/waxwingglade/process/programs.py
+++ b/waxwingglade/process/programs.py
@@ -78,10 +78,10 @@
 
 async def read_program(owned: OwnedLog, state: ProgramState) -> ProgramView | Failure:
     """Return a program as its caller may see it: nothing that is old or could be undone."""
-    confirmed = await owned.confirm()
+    confirmed = await owned.confirm_ownership()
     if confirmed.is_err():
         return confirmed.err_value
-    durable = await owned.durable()
+    durable = await owned.wait_until_durable()
     if durable.is_err():
         failure = durable.err_value
         return Failure(Verdict.NOT_RUN, failure.code, failure.message, failure.retry_after_s)
--- a/waxwingglade/process/reconfigure.py
+++ b/waxwingglade/process/reconfigure.py
@@ -32,7 +32,7 @@
     """
     if owned.store_revision:
         return Ok(None)
-    if not owned.is_open():
+    if not owned.has_majority():
         return not_run(ErrorCode.UNAVAILABLE, f"log {owned.log} has no holders yet", 1.0)
     return await _write(owned, directory, owned.copies)
 
@@ -56,7 +56,7 @@
     if owned.next_copies is None:
         owned.begin_change(copies)
     assert owned.next_copies is not None
-    caught_up = await owned.change_ready()
+    caught_up = await owned.wait_for_new_copies()
     if caught_up.is_err():
         _abandon_if_certain(owned)
         return caught_up
--- a/waxwingglade/process/release.py
+++ b/waxwingglade/process/release.py
@@ -19,7 +19,7 @@
         await asyncio.sleep(PERIOD_S)
         for owned in list(entry.owned.values()):
             for state in list(owned.programs.values()):
-                if state.ended is None or not state.cached_on or owned.lost:
+                if state.ended is None or not state.cached_on or owned.fenced:
                     continue
                 try:
                     await _release(entry, owned, state)
--- a/waxwingglade/process/serving.py
+++ b/waxwingglade/process/serving.py
@@ -175,7 +175,7 @@
     state = owned.programs.get(request.program)
     if state is None:
         # A later owner may know a program that this process, replaced unawares, does not.
-        confirmed = await owned.confirm()
+        confirmed = await owned.confirm_ownership()
         yield confirmed.err_value if confirmed.is_err() else unknown_program(request.program)
         return
     if request.tenant is not None and state.created.tenant != request.tenant:
--- a/waxwingglade/process/status.py
+++ b/waxwingglade/process/status.py
@@ -23,7 +23,7 @@
         config_version=entry.config.current.version,
         requests=entry.requests,
         peers=[_peer_status(entry, peer) for _, peer in sorted(entry.members.peers.items())],
-        logs=[_log_status(owned) for owned in entry.owned.values() if not owned.lost],
+        logs=[_log_status(owned) for owned in entry.owned.values() if not owned.fenced],
         targets=_target_statuses(entry),
         store_calls={
             purpose.value: calls for purpose, calls in entry.store.calls_by_purpose.items()
--- a/waxwingglade/process/takeover.py
+++ b/waxwingglade/process/takeover.py
@@ -204,4 +204,4 @@
     message = DropCopy(owned.log, owned.epoch, 0)
     unneeded = [ref for ref in entry.copies if ref.incarnation not in kept]
     for ref in unneeded:
-        owned.keep_task(asyncio.create_task(means.ask(ref, message)))
+        owned.track_task(asyncio.create_task(means.ask(ref, message)))
--- a/waxwingglade/process/tests/fakes.py
+++ b/waxwingglade/process/tests/fakes.py
@@ -147,7 +147,7 @@
         """Answer a peer."""
         if isinstance(body, AppendRecords):
             if self.owned is not None and body.epoch > self.owned.epoch:
-                self.owned.lose(body.epoch)
+                self.owned.fence(body.epoch)
                 self._demote()
             return self.copies.append(body)
         if isinstance(body, SealCopy):
@@ -164,7 +164,7 @@
     def _seal_owned(self, body: SealCopy):
         assert self.owned is not None
         answer = self.owned.seal(body)
-        if self.owned.lost:
+        if self.owned.fenced:
             self._demote()
         return answer
 
@@ -227,7 +227,7 @@
     async def register(self):
         """Name the log in the store, once its copies exist."""
         if self.owned is not None:
-            await self.owned.confirm()
+            await self.owned.confirm_ownership()
             return await register(self.owned, Directory(self.store))
         return None
 
--- a/waxwingglade/process/tests/test_late_adoption.py
+++ b/waxwingglade/process/tests/test_late_adoption.py
@@ -22,7 +22,7 @@
                     # A takeover that had begun before the drain comes to its end now.
                     entry.owned[ADOPTED] = build_log(entry, ADOPTED, Epoch(2), [])
                 given.append(owned.log)
-                owned.lose(Epoch(owned.epoch + 1))
+                owned.fence(Epoch(owned.epoch + 1))
 
             with patch.object(draining, "_give_away", give_away):
                 await draining.drain(entry)
--- a/waxwingglade/process/tests/test_log_safety.py
+++ b/waxwingglade/process/tests/test_log_safety.py
@@ -136,7 +136,7 @@
         async def ready(_log):
             return Ok(None)
 
-        with mock.patch.object(OwnedLog, "change_ready", ready):
+        with mock.patch.object(OwnedLog, "wait_for_new_copies", ready):
             self.assertEqual(0, run_in_virtual_time(change_to_holders_out_of_reach()))
 
 
--- a/waxwingglade/process/tests/test_owned_log.py
+++ b/waxwingglade/process/tests/test_owned_log.py
@@ -52,7 +52,7 @@
             await owned.append(*new_record())
             nodes.seal(1, 2)
             nodes.seal(2, 2)
-            return await owned.confirm()
+            return await owned.confirm_ownership()
 
         confirmed = self.run_with_nodes(course)
         self.assertIs(ErrorCode.FENCED, confirmed.err_value.code)
@@ -60,7 +60,7 @@
     def test_a_read_is_confirmed_by_a_majority(self):
         async def course(nodes, owned):
             nodes.cut(0, 2)
-            return await owned.confirm()
+            return await owned.confirm_ownership()
 
         self.assertTrue(self.run_with_nodes(course).is_ok())
 
@@ -68,7 +68,7 @@
         async def course(nodes, owned):
             nodes.cut(0, 1)
             nodes.cut(0, 2)
-            return await owned.confirm()
+            return await owned.confirm_ownership()
 
         self.assertIs(ErrorCode.UNAVAILABLE, self.run_with_nodes(course).err_value.code)
 
--- a/waxwingglade/request/call_execution.py
+++ b/waxwingglade/request/call_execution.py
@@ -184,12 +184,12 @@
     entry has taken over the program and continued it.  After a pause that is long enough for a
     takeover, the holders of copies are asked again before anything is sent.
     """
-    if execution.owned.lost:
+    if execution.owned.fenced:
         return not_run(ErrorCode.FENCED, "another entry owns the program now", RETRY_AFTER_S)
     paused_s = execution.entry.clock() - since
     if paused_s < execution.entry.settings.durability.suspect_after_s * SAFE_PAUSE_SHARE:
         return Ok(None)
-    return await execution.owned.confirm()
+    return await execution.owned.confirm_ownership()
 
 
 def _check_budget(execution: CallExecution, amount: Amount) -> Outcome[None]:
@@ -208,7 +208,7 @@
 async def _void_start(execution: CallExecution, failure: Failure) -> Outcome[None]:
     """Record that a call did not run, since its start failed or came too late; nothing was sent."""
     refusal = msgspec.structs.replace(failure, verdict=Verdict.NOT_RUN)
-    if not execution.owned.lost:
+    if not execution.owned.fenced:
         await _append_end(execution, refusal, NOTHING)
     return Err(refusal)
 
@@ -285,7 +285,7 @@
     if execution.grant is not None:
         execution.grant.failed(failure)
     known = execution.state.calls.get(execution.call.call)
-    if execution.owned.lost or known is None or known.outcome is not None:
+    if execution.owned.fenced or known is None or known.outcome is not None:
         return
     appended = await _append_end(execution, failure, execution.reserved)
     if appended.is_err():
--- a/waxwingglade/request/tests/test_late_send.py
+++ b/waxwingglade/request/tests/test_late_send.py
@@ -20,7 +20,7 @@
     async def test_an_owner_that_lost_its_log_during_the_append_sends_nothing(self):
         async def append_and_lose(owned, program, *bodies):
             appended = await append(owned, program, *bodies)
-            owned.lose(Epoch(owned.epoch + 1))
+            owned.fence(Epoch(owned.epoch + 1))
             return appended
 
         async with one_entry() as running:
@@ -45,7 +45,7 @@
 
             with (
                 patch.object(OwnedLog, "append", append_and_pause),
-                patch.object(OwnedLog, "confirm", confirm),
+                patch.object(OwnedLog, "confirm_ownership", confirm),
             ):
                 outcome = await running.tool_call(program, "t1", "booking", slot=1)
             effects = list(running.tool.effects)
