--- a/bench/disk.py
+++ b/bench/disk.py
@@ -153,7 +153,7 @@
     record = os.urandom(size)
 
     def add() -> None:
-        disk.append(log, disk.held[log].length, [record], [OWNER], False)
+        disk.append(log, disk.queued_states[log].length, [record], [OWNER], False)
 
     while (began := time.monotonic()) < end:
         await commit(log, add)
--- a/waxwingglade/process/calls.py
+++ b/waxwingglade/process/calls.py
@@ -8,7 +8,7 @@
 from waxwingglade.base import ErrorCode, Failure, Verdict, make_program_id, new_nonce
 from waxwingglade.connection.peer_messages import CallerEvent, FollowCall, SubmitCall
 from waxwingglade.process.entry import Entry, RunningProgram
-from waxwingglade.process.logs import about, log_outcome
+from waxwingglade.process.logs import log_context, log_outcome
 from waxwingglade.process.owned_log import TAKEN_OVER, OwnedLog
 from waxwingglade.program import (
     Call,
@@ -164,7 +164,7 @@
     outcome: Done | Failure | None = None
     started = entry.clock()
     try:
-        with about(owned, state, call.call):
+        with log_context(owned, state, call.call):
             outcome = await _run_in_order(entry, owned, state, running, request, events)
     finally:
         running.service_received_s += entry.clock() - started
--- a/waxwingglade/process/copies.py
+++ b/waxwingglade/process/copies.py
@@ -32,7 +32,7 @@
     SealedCopy,
 )
 from waxwingglade.process.disk import Disk, DiskError
-from waxwingglade.process.log_copy import DROPPED_KEPT, LogCopy
+from waxwingglade.process.log_copy import MAX_DROPPED_LOGS, LogCopy
 
 if TYPE_CHECKING:
     from waxwingglade.process.owned_log import OwnedLog
@@ -202,5 +202,5 @@
         self.dropped[log] = epoch
         if self.disk is not None:
             self.disk.drop(log, epoch)
-        if len(self.dropped) > DROPPED_KEPT:
+        if len(self.dropped) > MAX_DROPPED_LOGS:
             del self.dropped[next(iter(self.dropped))]
--- a/waxwingglade/process/disk.py
+++ b/waxwingglade/process/disk.py
@@ -44,7 +44,7 @@
 """Bytes that the name of a log's file may have; file systems allow 255, suffixes included."""
 
 
-class HeldLog(msgspec.Struct):
+class QueuedLogState(msgspec.Struct):
     """What the file of a log will say once all queued changes are durable."""
 
     length: int
@@ -124,9 +124,9 @@
         self.commits = GroupCommits(files)
         self.lock = lock
         self.loaded = loaded
-        self.held = {log: _held(copy) for log, copy in loaded.copies.items()}
+        self.queued_states = {log: _held(copy) for log, copy in loaded.copies.items()}
         for log, promised in loaded.unknown.items():
-            self.held[log] = HeldLog(0, [], False, promised, whole=False)
+            self.queued_states[log] = QueuedLogState(0, [], False, promised, whole=False)
 
     @property
     def failure(self) -> DiskError | None:
@@ -147,10 +147,10 @@
         before stays in force.  An unknown log is known from then on.
         """
         self._check(log)
-        before = self.held.get(log)
+        before = self.queued_states.get(log)
         promised = max(copy.promised, before.promised) if before else copy.promised
-        self.held[log] = _held(copy)
-        self.held[log].promised = promised
+        self.queued_states[log] = _held(copy)
+        self.queued_states[log].promised = promised
         promising = msgspec.structs.replace(copy, promised=promised)
         self.commits.replace(log, change_to_open(log, promising))
 
@@ -170,7 +170,7 @@
             The log was not opened, is unknown, or `first` is not its length.
         """
         self._check(log)
-        held = self.held.get(log)
+        held = self.queued_states.get(log)
         if held is None or not held.whole:
             raise ValueError(f"log {log} has to be opened before records are added")
         if first != held.length:
@@ -191,7 +191,7 @@
         it stays.
         """
         self._check(log)
-        held = self.held.get(log)
+        held = self.queued_states.get(log)
         if held is None:
             self.open_epoch(log, LogCopy(epoch))
             return
@@ -203,7 +203,7 @@
     def drop(self, log: LogId, epoch: Epoch) -> None:
         """Remove a log's copy, and remember the epoch that dropped it."""
         self._check(log)
-        self.held.pop(log, None)
+        self.queued_states.pop(log, None)
         self.commits.replace(log, LogChange(dropped=epoch))
 
     def _check(self, log: LogId) -> None:
@@ -237,5 +237,5 @@
         os.close(self.lock)
 
 
-def _held(copy: LogCopy) -> HeldLog:
-    return HeldLog(len(copy.records), list(copy.copies), copy.registered, copy.promised)
+def _held(copy: LogCopy) -> QueuedLogState:
+    return QueuedLogState(len(copy.records), list(copy.copies), copy.registered, copy.promised)
--- a/waxwingglade/process/disk_files.py
+++ b/waxwingglade/process/disk_files.py
@@ -154,7 +154,7 @@
     return folder / LOGS_NAME / (quote(log, safe="") + LOG_SUFFIX)
 
 
-def log_named(path: Path) -> LogId:
+def log_of_path(path: Path) -> LogId:
     """Return the log that a file is for."""
     return LogId(unquote(path.name.removesuffix(LOG_SUFFIX)))
 
@@ -211,7 +211,7 @@
         What the index says.
     operations : FileOperations
         Functions that change the folder.
-    dropped_kept : int
+    max_dropped : int
         Dropped logs that are remembered.
     """
 
@@ -223,14 +223,14 @@
         sequence: int,
         marks: dict[LogId, LogMark],
         operations: FileOperations,
-        dropped_kept: int,
+        max_dropped: int,
     ) -> None:
         self.folder = folder
         self.incarnation = incarnation
         self.sequence = sequence
         self.marks = marks
         self.operations = operations
-        self.dropped_kept = dropped_kept
+        self.max_dropped = max_dropped
         self.generations = itertools.count((starts << STARTS_SHIFT) + 1)
         self.index_generation = 0
         self.index_size = 0
@@ -284,9 +284,9 @@
 
     def _forget_oldest_dropped(self) -> None:
         dropped = sorted(mark.generation for mark in self.marks.values() if mark.dropped)
-        if len(dropped) <= self.dropped_kept:
+        if len(dropped) <= self.max_dropped:
             return
-        oldest_kept = dropped[-self.dropped_kept]
+        oldest_kept = dropped[-self.max_dropped]
         for mark in list(self.marks.values()):
             if mark.dropped and mark.generation < oldest_kept:
                 del self.marks[mark.log]
--- a/waxwingglade/process/disk_load.py
+++ b/waxwingglade/process/disk_load.py
@@ -44,15 +44,15 @@
     encode_header,
 )
 from waxwingglade.process.disk_read import (
-    ReadFolder,
-    ReadLog,
+    ParsedFolder,
+    ParsedLog,
+    ends_at_mark,
+    is_complete,
     is_dropped,
-    is_settled,
-    is_trustworthy,
-    is_whole,
+    is_reliable,
     read_folder,
 )
-from waxwingglade.process.log_copy import DROPPED_KEPT, LogCopy
+from waxwingglade.process.log_copy import MAX_DROPPED_LOGS, LogCopy
 
 
 class LoadedLogs(msgspec.Struct):
@@ -82,7 +82,7 @@
         The files, how often the folder was opened, and what it holds.
     """
     found = read_folder(folder)
-    if not is_trustworthy(found):
+    if not is_reliable(found):
         return _begin(folder, operations), 1, LoadedLogs()
     assert found.identity is not None
     assert found.index is not None
@@ -96,7 +96,7 @@
         sequence=found.index.sequence,
         marks=dict(found.index.marks),
         operations=operations,
-        dropped_kept=DROPPED_KEPT,
+        max_dropped=MAX_DROPPED_LOGS,
     )
     (folder / LOGS_NAME).mkdir(FOLDER_MODE, exist_ok=True)
     _remove_temporary_files(folder, operations)
@@ -114,7 +114,7 @@
 def _load_log(
     files: DiskFiles,
     log: LogId,
-    found: ReadFolder,
+    found: ParsedFolder,
     loaded: LoadedLogs,
     changes: dict[LogId, LogChange],
 ) -> None:
@@ -127,17 +127,17 @@
         files.operations.remove(log_path(files.folder, log))
         return
     promised = max(read.copy.promised if read else Epoch(0), mark.promised if mark else Epoch(0))
-    if is_whole(read, mark):
+    if is_complete(read, mark):
         assert read is not None
         read.copy.promised = promised
         loaded.copies[log] = read.copy
-        if not is_settled(read, mark):
+        if not ends_at_mark(read, mark):
             _report_cut(log, read)
             changes[log] = change_to_open(log, read.copy)
         return
     loaded.unknown[log] = promised
     placeholder = read is not None and not read.whole
-    if placeholder and is_settled(read, mark):
+    if placeholder and ends_at_mark(read, mark):
         return
     if not placeholder:
         _set_log_aside(files, log, read, mark)
@@ -160,7 +160,7 @@
     return LogChange(opened=opened, frames=[records] if copy.records else [])
 
 
-def _report_cut(log: LogId, read: ReadLog) -> None:
+def _report_cut(log: LogId, read: ParsedLog) -> None:
     if read.size > read.end:
         logger.warning(
             "log {}: cut {} bytes of a write that did not end before the process did",
@@ -170,7 +170,7 @@
 
 
 def _set_log_aside(
-    files: DiskFiles, log: LogId, read: ReadLog | None, mark: LogMark | None
+    files: DiskFiles, log: LogId, read: ParsedLog | None, mark: LogMark | None
 ) -> None:
     path = log_path(files.folder, log)
     logger.error(
@@ -193,7 +193,7 @@
     _set_folder_aside(folder, operations)
     (folder / LOGS_NAME).mkdir(FOLDER_MODE)
     identity = Identity(Incarnation(new_nonce()), 1)
-    files = DiskFiles(folder, identity.incarnation, 1, 0, {}, operations, DROPPED_KEPT)
+    files = DiskFiles(folder, identity.incarnation, 1, 0, {}, operations, MAX_DROPPED_LOGS)
     files.commit({})
     # Last, so that a folder with an identity has an index.
     _write_identity(folder, identity, operations)
--- a/waxwingglade/process/disk_read.py
+++ b/waxwingglade/process/disk_read.py
@@ -15,7 +15,7 @@
     INDEX_NAME,
     LOG_SUFFIX,
     LOGS_NAME,
-    log_named,
+    log_of_path,
 )
 from waxwingglade.process.disk_format import (
     Appended,
@@ -33,7 +33,7 @@
 from waxwingglade.process.log_copy import LogCopy
 
 
-class ReadLog(msgspec.Struct):
+class ParsedLog(msgspec.Struct):
     """A log's file as it was read; `copy` contains its records up to byte `end`."""
 
     generation: int
@@ -45,7 +45,7 @@
     sequence: int
 
 
-class ReadIndex(msgspec.Struct):
+class ParsedIndex(msgspec.Struct):
     """The index as it was read, up to the last whole frame."""
 
     incarnation: Incarnation
@@ -53,18 +53,18 @@
     marks: dict[LogId, LogMark]
 
 
-class ReadFolder(msgspec.Struct):
+class ParsedFolder(msgspec.Struct):
     """A folder as it was read; None stands for what is missing or damaged."""
 
     identity: Identity | None
-    index: ReadIndex | None
-    logs: dict[LogId, ReadLog | None]
+    index: ParsedIndex | None
+    logs: dict[LogId, ParsedLog | None]
 
 
 # --- reading ------------------------------------------------------------------------------------
 
 
-def read_folder(folder: Path) -> ReadFolder:
+def read_folder(folder: Path) -> ParsedFolder:
     """Read all files and change none.
 
     Raises
@@ -75,8 +75,8 @@
     identity = _read_content(folder / IDENTITY_NAME, FileKind.IDENTITY)
     index = _read_content(folder / INDEX_NAME, FileKind.INDEX)
     paths = sorted((folder / LOGS_NAME).glob(f"*{LOG_SUFFIX}"))
-    logs = {log_named(path): _read_log(path) for path in paths}
-    return ReadFolder(_as_identity(identity), _as_index(index), logs)
+    logs = {log_of_path(path): _read_log(path) for path in paths}
+    return ParsedFolder(_as_identity(identity), _as_index(index), logs)
 
 
 def _read_content(path: Path, kind: FileKind) -> FileContent | None:
@@ -99,14 +99,14 @@
     return body if isinstance(body, Identity) else None
 
 
-def _as_index(content: FileContent | None) -> ReadIndex | None:
+def _as_index(content: FileContent | None) -> ParsedIndex | None:
     if content is None or not content.frames:
         return None
     first, *others = content.frames
     if not isinstance(first.body, IndexOpened):
         return None
     marks = {mark.log: mark for mark in first.body.marks}
-    index = ReadIndex(first.body.incarnation, first.sequence, marks)
+    index = ParsedIndex(first.body.incarnation, first.sequence, marks)
     for frame in others:
         if not isinstance(frame.body, Marked):
             return None
@@ -115,18 +115,18 @@
     return index
 
 
-def _read_log(path: Path) -> ReadLog | None:
+def _read_log(path: Path) -> ParsedLog | None:
     content = _read_content(path, FileKind.LOG)
     if content is None or not content.frames:
         return None
     first, *others = content.frames
     opened = first.body
-    if not isinstance(opened, Opened) or opened.log != log_named(path):
+    if not isinstance(opened, Opened) or opened.log != log_of_path(path):
         return None
     copy = LogCopy(
         opened.promised, opened.epoch, opened.owner, opened.copies, [], opened.registered
     )
-    read = ReadLog(
+    read = ParsedLog(
         generation=content.generation,
         copy=copy,
         record_count=opened.record_count,
@@ -159,7 +159,7 @@
 # --- judging ------------------------------------------------------------------------------------
 
 
-def is_trustworthy(found: ReadFolder) -> bool:
+def is_reliable(found: ParsedFolder) -> bool:
     """Return whether the index can vouch for what the folder held."""
     if found.identity is None or found.index is None:
         return False
@@ -170,7 +170,7 @@
     return newest <= found.index.sequence + 1
 
 
-def is_dropped(found: ReadFolder, log: LogId) -> bool:
+def is_dropped(found: ParsedFolder, log: LogId) -> bool:
     """Return whether a log was dropped, and no file of it is there that may be newer."""
     assert found.index is not None
     mark = found.index.marks.get(log)
@@ -182,7 +182,7 @@
     return read is not None and read.generation < mark.generation
 
 
-def is_whole(read: ReadLog | None, mark: LogMark | None) -> bool:
+def is_complete(read: ParsedLog | None, mark: LogMark | None) -> bool:
     """Return whether a log's file contains every record that was acknowledged."""
     if read is None or not read.whole or len(read.copy.records) < read.record_count:
         return False
@@ -192,7 +192,7 @@
     return read.generation == mark.generation and read.end >= mark.length
 
 
-def is_settled(read: ReadLog | None, mark: LogMark | None) -> bool:
+def ends_at_mark(read: ParsedLog | None, mark: LogMark | None) -> bool:
     """Return whether a file ends just where the index says, so that it can be written on."""
     if read is None or mark is None or read.generation != mark.generation:
         return False
--- a/waxwingglade/process/log_copy.py
+++ b/waxwingglade/process/log_copy.py
@@ -4,7 +4,7 @@
 
 from waxwingglade.base import EntryRef, Epoch
 
-DROPPED_KEPT = 10_000
+MAX_DROPPED_LOGS = 10_000
 """Names of dropped logs that are remembered, so that a late message does not bring one back."""
 
 
--- a/waxwingglade/process/log_requests.py
+++ b/waxwingglade/process/log_requests.py
@@ -13,7 +13,7 @@
 from waxwingglade.process.entry import Entry
 
 
-async def answer_about_log(entry: Entry, body: PeerBody) -> PeerBody:
+async def answer_log_request(entry: Entry, body: PeerBody) -> PeerBody:
     """Act on one request about a log and return the answer, once what it says is durable."""
     answer = _act(entry, body)
     synced = await entry.copies.sync()
--- a/waxwingglade/process/logs.py
+++ b/waxwingglade/process/logs.py
@@ -54,10 +54,10 @@
     names = {"entry": settings.entry, "zone": settings.zone}
     nothing = {"program": "", "call": "", "tenant": "", "epoch": 0}
     logger.configure(extra={**names, **nothing}, patcher=fill_in)
-    logging.basicConfig(handlers=[LibraryLogs()], level=logging.WARNING, force=True)
+    logging.basicConfig(handlers=[LibraryLogHandler()], level=logging.WARNING, force=True)
 
 
-def about(
+def log_context(
     owned: OwnedLog, state: ProgramState, call: CallId | str = ""
 ) -> AbstractContextManager[None]:
     """Return a context in which records are about a program, or one of its calls."""
@@ -88,11 +88,11 @@
         **record["extra"],
     }
     if record["exception"] is not None:
-        line["exception"] = describe(record["exception"].value)
+        line["exception"] = describe_error(record["exception"].value)
     return msgspec.json.encode(line, enc_hook=str).decode() + "\n"
 
 
-def describe(error: BaseException | None) -> list[str]:
+def describe_error(error: BaseException | None) -> list[str]:
     """Return the type of an exception and the frames that it passed.
 
     The message is left out, but for errors of the operating system, which quote no caller.
@@ -106,7 +106,7 @@
     return [text, *(f"{frame.filename}:{frame.lineno} {frame.name}" for frame in frames)]
 
 
-class LibraryLogs(logging.Handler):
+class LibraryLogHandler(logging.Handler):
     """Passes on what libraries log, without the values in it."""
 
     def emit(self, record: logging.LogRecord) -> None:
--- a/waxwingglade/process/owned_log.py
+++ b/waxwingglade/process/owned_log.py
@@ -304,7 +304,7 @@
         self.track_task(start_task(link.request(drop, self.settings.append_timeout_s)))
 
     async def _send_to(self, member: EntryRef) -> None:
-        """Bring a holder every record, and every question of `confirm_ownership`, until the log is lost."""
+        """Send a holder every record and probe until this owner is fenced."""
         link = self.links.to(member.peer_address, member.incarnation)
         event = self.wake[member.incarnation]
         opening = self.opened_as[member.incarnation]
--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -30,7 +30,7 @@
 from waxwingglade.process.directory import FORMAT_VERSION, LogEntry
 from waxwingglade.process.entry import Entry
 from waxwingglade.process.log_copy import LogCopy
-from waxwingglade.process.log_requests import answer_about_log
+from waxwingglade.process.log_requests import answer_log_request
 from waxwingglade.process.owned_log import OwnedLog
 from waxwingglade.process.placement import choose_copies, is_spread, rank
 from waxwingglade.process.reconfigure import change_copies, register
@@ -333,7 +333,7 @@
     if not entry.own.answers_to(ref.incarnation):
         link = entry.links.to(ref.peer_address, ref.incarnation)
         return await link.request(message, entry.settings.durability.suspect_after_s)
-    answer = await answer_about_log(entry, message)
+    answer = await answer_log_request(entry, message)
     return Err(answer.failure) if isinstance(answer, Refused) else Ok(answer)
 
 
--- a/waxwingglade/process/peers.py
+++ b/waxwingglade/process/peers.py
@@ -22,7 +22,7 @@
 from waxwingglade.process.drain import take_from_leaving
 from waxwingglade.process.duties import take_reports
 from waxwingglade.process.entry import Entry
-from waxwingglade.process.log_requests import answer_about_log
+from waxwingglade.process.log_requests import answer_log_request
 from waxwingglade.process.sampling import take_loads
 from waxwingglade.process.serving import serve_counted
 from waxwingglade.process.sweep import done_here
@@ -56,7 +56,7 @@
         return Noted()
     if isinstance(body, FetchConfig) and entry.configuration is not None:
         return entry.configuration.answer(body)
-    return await answer_about_log(entry, body)
+    return await answer_log_request(entry, body)
 
 
 async def _serve_passed_on(entry: Entry, body: PassedOn, reply: Reply) -> None:
--- a/waxwingglade/process/programs.py
+++ b/waxwingglade/process/programs.py
@@ -13,7 +13,7 @@
     ProgramView,
 )
 from waxwingglade.process.entry import Entry
-from waxwingglade.process.logs import about
+from waxwingglade.process.logs import log_context
 from waxwingglade.process.owned_log import OwnedLog
 from waxwingglade.process.ownership import log_for_new_program
 from waxwingglade.program import Call, Created, ProgramEnded, ProgramState
@@ -47,7 +47,7 @@
     appended = await owned.append(program, created)
     if appended.is_err():
         return appended.err_value
-    with about(owned, owned.programs[program]):
+    with log_context(owned, owned.programs[program]):
         logger.info("program of class {} created", request.program_class)
     return await read_program(owned, owned.programs[program])
 
@@ -133,7 +133,7 @@
         if appended.is_err():
             return appended.err_value
         entry.metrics.program_ended(state.created, entry.wall_clock())
-        with about(owned, state):
+        with log_context(owned, state):
             logger.info("program ended")
         await _cancel_calls(entry, state)
         entry.dispatcher.program_ended(state.program)
--- a/waxwingglade/process/tests/disk_builders.py
+++ b/waxwingglade/process/tests/disk_builders.py
@@ -27,7 +27,7 @@
 
 def add_records(disk: Disk, log: LogId, *records: bytes) -> None:
     """Add records at the end of a log."""
-    disk.append(log, disk.held[log].length, list(records), [OWNER, HOLDER], True)
+    disk.append(log, disk.queued_states[log].length, list(records), [OWNER, HOLDER], True)
 
 
 async def make_folder(folder: Path) -> Disk:
--- a/waxwingglade/process/tests/test_disk.py
+++ b/waxwingglade/process/tests/test_disk.py
@@ -68,7 +68,7 @@
 
     async def test_the_oldest_dropped_logs_are_forgotten(self):
         names = [LogId(f"z.e.i.{n}") for n in range(5)]
-        with patch.object(disk_load, "DROPPED_KEPT", 2):
+        with patch.object(disk_load, "MAX_DROPPED_LOGS", 2):
             disk = open_disk(self.folder)
             for name in names:
                 disk.drop(name, Epoch(1))
