--- a/waxwingglade/process/copies.py
+++ b/waxwingglade/process/copies.py
@@ -1,8 +1,7 @@
 """Copies of other entries' logs that this process holds.
 
-A copy promises itself to the highest epoch it has heard of and refuses all lower ones.  That
-promise, held by a majority of a log's copies, is what stops an owner that was replaced without
-knowing it.
+A copy promises to accept no epoch lower than the highest one that it has received.  The promises of
+a majority of a log's copies stop a replaced owner that does not know of its replacement.
 """
 
 from collections.abc import Callable
@@ -44,7 +43,7 @@
     Parameters
     ----------
     owned_epoch : callable
-        Returns the epoch at which this process owns a log itself, None where it does not.
+        Returns the epoch at which this process owns a log itself, or None if it does not own it.
     seal_owned : callable
         Seals a log that this process owns itself.
     """
@@ -64,7 +63,7 @@
         self.disk: Disk | None = None
 
     def attach_disk(self, disk: Disk) -> None:
-        """Take up what a data folder holds, and keep it up to date from now on."""
+        """Load the copies in a data folder, and write all later changes to it."""
         loaded = disk.load()
         self.logs = loaded.copies
         self.damaged = loaded.unknown
@@ -74,9 +73,9 @@
         self.disk = disk
 
     async def sync(self) -> Outcome[None]:
-        """Wait until the data folder, if there is one, holds all that was done so far.
+        """Wait until all changes so far are durable in the data folder, if there is one.
 
-        Only then may a peer be told of it.
+        A change may be acknowledged to a peer only afterwards.
         """
         if self.disk is None:
             return Ok(None)
@@ -88,20 +87,20 @@
         return Ok(None)
 
     def append(self, message: AppendRecords) -> Appended | Behind | Fenced:
-        """Take records from an owner.
+        """Append records sent by an owner.
 
         Returns
         -------
         Appended, Behind or Fenced
-            How much the copy now holds, or why it took nothing.
+            Number of records in the copy, or the reason why it did not accept the message.
         """
         owned = self.owned_epoch(message.log)
         if owned is not None and message.epoch <= owned:
-            # An owner from before; this process must not count as a holder of its records.
+            # The sender is a previous owner, whose records this process must not count as holding.
             return Fenced(owned)
-        refused_below = max(self.dropped.get(message.log, 0), self.damaged.get(message.log, 0))
-        if message.epoch < refused_below:
-            return Fenced(Epoch(refused_below))
+        lowest_accepted = max(self.dropped.get(message.log, 0), self.damaged.get(message.log, 0))
+        if message.epoch < lowest_accepted:
+            return Fenced(Epoch(lowest_accepted))
         copy = self.logs.get(message.log)
         if copy is None:
             self.dropped.pop(message.log, None)
@@ -112,9 +111,9 @@
             return self._replace(copy, message)
         if message.first > len(copy.records):
             return Behind(len(copy.records))
-        # A repeated message overlaps what is there; the owner of an epoch never rewrites a record.
-        known = len(copy.records) - message.first
-        new = message.records[known:]
+        # A repeated message overlaps the copy; the owner of an epoch never changes a record.
+        already_stored = len(copy.records) - message.first
+        new = message.records[already_stored:]
         if self.disk is not None:
             first = len(copy.records)
             self.disk.append(message.log, first, new, message.copies, message.registered)
@@ -125,7 +124,7 @@
         return Appended(len(copy.records))
 
     def _replace(self, copy: LogCopy, message: AppendRecords) -> Appended | Behind:
-        """Take the whole log of a new owner in one step, so that no part of it is ever missing."""
+        """Replace the copy by a new owner's log in one step, so that it is never incomplete."""
         if message.first != 0:
             return Behind(0)
         copy.promised = message.epoch
@@ -141,13 +140,13 @@
         return Appended(len(copy.records))
 
     def seal(self, message: SealCopy) -> SealedCopy | Fenced | Refused:
-        """Refuse lower epochs from now on and hand out the records."""
+        """Refuse lower epochs from now on and return the records."""
         if message.log in self.damaged:
             return self._seal_damaged(message)
         if self.owned_epoch(message.log) is not None:
             return self.seal_owned(message)
-        # A copy that was dropped, or never came to be, holds nothing that counts: what the log's
-        # present holders made durable, they did without it.  Its promise is needed all the same.
+        # A copy that was dropped or never created contributed to no durable record, as the current
+        # holders made their records durable without it.  Its promise is still needed.
         self.dropped.pop(message.log, None)
         copy = self.logs.setdefault(message.log, LogCopy(Epoch(0)))
         if message.epoch <= copy.promised:
@@ -159,7 +158,7 @@
         return SealedCopy(copy.epoch, copy.records)
 
     def _seal_damaged(self, message: SealCopy) -> Fenced | Refused:
-        """Keep the promise, but do not count: records may be missing from what is left."""
+        """Record the promise but return no records, as the damaged copy may lack some."""
         promised = self.damaged[message.log]
         if message.epoch <= promised:
             return Fenced(promised)
@@ -170,7 +169,7 @@
         return Refused(Failure(Verdict.NOT_RUN, ErrorCode.NOT_FOUND, text))
 
     def retain_demoted(self, owned: "OwnedLog") -> None:
-        """Keep a log that this process owned, or failed to take over, as a mere copy."""
+        """Retain a log that this process owned, or failed to take over, as a copy."""
         self.logs[owned.log] = LogCopy(
             promised=owned.fenced_by or owned.epoch,
             epoch=owned.epoch,
@@ -182,7 +181,7 @@
         )
 
     def drop(self, message: DropCopy) -> Dropped | Fenced:
-        """Forget a copy that its owner needs no more."""
+        """Remove a copy that its owner no longer needs."""
         owned = self.owned_epoch(message.log)
         if owned is not None:
             return Fenced(owned)
@@ -195,7 +194,7 @@
         return Dropped()
 
     def forget(self, log: LogId, epoch: Epoch) -> None:
-        """Drop a copy that has no use; epochs below `epoch` stay refused."""
+        """Remove a copy that is no longer needed, and still refuse epochs below `epoch`."""
         self.logs.pop(log, None)
         self.damaged.pop(log, None)
         self.dropped.pop(log, None)
--- a/waxwingglade/process/directory.py
+++ b/waxwingglade/process/directory.py
@@ -1,7 +1,7 @@
-"""The store's records of who owns which log.
+"""The records in the store of which entry owns which log.
 
-A record changes only by compare-and-swap.  Raising the epoch there decides which entry may try to
-take a log over; the copies' promises then stop the owner before.
+A record changes only by compare-and-swap.  The entry that raises the epoch may try to take the log
+over; the promises of the copies then stop the previous owner.
 """
 
 from typing import Protocol
@@ -39,7 +39,7 @@
     owner : EntryRef
         Owner, or the entry that is taking the log over.
     copies : list of EntryRef
-        Entries that hold the log; a majority of them knows every durable record.
+        Entries that hold the log; every durable record is at a majority of them.
     """
 
     format: int
@@ -50,25 +50,25 @@
 
 
 class Versioned(msgspec.Struct, frozen=True):
-    """A record with the store's revision of it; revision 0 where there is none."""
+    """A record with its revision in the store; 0 if there is no record."""
 
     entry: LogEntry | None
     revision: int
 
 
 class Store(Protocol):
-    """What the directory needs of the store client."""
+    """Operations of the store client that the directory uses."""
 
     async def get(self, key: str, purpose: Purpose = ...) -> Outcome[KeyValue | None]:
-        """Return a key with its revision, or None where there is none."""
+        """Return a key with its revision, or None if there is no such key."""
 
     async def put_if(
         self, key: str, value: bytes, expected: int, lease: int = 0, purpose: Purpose = ...
     ) -> Outcome[int]:
-        """Write a key that is still at revision `expected`; return the new revision."""
+        """Write a key if it is still at revision `expected`; return the new revision."""
 
     async def delete_if(self, key: str, expected: int, purpose: Purpose = ...) -> Outcome[None]:
-        """Delete a key that is still at revision `expected`."""
+        """Delete a key if it is still at revision `expected`."""
 
 
 _encoder = msgspec.json.Encoder()
@@ -92,7 +92,7 @@
         return f"{KEY_PREFIX}{log}"
 
     async def read(self, log: LogId, purpose: Purpose = Purpose.LOOKUP) -> Outcome[Versioned]:
-        """Return the record of a log, if there is one."""
+        """Return the record of a log, which is None if there is none."""
         found = await self.store.get(self.key(log), purpose=purpose)
         if found.is_err():
             return found
@@ -107,7 +107,7 @@
     async def write(self, entry: LogEntry, expected: int) -> Outcome[int]:
         """Replace the record at revision `expected`; return the new revision.
 
-        A failure with CONFLICT means that another entry wrote it meanwhile.
+        A CONFLICT failure means that the record was changed meanwhile.
         """
         data = _encoder.encode(entry)
         key = self.key(entry.log)
@@ -119,7 +119,7 @@
 
 
 def decode_entry(data: bytes) -> LogEntry:
-    """Return the record in `data`, or raise `FormatError`."""
+    """Return the record in `data`; raise `FormatError` if it cannot be read."""
     try:
         entry = _decoder.decode(data)
     except msgspec.DecodeError as error:
--- a/waxwingglade/process/expiry.py
+++ b/waxwingglade/process/expiry.py
@@ -1,4 +1,4 @@
-"""Ending programs that went over their limits, and removing logs whose programs all ended."""
+"""Ends programs that exceed their limits, and removes logs whose programs have all ended."""
 
 import asyncio
 
@@ -10,15 +10,15 @@
 from waxwingglade.process.programs import end_program
 from waxwingglade.program import ProgramState
 
-PERIOD_S = 0.5
-OUT_OF_TIME = "budget exceeded: wall time"
-OUT_OF_TURNS = "budget exceeded: turns"
+CHECK_PERIOD_S = 0.5
+WALL_TIME_EXCEEDED = "budget exceeded: wall time"
+TURNS_EXCEEDED = "budget exceeded: turns"
 
 
 async def expire_programs(entry: Entry) -> None:
-    """End programs over their limits, and remove finished logs, until the process ends."""
+    """End programs that exceed their limits, and remove finished logs, until the process ends."""
     while True:
-        await asyncio.sleep(PERIOD_S)
+        await asyncio.sleep(CHECK_PERIOD_S)
         for owned in list(entry.owned.values()):
             try:
                 await _expire_programs_of(entry, owned)
@@ -32,32 +32,32 @@
         if reason is not None and not owned.fenced:
             await end_program(entry, owned, state, reason)
     if _is_finished(entry, owned):
-        await _remove(entry, owned)
+        await _remove_log(entry, owned)
 
 
 def over_limit(entry: Entry, owned: OwnedLog, state: ProgramState) -> str | None:
-    """Return why a program has to end now, if it has to; a sub-agent ends with its root."""
+    """Return the reason to end a program now, or None; a sub-agent ends with its root program."""
     if state.ended is not None or state.root != state.program:
         return None
     budget = state.created.policy.budget
     if entry.wall_clock() - state.created.created_at > budget.wall_s:
-        return f"{OUT_OF_TIME} ({budget.wall_s} s)"
+        return f"{WALL_TIME_EXCEEDED} ({budget.wall_s} s)"
     if state.out_of_turns:
-        return f"{OUT_OF_TURNS} ({budget.turns})"
+        return f"{TURNS_EXCEEDED} ({budget.turns})"
     return None
 
 
 def _is_finished(entry: Entry, owned: OwnedLog) -> bool:
     if any(owned.log in logs for logs in entry.open_logs.values()) or not owned.store_revision:
         return False
-    kept_since = entry.wall_clock() - entry.settings.durability.ended_kept_s
+    retained_since = entry.wall_clock() - entry.settings.durability.ended_kept_s
     return all(
-        state.ended is not None and not state.cached_on and state.ended.ended_at < kept_since
+        state.ended is not None and not state.cached_on and state.ended.ended_at < retained_since
         for state in owned.programs.values()
     )
 
 
-async def _remove(entry: Entry, owned: OwnedLog) -> None:
+async def _remove_log(entry: Entry, owned: OwnedLog) -> None:
     removed = await retire(entry, owned)
     if removed.is_err():
         return
--- a/waxwingglade/process/locate.py
+++ b/waxwingglade/process/locate.py
@@ -1,4 +1,4 @@
-"""Finding the entry that owns a log."""
+"""Lookup of the entry that owns a log."""
 
 import asyncio
 
@@ -7,16 +7,16 @@
 from waxwingglade.process.directory import Versioned
 from waxwingglade.process.entry import Entry
 
-CACHE_S = 2.0
-"""Seconds for which the store's answer about an owner is believed."""
+CACHE_TTL_S = 2.0
+"""Seconds for which the owner read from the store is cached."""
 
 CACHE_SIZE = 10_000
 RETRY_AFTER_S = 1.0
-SHARED_S = 0.5
-"""Seconds for which an answer of the store about a log is shared by all that ask."""
+SHARED_READ_S = 0.5
+"""Seconds for which concurrent lookups of a log share one read of the store."""
 
-MOST_ASKED = 16
-"""Peers that are asked for a log that the store does not know."""
+MAX_ASKED_PEERS = 16
+"""Maximum number of peers to ask for a log that the store has no record of."""
 
 
 async def find_owner(entry: Entry, log: LogId, fresh: bool = False) -> Outcome[EntryRef]:
@@ -27,27 +27,27 @@
     entry : Entry
         The process.
     log : LogId
-        The log; not owned here.
+        The log, which this process does not own.
     fresh : bool
-        Whether to ask the store even where a guess is at hand, because a guess was wrong.
+        Whether to read the store without trying the likely owner, because that one was wrong.
 
     Returns
     -------
     Outcome[EntryRef]
-        An owner that is alive as far as this process knows; else a NOT_RUN failure.
+        An owner that is alive as far as this process knows; otherwise a NOT_RUN failure.
     """
-    guess = None if fresh else _guess(entry, log)
-    if guess is not None:
-        return Ok(guess)
+    likely = None if fresh else _likely_owner(entry, log)
+    if likely is not None:
+        return Ok(likely)
     found = await _read_shared(entry, log)
     if found.is_err():
         failure = found.err_value
         return not_run(failure.code, failure.message, failure.retry_after_s or RETRY_AFTER_S)
-    present = found.ok_value.entry
-    if present is None:
-        return await _ask_peers(entry, log)
-    owner = present.owner
-    _remember(entry, log, owner)
+    stored = found.ok_value.entry
+    if stored is None:
+        return await _find_at_peers(entry, log)
+    owner = stored.owner
+    _cache_owner(entry, log, owner)
     if entry.members.gone(owner):
         text = "the entry that owns the program was lost; another is taking over"
         return not_run(ErrorCode.OWNER_UNAVAILABLE, text, RETRY_AFTER_S)
@@ -55,22 +55,22 @@
 
 
 async def _read_shared(entry: Entry, log: LogId) -> Outcome[Versioned]:
-    """Read a log's record in the store, once for all that ask within `SHARED_S`.
+    """Read a log's record in the store, once for all lookups within `SHARED_READ_S`.
 
-    While a log changes hands every waiting request looks its owner up again and again.
+    While a log is taken over, every waiting request looks up its owner repeatedly.
     """
     reading = entry.lookups.get(log)
     if reading is None:
         reading = entry.spawn(entry.directory.read(log))
         entry.lookups[log] = reading
-        asyncio.get_running_loop().call_later(SHARED_S, entry.lookups.pop, log, None)
+        asyncio.get_running_loop().call_later(SHARED_READ_S, entry.lookups.pop, log, None)
     return await asyncio.shield(reading)
 
 
-async def _ask_peers(entry: Entry, log: LogId) -> Outcome[EntryRef]:
-    """Look for a log that the store has no record of: it may be young, or long retired."""
+async def _find_at_peers(entry: Entry, log: LogId) -> Outcome[EntryRef]:
+    """Ask peers for a log without a record in the store: it may be new, or retired long ago."""
     peers = [ref for ref in entry.members.known() if ref.incarnation != entry.incarnation]
-    links = [entry.links.to(ref.peer_address, ref.incarnation) for ref in peers[:MOST_ASKED]]
+    links = [entry.links.to(ref.peer_address, ref.incarnation) for ref in peers[:MAX_ASKED_PEERS]]
     period_s = entry.settings.durability.heartbeat_s
     answers = await asyncio.gather(*(link.request(FindLog(log), period_s) for link in links))
     found = [a.ok_value for a in answers if a.is_ok() and isinstance(a.ok_value, LogFound)]
@@ -83,11 +83,11 @@
     return not_run(ErrorCode.NOT_FOUND, f"the program's log {log} is not known")
 
 
-def _guess(entry: Entry, log: LogId) -> EntryRef | None:
+def _likely_owner(entry: Entry, log: LogId) -> EntryRef | None:
     cached = entry.owner_cache.get(log)
     if (
         cached is not None
-        and entry.clock() - cached[1] < CACHE_S
+        and entry.clock() - cached[1] < CACHE_TTL_S
         and not entry.members.gone(cached[0])
     ):
         return cached[0]
@@ -101,12 +101,12 @@
     """Return the entry that created the log, if that very process is alive."""
     _, name, incarnation = creator_of(log)
     if incarnation == entry.incarnation:
-        # Asked for a log that this process does not own, or no longer.
+        # This process created the log and does not own it any more.
         return None
     return entry.members.find(name, incarnation)
 
 
-def _remember(entry: Entry, log: LogId, owner: EntryRef) -> None:
+def _cache_owner(entry: Entry, log: LogId, owner: EntryRef) -> None:
     entry.owner_cache.pop(log, None)
     entry.owner_cache[log] = (owner, entry.clock())
     if len(entry.owner_cache) > CACHE_SIZE:
--- a/waxwingglade/process/log_copy.py
+++ b/waxwingglade/process/log_copy.py
@@ -1,34 +1,34 @@
-"""One copy of a log, as a holder keeps it."""
+"""The copy of a log that a holder stores."""
 
 import msgspec
 
 from waxwingglade.base import EntryRef, Epoch
 
 MAX_DROPPED_LOGS = 10_000
-"""Names of dropped logs that are remembered, so that a late message does not bring one back."""
+"""Maximum number of dropped logs to remember, so that a late message does not recreate one."""
 
 
 class LogCopy(msgspec.Struct):
-    """One copy.
+    """One copy of a log.
 
     Parameters
     ----------
     promised : Epoch
         Lowest epoch that the copy accepts.
     epoch : Epoch
-        Epoch of the owner that wrote the records; 0 where there was none.
+        Epoch of the owner that wrote the records; 0 if there was none.
     owner : EntryRef or None
         That owner.
     copies : list of EntryRef
-        Entries that hold the log, as the owner said.
+        Entries that hold the log, according to the owner.
     records : list of bytes
         Encoded records in order.
     registered : bool
-        Whether the owner knew a record of the log in the store.
+        Whether the store had a record of the log, according to the owner.
     opening : int
-        Number of the owner's opening under which the records came.
+        How often the owner had started to send the log to a holder when it sent the records.
     sealed_at : float
-        Monotonic time of the last promise made by sealing, in seconds.
+        Monotonic time in seconds of the last seal.
     """
 
     promised: Epoch
--- a/waxwingglade/process/log_requests.py
+++ b/waxwingglade/process/log_requests.py
@@ -1,4 +1,4 @@
-"""Answers to what owners and takers of logs ask of this entry's copies."""
+"""Answers to requests of owners, and of entries that take logs over, about this entry's copies."""
 
 from waxwingglade.base import Epoch, ErrorCode, Failure, Verdict
 from waxwingglade.connection.peer_messages import (
@@ -14,8 +14,8 @@
 
 
 async def answer_log_request(entry: Entry, body: PeerBody) -> PeerBody:
-    """Act on one request about a log and return the answer, once what it says is durable."""
-    answer = _act(entry, body)
+    """Handle a request about a log, and return the answer once the changes it made are durable."""
+    answer = _handle(entry, body)
     synced = await entry.copies.sync()
     if synced.is_err():
         entry.leave_disk()
@@ -23,7 +23,7 @@
     return answer
 
 
-def _act(entry: Entry, body: PeerBody) -> PeerBody:
+def _handle(entry: Entry, body: PeerBody) -> PeerBody:
     if isinstance(body, AppendRecords):
         return _append(entry, body)
     if isinstance(body, SealCopy):
@@ -48,9 +48,9 @@
     owned = entry.owned.get(body.log)
     if owned is not None and not owned.fenced:
         return LogFound(entry.own, owned.epoch, serving=True)
-    busy = body.log in entry.taking_over
+    taking_over = body.log in entry.taking_over
     copy = entry.copies.logs.get(body.log)
     if copy is None:
-        return LogFound(None, Epoch(0), taking_over=busy)
+        return LogFound(None, Epoch(0), taking_over=taking_over)
     orphan = entry.is_orphan(copy)
-    return LogFound(copy.owner, copy.epoch, taking_over=busy, owner_gone=orphan)
+    return LogFound(copy.owner, copy.epoch, taking_over=taking_over, owner_gone=orphan)
--- a/waxwingglade/process/logs.py
+++ b/waxwingglade/process/logs.py
@@ -1,9 +1,9 @@
-"""Structured logs: one flat JSON object a line on standard error.
+"""Structured logs: one flat JSON object per line on standard error.
 
-Every record names the entry and the zone, and the program, call, tenant, epoch and configuration
-version that it is about, empty where there is none.  Tokens and message texts never get in: values
-of variables are not printed, and of an exception only its type and place, since its message may
-quote what a caller sent.
+Every record has the entry and the zone, and the program, call, tenant, epoch and configuration
+version that it refers to; fields that do not apply are empty.  Tokens and message texts are never
+logged: values of variables are omitted, and an exception is logged with its type and location only,
+since its message may quote what a caller sent.
 """
 
 import logging
@@ -21,22 +21,22 @@
 from waxwingglade.program import Done, ProgramState
 from waxwingglade.settings import ProcessSettings
 
-FRAMES_SHOWN = 12
+MAX_LOGGED_FRAMES = 12
 
 
 def start_logging(
     settings: ProcessSettings, version: Callable[[], ConfigVersion], stream: TextIO | None = None
 ) -> None:
-    """Send logs of the level in the settings to a stream, as JSON lines.
+    """Write logs of the level in the settings and above to a stream, as JSON lines.
 
     Parameters
     ----------
     settings : ProcessSettings
-        Names and level.
+        Entry name, zone and log level.
     version : callable
-        Returns the configuration version in force, for records of no particular program.
+        Returns the configuration version in force, for records that refer to no program.
     stream : file, optional
-        Where to; standard error if not given.
+        Output; standard error if not given.
     """
     target = stream or sys.stderr
 
@@ -44,7 +44,7 @@
         target.write(json_line(message.record))
         target.flush()
 
-    def fill_in(record: Any) -> None:
+    def add_config_version(record: Any) -> None:
         extra = record["extra"]
         if "config_version" not in extra:
             extra["config_version"] = version()
@@ -52,15 +52,15 @@
     logger.remove()
     logger.add(write, level=settings.log_level, format="{message}", diagnose=False)
     names = {"entry": settings.entry, "zone": settings.zone}
-    nothing = {"program": "", "call": "", "tenant": "", "epoch": 0}
-    logger.configure(extra={**names, **nothing}, patcher=fill_in)
+    empty = {"program": "", "call": "", "tenant": "", "epoch": 0}
+    logger.configure(extra={**names, **empty}, patcher=add_config_version)
     logging.basicConfig(handlers=[LibraryLogHandler()], level=logging.WARNING, force=True)
 
 
 def log_context(
     owned: OwnedLog, state: ProgramState, call: CallId | str = ""
 ) -> AbstractContextManager[None]:
-    """Return a context in which records are about a program, or one of its calls."""
+    """Return a context in which log records have the fields of a program, or one of its calls."""
     return logger.contextualize(
         program=state.program,
         call=call,
@@ -71,7 +71,7 @@
 
 
 def log_outcome(outcome: Done | Failure) -> None:
-    """Log how a call ended; of a failure the code, since its message may quote the target."""
+    """Log the end of a call; a failure without its message, which may quote the target."""
     if isinstance(outcome, Failure):
         logger.info("call failed: {}, {}", outcome.code.value, outcome.verdict.value)
         return
@@ -79,7 +79,7 @@
 
 
 def json_line(record: Any) -> str:
-    """Return a record of loguru as a line of JSON."""
+    """Return a loguru record as a line of JSON."""
     line = {
         "time": record["time"].isoformat(),
         "level": record["level"].name,
@@ -93,23 +93,23 @@
 
 
 def describe_error(error: BaseException | None) -> list[str]:
-    """Return the type of an exception and the frames that it passed.
+    """Return the type of an exception and its innermost frames.
 
-    The message is left out, but for errors of the operating system, which quote no caller.
+    The message is omitted, except for errors of the operating system, which quote no caller.
     """
     if error is None:
         return []
     text = type(error).__name__
     if isinstance(error, OSError) and error.strerror:
         text = f"{text}: {error.strerror}"
-    frames = traceback.extract_tb(error.__traceback__)[-FRAMES_SHOWN:]
+    frames = traceback.extract_tb(error.__traceback__)[-MAX_LOGGED_FRAMES:]
     return [text, *(f"{frame.filename}:{frame.lineno} {frame.name}" for frame in frames)]
 
 
 class LibraryLogHandler(logging.Handler):
-    """Passes on what libraries log, without the values in it."""
+    """Forwards log records of libraries, without the values in them."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Pass on one record; its arguments may quote a request, so only the template is kept."""
+        """Forward the template of a record without its arguments, which may quote a request."""
         error = record.exc_info[1] if record.exc_info else None
         logger.opt(exception=error).log(record.levelname, "{}: {}", record.name, record.msg)
--- a/waxwingglade/process/owned_log.py
+++ b/waxwingglade/process/owned_log.py
@@ -1,8 +1,8 @@
-"""A log that this process owns: records, and their way to the other copies.
+"""A log that this process owns: its records, and their replication to the other copies.
 
-A record counts as durable once a majority of the log's copies hold it, and one of them is in
-another zone while any such copy can be reached.  One task for each holder sends it whatever
-it lacks, so records that arrive together travel together.
+A record counts as durable once a majority of the log's copies hold it, one of them in another zone
+as long as any copy in another zone can be reached.  One task for each holder sends all records that
+the holder lacks, so records that are appended together are sent together.
 """
 
 import asyncio
@@ -48,26 +48,26 @@
 
 
 class OwnedLog:
-    """One log and the programs whose records it keeps.
+    """One log and the programs whose records it contains.
 
     Parameters
     ----------
     log : LogId
         Name of the log.
     epoch : Epoch
-        This ownership; a later owner has a higher one.
+        Epoch of this ownership; a later owner has a higher one.
     own : EntryRef
         This process.
     copies : list of EntryRef
         Entries that hold the log, this one included.
     records : list of bytes
-        Records taken over from the owner before; empty for a new log.
+        Records taken over from the previous owner; empty for a new log.
     links : PeerLinks
         Connections of the process.
     settings : DurabilitySettings
-        Time-outs.
+        Timeouts.
     alive : callable
-        Whether an entry can be reached, as far as this process knows.
+        Returns whether an entry can be reached, as far as this process knows.
     """
 
     def __init__(
@@ -102,8 +102,8 @@
         self.handing_over = False
         self.handed_over = asyncio.Event()
         self.wake: dict[Incarnation, asyncio.Event] = {}
-        self.openings = 0
-        self.opened_as: dict[Incarnation, int] = {}
+        self.last_opening = 0
+        self.opening_of: dict[Incarnation, int] = {}
         self.senders: dict[Incarnation, asyncio.Task] = {}
         self.waiters: list[tuple[int, int, asyncio.Future[None]]] = []
         self.tie_breaker = itertools.count()
@@ -113,16 +113,16 @@
         for data in records:
             apply_record(self.programs, decode_record(data))
 
-    # --- life ---------------------------------------------------------------------------------
+    # --- lifecycle ----------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Begin to send to every holder."""
-        for member in self._members():
-            self._start_sender(member)
+        """Start to send records to every holder."""
+        for holder in self._all_holders():
+            self._start_sender(holder)
         self._advance()
 
     async def stop(self) -> None:
-        """End the tasks; what is not yet durable stays undecided."""
+        """Stop the tasks; records that are not yet durable may still become durable."""
         tasks = list(self.senders.values())
         for task in tasks:
             task.cancel()
@@ -140,7 +140,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def fence(self, epoch: Epoch) -> None:
-        """Stop acting as the owner: a copy has promised itself to `epoch`."""
+        """Stop acting as the owner, because a copy has promised to accept only `epoch` or later."""
         if self.fenced:
             return
         logger.warning("log {} at epoch {} was taken over at epoch {}", self.log, self.epoch, epoch)
@@ -152,9 +152,9 @@
         self._release_waiters(len(self.records) + 1)
 
     def has_majority(self) -> bool:
-        """Return whether a majority of the copies exists, be it without records."""
-        existing = sum(ref.incarnation in self.acked for ref in self.copies)
-        return existing > len(self.copies) // 2
+        """Return whether a majority of the copies exists, even without records."""
+        created = sum(ref.incarnation in self.acked for ref in self.copies)
+        return created > len(self.copies) // 2
 
     # --- records ------------------------------------------------------------------------------
 
@@ -164,8 +164,8 @@
         Returns
         -------
         Outcome[Sequence]
-            Number of records in the log after these.  A failure says MAY_HAVE_RUN where the
-            records may yet become durable, NOT_RUN where they were not added.
+            Number of records in the log after these.  A failure has the verdict MAY_HAVE_RUN if the
+            records may still become durable, and NOT_RUN if they were not added.
         """
         if self.fenced:
             return not_run(ErrorCode.FENCED, TAKEN_OVER, RETRY_AFTER_S)
@@ -193,46 +193,46 @@
         return may_have_run(ErrorCode.UNAVAILABLE, TOO_FEW_COPIES, RETRY_AFTER_S)
 
     async def confirm_ownership(self) -> Outcome[None]:
-        """Make sure that this process still was the owner after this was called.
+        """Check that this process was still the owner at some time after the call.
 
-        What a read returns must not be older than what another owner has made durable meanwhile,
-        so a majority of the copies is asked.  Concurrent reads share the question.
+        A read must not return a state older than what another owner has made durable meanwhile, so
+        a majority of the copies is asked.  Concurrent reads share one probe.
         """
         self.probe += 1
-        wanted = self.probe
+        probe = self.probe
         for event in self.wake.values():
             event.set()
-        return await self._wait_for_answers(lambda: self._probed(wanted), TOO_FEW_COPIES)
+        return await self._wait_for_answers(lambda: self._is_confirmed_since(probe), TOO_FEW_COPIES)
 
-    async def _wait_for_answers(self, enough: Callable[[], bool], otherwise: str) -> Outcome[None]:
-        """Wait until the holders' answers are enough; `otherwise` says what was missing."""
+    async def _wait_for_answers(self, enough: Callable[[], bool], message: str) -> Outcome[None]:
+        """Wait until `enough` returns true; `message` describes the failure if it does not."""
         try:
             async with asyncio.timeout(self.settings.append_timeout_s):
                 while not self.fenced and not enough():
                     await self.answered.wait()
         except TimeoutError:
-            return not_run(ErrorCode.UNAVAILABLE, otherwise, RETRY_AFTER_S)
+            return not_run(ErrorCode.UNAVAILABLE, message, RETRY_AFTER_S)
         if self.fenced:
             return not_run(ErrorCode.FENCED, TAKEN_OVER, RETRY_AFTER_S)
         return Ok(None)
 
-    def _probed(self, wanted: int) -> bool:
-        """Return whether a majority of the copies answered a message sent since `wanted`."""
+    def _is_confirmed_since(self, probe: int) -> bool:
+        """Return whether a majority of the copies answered `probe` or a later one."""
         self.probe_acked[self.own.incarnation] = self.probe
         sets = [self.copies, *([self.next_copies] if self.next_copies is not None else [])]
         return all(
-            sum(self.probe_acked.get(ref.incarnation, 0) >= wanted for ref in copies)
+            sum(self.probe_acked.get(ref.incarnation, 0) >= probe for ref in copies)
             > len(copies) // 2
             for copies in sets
         )
 
-    def _note_probe(self, member: EntryRef, probe: int) -> None:
-        self.probe_acked[member.incarnation] = probe
+    def _record_probe(self, holder: EntryRef, probe: int) -> None:
+        self.probe_acked[holder.incarnation] = probe
         self.answered.set()
         self.answered = asyncio.Event()
 
     def seal(self, message: SealCopy) -> SealedCopy | Fenced:
-        """Give way to a higher epoch and hand out the records."""
+        """Fence this owner in favour of a higher epoch and return the records."""
         if message.epoch <= max(self.epoch, self.fenced_by or Epoch(0)):
             return Fenced(self.fenced_by or self.epoch)
         self.fence(message.epoch)
@@ -242,15 +242,15 @@
     # --- copies -------------------------------------------------------------------------------
 
     def begin_change(self, copies: list[EntryRef]) -> None:
-        """Ask for majorities of both the old and the new copies from now on."""
+        """Require majorities of both the old and the new copies from now on."""
         self.next_copies = copies
-        for member in copies:
-            self._start_sender(member)
+        for holder in copies:
+            self._start_sender(holder)
 
     async def wait_for_new_copies(self) -> Outcome[None]:
-        """Wait until the new copies alone hold every record that was made durable so far.
+        """Wait until a majority of the new copies alone holds every record appended so far.
 
-        That the old copies hold them is not enough: a later owner may only be told of the new ones.
+        A majority of the old copies is not enough: a later owner may know only the new ones.
         """
         length = len(self.records)
         return await self._wait_for_answers(lambda: self._next_copies_hold(length), NOT_CAUGHT_UP)
@@ -259,55 +259,55 @@
         return self.next_copies is None or self._quorum_length(self.next_copies) >= length
 
     def finish_change(self) -> None:
-        """Rely on the new copies alone; the store has accepted them."""
+        """Rely on the new copies alone, which the store has accepted."""
         assert self.next_copies is not None
         before = self.copies
         self.copies = self.next_copies
         self.next_copies = None
         self.change_uncertain = False
-        kept = {ref.incarnation for ref in self.copies}
+        retained = {ref.incarnation for ref in self.copies}
         for ref in before:
-            if ref.incarnation not in kept:
+            if ref.incarnation not in retained:
                 self._stop_sender(ref)
         self._advance()
 
     def abandon_change(self) -> None:
-        """Rely on the old copies alone; the store has refused the new ones."""
-        kept = {ref.incarnation for ref in self.copies}
+        """Rely on the old copies alone, as the store has not accepted the new ones."""
+        retained = {ref.incarnation for ref in self.copies}
         for ref in self.next_copies or []:
-            if ref.incarnation not in kept:
+            if ref.incarnation not in retained:
                 self._stop_sender(ref)
         self.next_copies = None
         self._advance()
 
-    def _members(self) -> list[EntryRef]:
-        members = {ref.incarnation: ref for ref in [*self.copies, *(self.next_copies or [])]}
-        return list(members.values())
+    def _all_holders(self) -> list[EntryRef]:
+        holders = {ref.incarnation: ref for ref in [*self.copies, *(self.next_copies or [])]}
+        return list(holders.values())
 
-    def _start_sender(self, member: EntryRef) -> None:
-        if member.incarnation in self.senders or member.incarnation == self.own.incarnation:
+    def _start_sender(self, holder: EntryRef) -> None:
+        if holder.incarnation in self.senders or holder.incarnation == self.own.incarnation:
             return
-        self.openings += 1
-        self.opened_as[member.incarnation] = self.openings
-        self.wake[member.incarnation] = asyncio.Event()
-        self.senders[member.incarnation] = start_task(self._send_to(member))
-
-    def _stop_sender(self, member: EntryRef) -> None:
-        task = self.senders.pop(member.incarnation, None)
-        self.wake.pop(member.incarnation, None)
-        self.acked.pop(member.incarnation, None)
+        self.last_opening += 1
+        self.opening_of[holder.incarnation] = self.last_opening
+        self.wake[holder.incarnation] = asyncio.Event()
+        self.senders[holder.incarnation] = start_task(self._send_to(holder))
+
+    def _stop_sender(self, holder: EntryRef) -> None:
+        task = self.senders.pop(holder.incarnation, None)
+        self.wake.pop(holder.incarnation, None)
+        self.acked.pop(holder.incarnation, None)
         if task is None:
             return
         task.cancel()
-        drop = DropCopy(self.log, self.epoch, self.opened_as[member.incarnation])
-        link = self.links.to(member.peer_address, member.incarnation)
+        drop = DropCopy(self.log, self.epoch, self.opening_of[holder.incarnation])
+        link = self.links.to(holder.peer_address, holder.incarnation)
         self.track_task(start_task(link.request(drop, self.settings.append_timeout_s)))
 
-    async def _send_to(self, member: EntryRef) -> None:
+    async def _send_to(self, holder: EntryRef) -> None:
         """Send a holder every record and probe until this owner is fenced."""
-        link = self.links.to(member.peer_address, member.incarnation)
-        event = self.wake[member.incarnation]
-        opening = self.opened_as[member.incarnation]
+        link = self.links.to(holder.peer_address, holder.incarnation)
+        event = self.wake[holder.incarnation]
+        opening = self.opening_of[holder.incarnation]
         position = 0
         opened = False
         probed = 0
@@ -333,12 +333,12 @@
             opened = True
             position = answer.length
             probed = probe
-            self._note_probe(member, probe)
-            self.acked[member.incarnation] = position
+            self._record_probe(holder, probe)
+            self.acked[holder.incarnation] = position
             self._advance()
 
     def _records_from(self, position: int, opening: int) -> AppendRecords:
-        """Return the message that brings a holder what it lacks."""
+        """Return the message with all records from `position` on."""
         return AppendRecords(
             log=self.log,
             epoch=self.epoch,
@@ -362,7 +362,7 @@
         self._release_waiters(length)
 
     def _quorum_length(self, copies: list[EntryRef]) -> int:
-        """Return how many records a majority of `copies` hold, another zone included."""
+        """Return how many records a majority of `copies` hold, including one in another zone."""
         lengths = sorted((self.acked.get(ref.incarnation, 0) for ref in copies), reverse=True)
         majority = lengths[len(copies) // 2]
         remote = [ref for ref in copies if ref.zone != self.own.zone and self.alive(ref)]
--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -1,4 +1,4 @@
-"""The logs that this process owns: creating, registering, keeping whole, taking over, retiring."""
+"""The logs that this process owns: creation, registration, maintenance, takeover and retirement."""
 
 import asyncio
 import random
@@ -39,23 +39,23 @@
 from waxwingglade.settings import CutPolicy
 
 MIN_COPIES = 2
-"""Copies to which a log may shrink while its other holders are gone."""
+"""Minimum copies of a log while its other holders are unreachable."""
 
 RANK_DELAY_PERIODS = 4
-"""Take-over periods that each later entry in the ranking waits for the ones before it."""
+"""Takeover periods that an entry waits for each entry ranked before it."""
 
 
 # --- creating -----------------------------------------------------------------------------------
 
 
 def open_logs(entry: Entry) -> None:
-    """Create this process's first logs; they serve at once and are registered when possible."""
+    """Create this process's first logs, usable at once and registered in the store later."""
     for _ in range(entry.settings.durability.logs_per_entry):
         open_log(entry, CutPolicy.HOME)
 
 
 def open_log(entry: Entry, cut: CutPolicy) -> OwnedLog:
-    """Create a log for new programs, without asking anybody."""
+    """Create a log for new programs, without a request to a peer or the store."""
     log = make_log_id(entry.own, cut.value, next(entry.log_numbers))
     owned = build_log(entry, log, Epoch(1), [])
     entry.owned[log] = owned
@@ -64,10 +64,10 @@
 
 
 def log_for_new_program(entry: Entry, cut: CutPolicy) -> OwnedLog | None:
-    """Return the open log with the fewest programs, of those that bear as much as a new one would.
+    """Return the open log with the fewest programs among those as fault tolerant as a new log.
 
-    One is opened where there is none: to change the holders of a log takes the store, a new log
-    does not, and until then a log with few holders stands still once it loses one.
+    If there is none, a log is opened.  A change of a log's holders requires the store, while a new
+    log does not; until its holders are changed, a log with few holders stalls once it loses one.
     """
     roll_logs(entry, cut)
     candidates = [entry.owned.get(log) for log in entry.open_logs[cut]]
@@ -75,22 +75,24 @@
     if not usable:
         return None
     copies = min(entry.settings.durability.copies, len(entry.members.usable()) + 1)
-    lasting = [owned for owned in usable if _to_spare(owned) >= _beyond_majority(copies, copies)]
-    return min(lasting or [open_log(entry, cut)], key=lambda owned: len(owned.programs))
+    tolerant = [
+        owned for owned in usable if _spare_holders(owned) >= _excess_over_majority(copies, copies)
+    ]
+    return min(tolerant or [open_log(entry, cut)], key=lambda owned: len(owned.programs))
 
 
-def _to_spare(owned: OwnedLog) -> int:
-    """Return how many holders a log can lose and still make records durable."""
+def _spare_holders(owned: OwnedLog) -> int:
+    """Return how many more holders a log can lose and still make records durable."""
     sets = [owned.copies, *([owned.next_copies] if owned.next_copies is not None else [])]
-    return min(_beyond_majority(sum(map(owned.alive, refs)), len(refs)) for refs in sets)
+    return min(_excess_over_majority(sum(map(owned.alive, refs)), len(refs)) for refs in sets)
 
 
-def _beyond_majority(alive: int, copies: int) -> int:
+def _excess_over_majority(alive: int, copies: int) -> int:
     return alive - (copies // 2 + 1)
 
 
 def roll_logs(entry: Entry, cut: CutPolicy) -> None:
-    """Close logs that are full, lost or cut off from their copies, and open others instead."""
+    """Close logs that are full, fenced or partitioned from their copies, and open new ones."""
     limit = entry.settings.durability.programs_per_log
     before = entry.open_logs[cut]
     entry.open_logs[cut] = [
@@ -107,7 +109,7 @@
 
 
 def min_copies(entry: Entry) -> int:
-    """Return the copies without which no program is created: two, but where there are no peers."""
+    """Return the minimum number of copies to create a program: two, or one without peers."""
     return min(MIN_COPIES, entry.settings.durability.copies) if entry.settings.peers else 1
 
 
@@ -118,7 +120,7 @@
 
 
 def build_log(entry: Entry, log: LogId, epoch: Epoch, records: list[bytes]) -> OwnedLog:
-    """Return a started log with holders chosen from the peers that are alive."""
+    """Return a started log with holders chosen from the live peers."""
     copies = wanted_copies(entry, log)
     owned = OwnedLog(
         log=log,
@@ -137,37 +139,37 @@
 def wanted_copies(
     entry: Entry, log: LogId, holding: frozenset[Incarnation] = frozenset()
 ) -> list[EntryRef]:
-    """Return the entries that should hold a log now; present holders are preferred."""
+    """Return the entries that should hold a log now; current holders are preferred."""
     copies = entry.settings.durability.copies
     return choose_copies(log, entry.own, entry.members.usable(), copies, holding)
 
 
-# --- keeping whole ------------------------------------------------------------------------------
+# --- maintenance --------------------------------------------------------------------------------
 
 
 async def maintain_logs(entry: Entry) -> None:
-    """Look after logs, owned and held, until the process ends."""
+    """Maintain owned logs and check held copies for orphans, until the process ends."""
     while True:
         await asyncio.sleep(entry.settings.durability.takeover_period_s)
         try:
             demote_fenced_logs(entry)
             for owned in list(entry.owned.values()):
-                await _keep_log(entry, owned)
-            _look_for_orphans(entry)
+                await _maintain_log(entry, owned)
+            _check_for_orphans(entry)
         except Exception:
-            logger.exception("looking after logs failed; trying again")
+            logger.exception("maintaining logs failed; trying again")
 
 
 def demote_fenced_logs(entry: Entry) -> None:
-    """Keep logs that another entry has taken over as mere copies."""
+    """Turn logs that another entry has taken over into copies."""
     for owned in list(entry.owned.values()):
         if owned.fenced:
             entry.demote(owned)
 
 
-async def _keep_log(entry: Entry, owned: OwnedLog) -> None:
+async def _maintain_log(entry: Entry, owned: OwnedLog) -> None:
     if owned.contested_by is not None:
-        await _defend(entry, owned)
+        await _reclaim(entry, owned)
         return
     if owned.next_copies is not None:
         await change_copies(owned, owned.next_copies, entry.directory)
@@ -183,40 +185,41 @@
             logger.info("log {} is now held by {}", owned.log, names)
 
 
-async def _defend(entry: Entry, owned: OwnedLog) -> None:
-    """Claim a log anew that an entry has claimed and then not taken over."""
-    claimer = owned.contested_by
-    if claimer is None or await _serves(entry, claimer, owned.log):
+async def _reclaim(entry: Entry, owned: OwnedLog) -> None:
+    """Claim a log again if another entry claimed it in the store but did not take it over."""
+    claimant = owned.contested_by
+    if claimant is None or await _serves(entry, claimant, owned.log):
         return
     await take_over_log(entry, owned.log, None, requested_by_owner=True)
 
 
 def better_copies(entry: Entry, owned: OwnedLog) -> list[EntryRef] | None:
-    """Return better holders for a log, or None if those it has are as good as can be had."""
+    """Return better holders for a log, or None if no better ones are available."""
     holding = frozenset(ref.incarnation for ref in owned.copies)
     copies = wanted_copies(entry, owned.log, holding)
     if len(copies) < min(MIN_COPIES, len(owned.copies)):
-        # A record has to be in two places; better to wait for a peer than to give that up.
+        # A record needs two copies, so the log waits for another peer and keeps its holders.
         return None
     if is_spread(owned.log, owned.copies) and not is_spread(owned.log, copies):
-        # The other zones look cut off; what is kept in them must not come to depend on this zone.
+        # The other zones seem to be partitioned.  If the log moved into this zone, the copies there
+        # would come to depend on this zone.
         return None
     return None if {ref.incarnation for ref in copies} == holding else copies
 
 
-# --- taking over --------------------------------------------------------------------------------
+# --- takeover -----------------------------------------------------------------------------------
 
 
-def _look_for_orphans(entry: Entry) -> None:
+def _check_for_orphans(entry: Entry) -> None:
     for log, copy in list(entry.copies.logs.items()):
         if log in entry.taking_over or log in entry.owned:
             continue
         if copy.owner is not None and entry.is_orphan(copy):
-            entry.spawn(_rescue(entry, log, copy))
+            entry.spawn(_take_over_in_turn(entry, log, copy))
 
 
-async def _rescue(entry: Entry, log: LogId, copy: LogCopy) -> None:
-    """Take over a log that nobody looks after, later than the holders preferred for it."""
+async def _take_over_in_turn(entry: Entry, log: LogId, copy: LogCopy) -> None:
+    """Take over a log without a live owner, after a delay for holders that are ranked higher."""
     if log in entry.rescuing:
         return
     entry.rescuing.add(log)
@@ -225,34 +228,36 @@
         period_s = entry.settings.durability.takeover_period_s
         await asyncio.sleep(place * RANK_DELAY_PERIODS * period_s)
         if entry.copies.logs.get(log) is copy and entry.is_orphan(copy):
-            await _rescue_now(entry, log, copy)
+            await _take_over_orphan(entry, log, copy)
     finally:
         entry.rescuing.discard(log)
 
 
-async def _rescue_now(entry: Entry, log: LogId, copy: LogCopy) -> None:
+async def _take_over_orphan(entry: Entry, log: LogId, copy: LogCopy) -> None:
     found = await entry.directory.read(log)
     if found.is_err():
         return
-    present = found.ok_value.entry
-    if present is None and copy.registered:
-        # The store had a record and has none now: all programs ended and the log was retired.
+    stored = found.ok_value.entry
+    if stored is None and copy.registered:
+        # The store had a record of the log and has none now, so all its programs ended and the log
+        # was retired.
         entry.copies.forget(log, copy.promised)
         return
-    if present is not None and await _serves(entry, present.owner, log):
-        _forget_unless_holder(entry, present)
+    if stored is not None and await _serves(entry, stored.owner, log):
+        _forget_unless_holder(entry, stored)
         return
-    if not await _is_rescued(entry, log, copy):
-        # Others may be at it, or too few copies can be reached: look again a little later.
+    if not await _attempt_takeover(entry, log, copy):
+        # Another entry may be taking the log over, or too few copies can be reached: check again
+        # after a random delay.
         await asyncio.sleep(entry.settings.durability.suspect_after_s * random.uniform(0.5, 1.0))
 
 
-async def _is_rescued(entry: Entry, log: LogId, copy: LogCopy) -> bool:
+async def _attempt_takeover(entry: Entry, log: LogId, copy: LogCopy) -> bool:
     if entry.members.state is not EntryState.DRAINING:
         return (await take_over_log(entry, log, fallback_entry(log, copy))).is_ok()
-    # A leaving entry takes nothing over.  It may be the only one that knows of the loss: a holder
-    # that the store names need not have been sent the log yet.  One peer is asked at a time, as two
-    # would claim the log from each other.
+    # A draining entry takes no log over, but may be the only one that knows of the owner's loss: a
+    # holder named in the store may not have received the log yet.  Only one peer is asked at a
+    # time, because two would claim the log from each other.
     usable = entry.members.usable()
     holders = {ref.incarnation for ref in copy.copies}
     holding = [ref for ref in usable if ref.as_holder().incarnation in holders]
@@ -275,7 +280,7 @@
 
 
 async def _serves(entry: Entry, ref: EntryRef, log: LogId) -> bool:
-    """Ask an entry whether it owns a log, or is about to."""
+    """Ask an entry whether it owns a log or is taking it over."""
     if entry.own.answers_to(ref.incarnation) or entry.members.gone(ref):
         return False
     answer = await _ask(entry, ref, FindLog(log))
@@ -284,13 +289,13 @@
     return answer.ok_value.serving or answer.ok_value.taking_over
 
 
-def _forget_unless_holder(entry: Entry, present: LogEntry) -> None:
-    if not any(entry.own.answers_to(ref.incarnation) for ref in present.copies):
-        entry.copies.forget(present.log, present.epoch)
+def _forget_unless_holder(entry: Entry, stored: LogEntry) -> None:
+    if not any(entry.own.answers_to(ref.incarnation) for ref in stored.copies):
+        entry.copies.forget(stored.log, stored.epoch)
 
 
 def fallback_entry(log: LogId, copy: LogCopy) -> LogEntry | None:
-    """Return what a copy says of its log, for a log that the store never had a record of."""
+    """Return a log record built from a copy, or None if the store has had a record of the log."""
     if copy.owner is None or copy.registered:
         return None
     return LogEntry(FORMAT_VERSION, log, copy.epoch, copy.owner, copy.copies)
@@ -299,7 +304,20 @@
 async def take_over_log(
     entry: Entry, log: LogId, fallback: LogEntry | None, requested_by_owner: bool = False
 ) -> Outcome[OwnedLog]:
-    """Take a log over and settle what its last owner left unfinished."""
+    """Take a log over and resolve the calls that its last owner left unfinished.
+
+    Parameters
+    ----------
+    entry : Entry
+        The process.
+    log : LogId
+        The log.
+    fallback : LogEntry or None
+        Record of the log, used if the store has none.
+    requested_by_owner : bool
+        Whether the log's owner requested the takeover, so that the copies are not asked whether it
+        can be reached.
+    """
     if log in entry.taking_over:
         return not_run(ErrorCode.CONFLICT, f"log {log} is being taken over already", 1.0)
 
@@ -309,12 +327,12 @@
     def build(name: LogId, epoch: Epoch, records: list[bytes]) -> OwnedLog:
         return build_log(entry, name, epoch, records)
 
-    means = TakeoverContext(
+    context = TakeoverContext(
         entry.own, entry.directory, ask, build, entry.copies.retain_demoted, min_copies(entry)
     )
     entry.taking_over.add(log)
     try:
-        taken = await take_over(means, log, fallback, requested_by_owner)
+        taken = await take_over(context, log, fallback, requested_by_owner)
     finally:
         entry.taking_over.discard(log)
     if taken.is_err():
@@ -329,7 +347,7 @@
 
 
 async def _ask(entry: Entry, ref: EntryRef, message: PeerBody) -> Outcome[PeerBody]:
-    """Send a request to an entry; the own one answers without a connection."""
+    """Send a request to an entry; this entry answers its own requests without a connection."""
     if not entry.own.answers_to(ref.incarnation):
         link = entry.links.to(ref.peer_address, ref.incarnation)
         return await link.request(message, entry.settings.durability.suspect_after_s)
@@ -337,11 +355,11 @@
     return Err(answer.failure) if isinstance(answer, Refused) else Ok(answer)
 
 
-# --- retiring -----------------------------------------------------------------------------------
+# --- retirement ---------------------------------------------------------------------------------
 
 
 async def retire(entry: Entry, owned: OwnedLog) -> Outcome[None]:
-    """Remove a log whose programs have all ended, with all of its copies."""
+    """Remove a log whose programs have all ended, and all of its copies."""
     removed = await entry.directory.remove(owned.log, owned.store_revision)
     if removed.is_err():
         return removed
@@ -350,7 +368,7 @@
         if entry.own.answers_to(ref.incarnation):
             continue
         link = entry.links.to(ref.peer_address, ref.incarnation)
-        drop = DropCopy(owned.log, owned.epoch, owned.openings)
+        drop = DropCopy(owned.log, owned.epoch, owned.last_opening)
         entry.spawn(link.request(drop, entry.settings.durability.append_timeout_s))
     await owned.stop()
     return removed
--- a/waxwingglade/process/reconfigure.py
+++ b/waxwingglade/process/reconfigure.py
@@ -1,7 +1,7 @@
-"""Changing which entries hold a log, and registering it in the store.
+"""Changes of the entries that hold a log, and registration of a log in the store.
 
-Until the store has accepted the new holders, records need majorities of both the old and the new
-ones; so whichever of the two a later owner reads in the store, it finds every durable record.
+Until the store has accepted the new holders, a record is durable only at majorities of both the old
+and the new ones.  So a later owner finds every durable record, whichever set it reads in the store.
 """
 
 from waxwingglade.base import (
@@ -19,16 +19,17 @@
 from waxwingglade.process.owned_log import OwnedLog
 
 
-def entry_for(owned: OwnedLog, copies: list[EntryRef]) -> LogEntry:
+def log_entry_for(owned: OwnedLog, copies: list[EntryRef]) -> LogEntry:
     """Return the store's record for a log with the given copies."""
     return LogEntry(FORMAT_VERSION, owned.log, owned.epoch, owned.own, copies)
 
 
 async def register(owned: OwnedLog, directory: Directory) -> Outcome[None]:
-    """Name the log's owner and copies in the store, once; the log is served meanwhile.
+    """Write the log's owner and copies to the store, once; the log is served meanwhile.
 
-    That waits for a majority of the copies to exist: if none did when the owner was lost, nobody
-    would look for the log, and its record would stay in the store.
+    A log is not registered before a majority of its copies exists.  If the owner of a registered
+    log were lost while no copy existed, no entry would take the log over, and its record would
+    remain in the store.
     """
     if owned.store_revision:
         return Ok(None)
@@ -43,8 +44,8 @@
     """Move a log to other holders.
 
     Once a write to the store may have taken effect, both sets of holders stay in use until the
-    store is known to hold the new one: what a lost answer wrote, a later owner may read, and a
-    write on its way may still arrive after a read that does not show it.  Calling again settles it.
+    store is known to contain the new one: a later owner may read a write whose answer was lost, and
+    a delayed write may arrive after a read that does not return it.  Another call resolves this.
     """
     async with owned.change_lock:
         return await _change_copies(owned, copies, directory)
@@ -76,32 +77,32 @@
 
 
 async def _write(owned: OwnedLog, directory: Directory, copies: list[EntryRef]) -> Outcome[None]:
-    entry = entry_for(owned, copies)
+    entry = log_entry_for(owned, copies)
     written = await directory.write(entry, owned.store_revision)
     if written.is_ok():
         owned.store_revision = written.ok_value
         return Ok(None)
     if written.err_value.code is not ErrorCode.CONFLICT:
         return Err(written.err_value)
-    return await _explain_conflict(owned, directory, entry)
+    return await _resolve_conflict(owned, directory, entry)
 
 
-async def _explain_conflict(
+async def _resolve_conflict(
     owned: OwnedLog, directory: Directory, entry: LogEntry
 ) -> Outcome[None]:
-    """Find out whether an earlier write of ours took effect, or another entry took over."""
+    """Find out whether an earlier write of this owner took effect, or another entry took over."""
     found = await directory.read(owned.log, purpose=Purpose.OWNERSHIP)
     if found.is_err():
-        # Not knowing what the store holds, the caller has to keep both sets of holders.
+        # The content of the store is unknown, so the caller has to retain both sets of holders.
         return may_have_run(found.err_value.code, found.err_value.message, 1.0)
-    present = found.ok_value.entry
-    if present == entry:
+    stored = found.ok_value.entry
+    if stored == entry:
         owned.store_revision = found.ok_value.revision
         return Ok(None)
-    if present is not None and present.epoch > owned.epoch:
-        # Another entry claims the log.  The copies decide whether it succeeds; until they refuse
-        # this owner, it may serve.
-        owned.contested_by = present.owner
-    elif present is not None:
+    if stored is not None and stored.epoch > owned.epoch:
+        # Another entry claims the log.  The copies decide whether it succeeds; this owner may serve
+        # the log until they refuse it.
+        owned.contested_by = stored.owner
+    elif stored is not None:
         owned.store_revision = found.ok_value.revision
     return not_run(ErrorCode.CONFLICT, f"the store's record of {owned.log} had changed", 1.0)
--- a/waxwingglade/process/takeover.py
+++ b/waxwingglade/process/takeover.py
@@ -1,14 +1,14 @@
-"""Taking over a log whose owner is gone or leaves.
+"""Takeover of a log whose owner is unreachable or leaving.
 
-1. Ask the copies whether they, too, have lost sight of the owner: an entry that is itself cut off
-   must not disturb an owner that serves well.  Nothing changes yet.
-2. Raise the epoch in the store by compare-and-swap: one entry may go on.
-3. Seal so many copies that the owner before can make nothing more durable.  Of what they hold, the
-   longest log of the highest epoch contains every durable record.
-4. Copy it to the entries that are to hold it from now on, with a record of the takeover.
-5. Name these entries in the store by compare-and-swap; only then is the log served.
+1. Ask the copies whether the owner is unreachable for them, too: an entry that is itself cut off by
+   a partition must not disrupt a healthy owner.  This step changes nothing.
+2. Raise the epoch in the store by compare-and-swap, so that only one entry can continue.
+3. Seal enough copies that the previous owner can make no further record durable.  Among the sealed
+   copies, the longest log of the highest epoch contains every durable record.
+4. Copy that log to its new holders, with a record of the takeover.
+5. Write the new holders to the store by compare-and-swap; only then is the log served.
 
-If a step fails nothing is served, and the next attempt starts over with a higher epoch.
+If a step fails, the log is not served, and the next attempt starts over with a higher epoch.
 """
 
 import asyncio
@@ -35,26 +35,26 @@
 
 Ask = Callable[[EntryRef, PeerBody], Awaitable[Outcome[PeerBody]]]
 Build = Callable[[LogId, Epoch, list[bytes]], OwnedLog]
-A = TypeVar("A", LogFound, SealedCopy)
+AnswerT = TypeVar("AnswerT", LogFound, SealedCopy)
 
 
 class TakeoverContext(msgspec.Struct):
-    """What a takeover needs of the process.
+    """Parts of the process that a takeover uses.
 
     Parameters
     ----------
     own : EntryRef
         This process.
     directory : Directory
-        The store's records.
+        The log records in the store.
     ask : callable
         Sends a request to an entry, this one included, and returns its answer.
     build : callable
-        Makes the owned log with its new copies, started, from epoch and records.
+        Returns a started owned log with new copies, given its name, epoch and records.
     retain_as_copy : callable
-        Keeps what was built as a mere copy, when the takeover failed after it was copied.
+        Retains a built log as a copy if the takeover failed after the log may have been replicated.
     min_copies : int
-        Copies without which a log is not taken over.
+        Minimum number of copies of a log that is taken over.
     """
 
     own: EntryRef
@@ -66,112 +66,122 @@
 
 
 def copies_to_seal(copies: int) -> int:
-    """Return how many of `copies` copies hold every durable record between them.
+    """Return how many of `copies` copies together hold every durable record.
 
-    A record is durable at a majority, so any set that leaves no majority outside it will do.
+    A durable record is in a majority of the copies, so a set is large enough if the copies outside
+    it are no majority.
     """
     majority = copies // 2 + 1
     return copies - majority + 1
 
 
 async def take_over(
-    means: TakeoverContext, log: LogId, fallback: LogEntry | None, requested_by_owner: bool = False
+    context: TakeoverContext,
+    log: LogId,
+    fallback: LogEntry | None,
+    requested_by_owner: bool = False,
 ) -> Outcome[OwnedLog]:
     """Become the owner of a log.
 
     Parameters
     ----------
-    means : TakeoverContext
-        What is needed of the process.
+    context : TakeoverContext
+        Parts of the process that the takeover uses.
     log : LogId
         The log.
     fallback : LogEntry or None
-        What the copy here says of the log, used where the store has no record of it.
+        Record of the log built from the local copy, used if the store has none.
     requested_by_owner : bool
-        Whether the owner itself asked for it, so that nobody else needs to be asked.
+        Whether the log's owner requested the takeover, so that the copies are not asked whether it
+        can be reached.
 
     Returns
     -------
     Outcome[OwnedLog]
-        The log, ready to be served.
+        The log, ready to serve requests.
     """
-    found = await means.directory.read(log, purpose=Purpose.OWNERSHIP)
+    found = await context.directory.read(log, purpose=Purpose.OWNERSHIP)
     if found.is_err():
         return found
-    before = found.ok_value.entry or fallback
-    if before is None:
+    previous = found.ok_value.entry or fallback
+    if previous is None:
         return not_run(ErrorCode.NOT_FOUND, f"log {log} is not known")
     if not requested_by_owner:
-        agreed = await _owner_is_gone(means, before)
+        agreed = await _check_owner_unreachable(context, previous)
         if agreed.is_err():
             return agreed
-    claimed = await _claim(means, before, found.ok_value.revision)
+    claimed = await _claim(context, previous, found.ok_value.revision)
     if claimed.is_err():
         return claimed
-    return await _rebuild(means, claimed.ok_value)
+    return await _rebuild(context, claimed.ok_value)
 
 
-async def _rebuild(means: TakeoverContext, claimed: Versioned) -> Outcome[OwnedLog]:
-    """Make the log anew from its copies, under the epoch that was claimed."""
+async def _rebuild(context: TakeoverContext, claimed: Versioned) -> Outcome[OwnedLog]:
+    """Rebuild the log from its copies at the claimed epoch."""
     entry = claimed.entry
     assert entry is not None
-    sealed = await _seal(means, entry)
+    sealed = await _seal(context, entry)
     if sealed.is_err():
         return sealed
-    owned = means.build(entry.log, entry.epoch, list(sealed.ok_value.records))
-    settled = await _settle(means, owned, entry, claimed.revision)
-    if settled.is_err():
-        # The store may name this entry as a holder already, if only the answer was lost.
-        means.retain_as_copy(owned)
+    owned = context.build(entry.log, entry.epoch, list(sealed.ok_value.records))
+    registered = await _register(context, owned, entry, claimed.revision)
+    if registered.is_err():
+        # If only the store's answer was lost, the store already names this entry as a holder.
+        context.retain_as_copy(owned)
         await owned.stop()
-        return settled
-    _drop_others(means, owned, entry)
+        return registered
+    _drop_unneeded_copies(context, owned, entry)
     return Ok(owned)
 
 
-async def _owner_is_gone(means: TakeoverContext, before: LogEntry) -> Outcome[None]:
-    """Check that enough copies can be reached, and that none of them still sees the owner."""
-    needed = copies_to_seal(len(before.copies))
-    answers = await _ask_copies(means, before, FindLog(before.log), LogFound, needed)
+async def _check_owner_unreachable(context: TakeoverContext, previous: LogEntry) -> Outcome[None]:
+    """Check that enough copies can be reached, and that none of them still reaches the owner."""
+    needed = copies_to_seal(len(previous.copies))
+    answers = await _ask_copies(context, previous, FindLog(previous.log), LogFound, needed)
     if answers.is_err():
         return answers
     for answer in answers.ok_value:
-        if answer.owner is not None and means.own.answers_to(answer.owner.incarnation):
-            # Left by an attempt of this entry that failed half-way; it is no owner to be spared.
+        if answer.owner is not None and context.own.answers_to(answer.owner.incarnation):
+            # This entry is named because an earlier takeover by it failed half-way; it is no owner
+            # that a new attempt would disrupt.
             continue
         if answer.serving or (answer.owner is not None and not answer.owner_gone):
-            return not_run(ErrorCode.CONFLICT, f"log {before.log} is looked after", RETRY_AFTER_S)
+            return not_run(ErrorCode.CONFLICT, f"log {previous.log} is looked after", RETRY_AFTER_S)
     return Ok(None)
 
 
-async def _claim(means: TakeoverContext, before: LogEntry, revision: int) -> Outcome[Versioned]:
+async def _claim(context: TakeoverContext, previous: LogEntry, revision: int) -> Outcome[Versioned]:
     entry = msgspec.structs.replace(
-        before, format=FORMAT_VERSION, epoch=Epoch(before.epoch + 1), owner=means.own
+        previous, format=FORMAT_VERSION, epoch=Epoch(previous.epoch + 1), owner=context.own
     )
-    written = await means.directory.write(entry, revision)
+    written = await context.directory.write(entry, revision)
     return written.map(lambda new_revision: Versioned(entry, new_revision))
 
 
-async def _seal(means: TakeoverContext, entry: LogEntry) -> Outcome[SealedCopy]:
-    """Seal enough copies and return the one that holds most."""
+async def _seal(context: TakeoverContext, entry: LogEntry) -> Outcome[SealedCopy]:
+    """Seal enough copies and return the longest one of the highest epoch."""
     needed = copies_to_seal(len(entry.copies))
     message = SealCopy(entry.log, entry.epoch)
-    sealed = await _ask_copies(means, entry, message, SealedCopy, needed)
+    sealed = await _ask_copies(context, entry, message, SealedCopy, needed)
     return sealed.map(
         lambda copies: max(copies, key=lambda copy: (copy.last_epoch, len(copy.records)))
     )
 
 
 async def _ask_copies(
-    means: TakeoverContext, entry: LogEntry, message: PeerBody, wanted: type[A], needed: int
-) -> Outcome[list[A]]:
-    """Ask every copy and return the answers of the wanted type once enough have come."""
-    waiting = {asyncio.create_task(means.ask(ref, message)) for ref in entry.copies}
-    answers: list[A] = []
+    context: TakeoverContext,
+    entry: LogEntry,
+    message: PeerBody,
+    expected: type[AnswerT],
+    needed: int,
+) -> Outcome[list[AnswerT]]:
+    """Ask every copy and return the answers of the expected type once enough have arrived."""
+    waiting = {asyncio.create_task(context.ask(ref, message)) for ref in entry.copies}
+    answers: list[AnswerT] = []
     while waiting and len(answers) < needed:
         done, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
         results = [task.result() for task in done]
-        answers += [r.ok_value for r in results if r.is_ok() and isinstance(r.ok_value, wanted)]
+        answers += [r.ok_value for r in results if r.is_ok() and isinstance(r.ok_value, expected)]
     for task in waiting:
         task.cancel()
     if len(answers) < needed:
@@ -180,28 +190,28 @@
     return Ok(answers)
 
 
-async def _settle(
-    means: TakeoverContext, owned: OwnedLog, entry: LogEntry, revision: int
+async def _register(
+    context: TakeoverContext, owned: OwnedLog, entry: LogEntry, revision: int
 ) -> Outcome[None]:
     own = owned.own
-    if len(owned.copies) < means.min_copies:
+    if len(owned.copies) < context.min_copies:
         text = f"only {len(owned.copies)} entries could hold log {owned.log}"
         return not_run(ErrorCode.UNAVAILABLE, text, RETRY_AFTER_S)
     appended = await owned.append(None, TakenOver(own.entry, own.incarnation))
     if appended.is_err():
         return Err(appended.err_value)
-    settled = msgspec.structs.replace(entry, copies=owned.copies)
-    registered = await means.directory.write(settled, revision)
+    updated = msgspec.structs.replace(entry, copies=owned.copies)
+    registered = await context.directory.write(updated, revision)
     if registered.is_err():
         return registered
     owned.store_revision = registered.ok_value
     return Ok(None)
 
 
-def _drop_others(means: TakeoverContext, owned: OwnedLog, entry: LogEntry) -> None:
-    """Tell the copies that are no longer needed; one that does not hear it finds out later."""
-    kept = {ref.incarnation for ref in owned.copies}
+def _drop_unneeded_copies(context: TakeoverContext, owned: OwnedLog, entry: LogEntry) -> None:
+    """Notify the holders that are no longer needed; one that misses it asks the store later."""
+    retained = {ref.incarnation for ref in owned.copies}
     message = DropCopy(owned.log, owned.epoch, 0)
-    unneeded = [ref for ref in entry.copies if ref.incarnation not in kept]
+    unneeded = [ref for ref in entry.copies if ref.incarnation not in retained]
     for ref in unneeded:
-        owned.track_task(asyncio.create_task(means.ask(ref, message)))
+        owned.track_task(asyncio.create_task(context.ask(ref, message)))
--- a/waxwingglade/process/unfinished.py
+++ b/waxwingglade/process/unfinished.py
@@ -1,8 +1,9 @@
-"""Calls that the last owner of a log left open.
+"""Calls that the last owner of a log left unfinished.
 
-Each gets an outcome that is true.  A call that may have run is never sent again by itself: a tool
-that answers by key is asked what became of it; otherwise a caller's repeat runs the call again
-if it is idempotent, and gets MAY_HAVE_RUN if it is not.  The reservation counts as spent.
+Each call gets a truthful outcome.  A call that may have run is never sent again automatically.  A
+tool that answers by key is asked for the outcome.  Otherwise, a repeat by the caller runs the call
+again if it is idempotent, and is answered with MAY_HAVE_RUN if it is not.  The reservation counts
+as spent.
 """
 
 from waxwingglade.base import ErrorCode, Failure, Ok, Outcome, Verdict, may_have_run
@@ -18,53 +19,53 @@
 
 
 def resolve_unfinished(entry: Entry, owned: OwnedLog) -> None:
-    """Start to settle every open call of a log that was just taken over.
+    """Start to resolve every unfinished call of a log that was just taken over.
 
-    Callers who repeat such a call meanwhile wait for the outcome; later calls of the program wait
-    for their turn.
+    Meanwhile, callers who repeat such a call wait for its outcome, and later calls of the program
+    wait until it has ended.
     """
     for state in owned.programs.values():
-        for known in state.unfinished():
+        for call_state in state.unfinished():
             running = entry.running_program(state)
-            events = CallEvents(known.attempt, known.call)
-            running.calls[known.call.call] = events
+            events = CallEvents(call_state.attempt, call_state.call)
+            running.calls[call_state.call.call] = events
             running.order.busy = True
-            entry.spawn(_resolve(entry, owned, state, known, events))
+            entry.spawn(_resolve(entry, owned, state, call_state, events))
 
 
 async def _resolve(
-    entry: Entry, owned: OwnedLog, state: ProgramState, known: CallState, events: CallEvents
+    entry: Entry, owned: OwnedLog, state: ProgramState, call_state: CallState, events: CallEvents
 ) -> None:
     running = entry.running_program(state)
     outcome: Done | Failure = Failure(Verdict.MAY_HAVE_RUN, ErrorCode.OWNER_LOST, LOST, 1.0)
     try:
-        asked = await _ask(entry, state, known)
-        if asked.is_ok():
-            outcome = asked.ok_value
-        execution = new_execution(entry, owned, state, known.call, known.attempt)
-        outcome = await finish(execution, outcome, known.reserved)
+        answer = await _ask_tool(entry, state, call_state)
+        if answer.is_ok():
+            outcome = answer.ok_value
+        execution = new_execution(entry, owned, state, call_state.call, call_state.attempt)
+        outcome = await finish(execution, outcome, call_state.reserved)
     finally:
-        running.calls.pop(known.call.call, None)
+        running.calls.pop(call_state.call.call, None)
         events.finish(outcome)
         await running.order.release()
 
 
-async def _ask(entry: Entry, state: ProgramState, known: CallState) -> Outcome[Done]:
-    """Ask the tool what became of a call; only a definite answer counts.
+async def _ask_tool(entry: Entry, state: ProgramState, call_state: CallState) -> Outcome[Done]:
+    """Ask the tool for the outcome of a call; only an outcome that the tool knows counts.
 
-    That the tool knows nothing of the key proves nothing: the last owner may only be paused, and
-    send the call yet.
+    A tool that does not know the key proves nothing: the last owner may only be paused and may
+    still send the call.
     """
-    if not isinstance(known.call, ToolCall) or known.idempotent:
+    if not isinstance(call_state.call, ToolCall) or call_state.idempotent:
         return may_have_run(ErrorCode.OWNER_LOST, LOST)
-    tool = find_tool(entry, known.call)
+    tool = find_tool(entry, call_state.call)
     if tool is None or not tool.answers_by_key:
         return may_have_run(ErrorCode.OWNER_LOST, LOST)
-    for name in known.targets:
+    for name in call_state.targets:
         target = entry.targets.get(name)
         if target is None:
             continue
-        asked = await ask_outcome(entry.http, target, tool, idempotency_key(state, known.call))
-        if asked.is_ok() and asked.ok_value is not None:
-            return Ok(Done(result=asked.ok_value.result))
+        answer = await ask_outcome(entry.http, target, tool, idempotency_key(state, call_state.call))
+        if answer.is_ok() and answer.ok_value is not None:
+            return Ok(Done(result=answer.ok_value.result))
     return may_have_run(ErrorCode.OWNER_LOST, LOST)
