--- a/waxwingglade/process/disk.py
+++ b/waxwingglade/process/disk.py
@@ -1,21 +1,23 @@
 """Copies of logs on the disk of an entry that has a data folder.
 
-Changes are queued by plain calls on the event loop and made durable by `Disk.sync`, which writes
-whatever was queued meanwhile as one group in a worker thread.
+Synchronous calls on the event loop queue changes.  `Disk.sync` makes them durable: a worker thread
+writes all changes that are queued by then as one group.
 
 Notes
 -----
-What a caller can rely on:
-
-- When `sync` has returned, every change queued before it was called is durable.  Only then may a
-  peer be told of it.
-- Changes of one log become durable in the order in which they were queued.  After a crash a log
-  is as it was after one of them, at least the last that `sync` has covered.
-- Changes of different logs are in no order to each other before `sync` has returned.
-- `open_epoch` replaces a copy in one step: there is the old content or the new one.  A large copy
-  is written beside the groups, so that other logs need not wait for it if they are synced by name.
-- After a `DiskError` nothing more is written, and nothing may be acknowledged: a flush that failed
-  cannot be repeated, as the system may already have thrown the data away.
+Guarantees to callers:
+
+- When `sync` has returned, every change queued before the call is durable.  Only then may it be
+  acknowledged to a peer.
+- Changes of one log become durable in the order in which they were queued.  After a crash, a log
+  is in the state after one of its changes, and not before the last one that a returned `sync`
+  covers.
+- Before `sync` has returned, changes of different logs may become durable in any order.
+- `open_epoch` replaces a copy atomically: a crash leaves the old content or the new one.  A large
+  copy is written concurrently with the groups, so other logs do not wait for it if they are synced
+  by name.
+- After a `DiskError` nothing more is written, and nothing may be acknowledged: a failed flush
+  cannot be repeated, as the system may already have discarded the data.
 """
 
 import fcntl
@@ -40,12 +42,12 @@
 from waxwingglade.process.disk_load import LoadedLogs, change_to_open, open_files
 from waxwingglade.process.log_copy import LogCopy
 
-LONGEST_NAME = 200
-"""Bytes that the name of a log's file may have; file systems allow 255, suffixes included."""
+MAX_NAME_BYTES = 200
+"""Maximum length of the name of a log file in bytes; file systems allow 255 with suffixes."""
 
 
 class QueuedLogState(msgspec.Struct):
-    """What the file of a log will say once all queued changes are durable."""
+    """State of a log's file once all queued changes are durable."""
 
     length: int
     copies: list[EntryRef]
@@ -55,7 +57,7 @@
 
 
 def open_disk(folder: Path, operations: FileOperations = REAL_OPERATIONS) -> "Disk":
-    """Open a data folder, and make it if it is not there.
+    """Open a data folder, and create it if it does not exist.
 
     Parameters
     ----------
@@ -74,11 +76,11 @@
     SettingsError
         The folder cannot be used, or another process uses it.
     FormatError
-        The folder is of a newer format version; it was left as it is.
+        The folder has a newer format version; it was not changed.
     DiskError
-        Reading it or bringing it in order failed.
+        Reading or repairing the folder failed.
     """
-    lock = _lock(folder)
+    lock = _lock_folder(folder)
     try:
         return Disk(*open_files(folder, operations), lock)
     except OSError as error:
@@ -89,8 +91,8 @@
         raise
 
 
-def _lock(folder: Path) -> int:
-    """Return the descriptor that holds the lock; the system gives it back if the process dies."""
+def _lock_folder(folder: Path) -> int:
+    """Return the descriptor that holds the lock; the system releases it if the process dies."""
     try:
         folder.mkdir(FOLDER_MODE, parents=True, exist_ok=True)
         descriptor = os.open(folder / LOCK_NAME, os.O_RDWR | os.O_CREAT, FILE_MODE)
@@ -105,16 +107,16 @@
 
 
 class Disk:
-    """An open data folder; see the module for what a caller can rely on.
+    """An open data folder; the documentation of the module lists its guarantees.
 
     Attributes
     ----------
     incarnation : Incarnation
-        Member of the fleet that the folder stands for, the same at every start.  It is a new one
-        after the folder could not vouch for its content.
+        Member of the fleet that the folder belongs to, the same at every start.  It is a new one if
+        the content of the folder could not be relied on.
     starts : int
-        How often this incarnation was started.  Two processes that name the same number, or one
-        that names a lower number than was seen before, show a folder that was copied or restored.
+        How often this incarnation was started.  If two processes report the same number, or one
+        reports a lower number than an earlier one, the folder was copied or restored.
     """
 
     def __init__(self, files: DiskFiles, starts: int, loaded: LoadedLogs, lock: int) -> None:
@@ -124,35 +126,35 @@
         self.commits = GroupCommits(files)
         self.lock = lock
         self.loaded = loaded
-        self.queued_states = {log: _held(copy) for log, copy in loaded.copies.items()}
+        self.queued_states = {log: _queued_state(copy) for log, copy in loaded.copies.items()}
         for log, promised in loaded.unknown.items():
             self.queued_states[log] = QueuedLogState(0, [], False, promised, whole=False)
 
     @property
     def failure(self) -> DiskError | None:
-        """Why nothing more is written."""
+        """Reason why nothing more is written, if the disk failed or was closed."""
         return self.commits.failure
 
     def load(self) -> LoadedLogs:
-        """Hand over what the folder held when it was opened; a second call finds nothing."""
+        """Return what the folder contained when it was opened; a second call returns nothing."""
         loaded, self.loaded = self.loaded, LoadedLogs()
         return loaded
 
     # --- changes ------------------------------------------------------------------------------
 
     def open_epoch(self, log: LogId, copy: LogCopy) -> None:
-        """Replace a log's copy as a whole, or begin one.
+        """Replace a log's whole copy, or create one.
 
-        The content is taken as it is now; later changes of `copy` have no effect.  A promise made
-        before stays in force.  An unknown log is known from then on.
+        The present content of `copy` is stored; later changes of it have no effect.  An earlier,
+        higher promise remains in force.  An unknown log becomes known.
         """
-        self._check(log)
-        before = self.queued_states.get(log)
-        promised = max(copy.promised, before.promised) if before else copy.promised
-        self.queued_states[log] = _held(copy)
+        self._check_usable(log)
+        previous = self.queued_states.get(log)
+        promised = max(copy.promised, previous.promised) if previous else copy.promised
+        self.queued_states[log] = _queued_state(copy)
         self.queued_states[log].promised = promised
-        promising = msgspec.structs.replace(copy, promised=promised)
-        self.commits.replace(log, change_to_open(log, promising))
+        stored = msgspec.structs.replace(copy, promised=promised)
+        self.commits.replace(log, change_to_open(log, stored))
 
     def append(
         self,
@@ -162,80 +164,81 @@
         copies: list[EntryRef],
         registered: bool,
     ) -> None:
-        """Add records to a log, from position `first` on, and note what else its owner said.
+        """Add records to a log, from position `first` on, and store its holders and registration.
 
         Raises
         ------
         ValueError
             The log was not opened, is unknown, or `first` is not its length.
         """
-        self._check(log)
-        held = self.queued_states.get(log)
-        if held is None or not held.whole:
+        self._check_usable(log)
+        state = self.queued_states.get(log)
+        if state is None or not state.whole:
             raise ValueError(f"log {log} has to be opened before records are added")
-        if first != held.length:
-            raise ValueError(f"log {log} has {held.length} records, not {first}")
-        moved = copies != held.copies
-        if not records and not moved and registered == held.registered:
+        if first != state.length:
+            raise ValueError(f"log {log} has {state.length} records, not {first}")
+        holders_changed = copies != state.copies
+        if not records and not holders_changed and registered == state.registered:
             return
-        held.length += len(records)
-        held.copies = list(copies)
-        held.registered = registered
-        appended = Appended(first, list(records), registered, held.copies if moved else None)
+        state.length += len(records)
+        state.copies = list(copies)
+        state.registered = registered
+        appended = Appended(
+            first, list(records), registered, state.copies if holders_changed else None
+        )
         self.commits.add(log, appended)
 
     def promise(self, log: LogId, epoch: Epoch) -> None:
         """Accept no epoch of a log below `epoch` from now on.
 
-        Also where there is no copy, which makes an empty one, and where the log is unknown, which
-        it stays.
+        If there is no copy, an empty one is created.  An unknown log remains unknown.
         """
-        self._check(log)
-        held = self.queued_states.get(log)
-        if held is None:
+        self._check_usable(log)
+        state = self.queued_states.get(log)
+        if state is None:
             self.open_epoch(log, LogCopy(epoch))
             return
-        if epoch <= held.promised:
+        if epoch <= state.promised:
             return
-        held.promised = epoch
+        state.promised = epoch
         self.commits.add(log, Promised(epoch))
 
     def drop(self, log: LogId, epoch: Epoch) -> None:
-        """Remove a log's copy, and remember the epoch that dropped it."""
-        self._check(log)
+        """Remove a log's copy, and store the epoch that dropped it."""
+        self._check_usable(log)
         self.queued_states.pop(log, None)
         self.commits.replace(log, LogChange(dropped=epoch))
 
-    def _check(self, log: LogId) -> None:
+    def _check_usable(self, log: LogId) -> None:
         self.commits.raise_failure()
-        if len(log_path(self.folder, log).name) > LONGEST_NAME:
-            raise ValueError(f"log name {log[:LONGEST_NAME]} is too long for a file")
+        if len(log_path(self.folder, log).name) > MAX_NAME_BYTES:
+            raise ValueError(f"log name {log[:MAX_NAME_BYTES]} is too long for a file")
 
     # --- durability ---------------------------------------------------------------------------
 
     async def sync(self, log: LogId | None = None) -> None:
         """Return once every change queued so far is durable.
 
-        Calls of one turn of the event loop share a group commit, as do all that are made while
-        another group is written.  A caller that is cancelled does not stop the commit.
+        Calls in the same iteration of the event loop share a group commit, as do all calls made
+        while another group is written.  Cancelling a caller does not stop the commit.
 
         Parameters
         ----------
         log : LogId or None
-            The log that matters to the caller, who then does not wait for large copies of others.
+            The log to wait for, without large copies of other logs; None waits for all logs.
 
         Raises
         ------
         DiskError
-            The changes may be durable or not; nothing may be acknowledged any more.
+            The changes may or may not be durable; nothing may be acknowledged any more.
         """
         await self.commits.sync(log)
 
     async def close(self) -> None:
-        """Make what is queued durable, if the disk has not failed, and unlock the folder."""
+        """Make queued changes durable, unless the disk has failed, and unlock the folder."""
         await self.commits.close()
         os.close(self.lock)
 
 
-def _held(copy: LogCopy) -> QueuedLogState:
+def _queued_state(copy: LogCopy) -> QueuedLogState:
     return QueuedLogState(len(copy.records), list(copy.copies), copy.registered, copy.promised)
--- a/waxwingglade/process/disk_commit.py
+++ b/waxwingglade/process/disk_commit.py
@@ -1,7 +1,7 @@
-"""Group commits: what is queued on the event loop is written by a worker thread.
+"""Group commits: a worker thread writes the changes that are queued on the event loop.
 
-While one group is written, the next one gathers.  A new copy that is large is written beside the
-groups, to a file of its own, and only takes its place in one of them.
+While one group is written, the next one is collected.  A large new copy is written concurrently
+with the groups, to a file of its own; only the rename of that file is part of a group.
 """
 
 import asyncio
@@ -17,11 +17,11 @@
 from waxwingglade.process.disk_format import Appended, Promised
 
 LARGE_BYTES = 1 << 20
-"""Size of records from which on a new copy is written beside the groups."""
+"""Total size of records from which on a new copy is written concurrently with the groups."""
 
 
 class DiskError(WaxwinggladeError):
-    """The disk failed; what was not yet durable may be lost, and nothing more is written."""
+    """The disk failed; changes that were not durable may be lost, and nothing more is written."""
 
 
 class StagedLog(msgspec.Struct):
@@ -32,9 +32,9 @@
     change : LogChange
         The copy.
     done : asyncio.Future
-        Ends once the file waits for the next group, or is not wanted any more.
+        Done once the file is queued for the next group, or is no longer needed.
     frames : list
-        What was added to the log meanwhile.
+        Frames added to the log meanwhile.
     """
 
     change: LogChange
@@ -43,12 +43,12 @@
 
 
 class GroupCommits:
-    """The queue of changes, and the tasks that empty it.
+    """The queue of changes, and the tasks that write them.
 
     Parameters
     ----------
     files : DiskFiles
-        The folder; nothing else may write to it.
+        Files of the folder; nothing else may write to them.
     """
 
     def __init__(self, files: DiskFiles) -> None:
@@ -59,7 +59,7 @@
         self.staging: set[asyncio.Task] = set()
         self.next_group: asyncio.Future[DiskError | None] | None = None
         self.running_group: asyncio.Future[DiskError | None] | None = None
-        self.flusher: asyncio.Task | None = None
+        self.flush_task: asyncio.Task | None = None
         self.worker = ThreadPoolExecutor(1, thread_name_prefix="disk")
         self.stager = ThreadPoolExecutor(1, thread_name_prefix="disk-stager")
 
@@ -71,14 +71,14 @@
     # --- queue --------------------------------------------------------------------------------
 
     def replace(self, log: LogId, change: LogChange) -> None:
-        """Queue a change that makes all queued for the log before it pointless."""
+        """Queue a change that supersedes all changes queued for the log before."""
         self._unstage(log)
         change.generation = next(self.files.generations)
         size = sum(len(record) for frame in change.frames for record in frame.records)
         if change.opened is None or size < LARGE_BYTES:
             self.changes[log] = change
             return
-        # What is queued for the log before stays so: its group may be waited for.
+        # Earlier changes of the log stay queued, because a caller may wait for their group.
         done = asyncio.get_running_loop().create_future()
         staged = StagedLog(change, done)
         self.staged[log] = staged
@@ -95,7 +95,7 @@
     # --- large copies -------------------------------------------------------------------------
 
     async def _stage(self, log: LogId, staged: StagedLog) -> None:
-        """Write a large copy to a file, and queue it to take the place of the log's."""
+        """Write a large copy to a file, and queue that file to replace the log's file."""
         loop = asyncio.get_running_loop()
         try:
             prepared = await loop.run_in_executor(
@@ -120,7 +120,7 @@
     async def sync(self, log: LogId | None) -> None:
         """Return once every change queued so far is durable; see `Disk.sync`."""
         for name in list(self.staged) if log is None else [log]:
-            # Where a copy was replaced while it was written, the one that replaced it counts.
+            # A copy that was replaced while it was written is superseded by its replacement.
             while name in self.staged:
                 await asyncio.shield(self.staged[name].done)
         self.raise_failure()
@@ -134,17 +134,18 @@
     def _group_of_queued(self) -> asyncio.Future[DiskError | None]:
         if self.next_group is None:
             self.next_group = asyncio.get_running_loop().create_future()
-        if self.flusher is None:
-            # A task begins after this turn of the event loop, so what the turn adds is included.
-            self.flusher = start_task(self._flush())
+        if self.flush_task is None:
+            # The task starts after this iteration of the event loop, so the group includes all
+            # changes that are queued in the iteration.
+            self.flush_task = start_task(self._flush_groups())
         return self.next_group
 
-    async def _flush(self) -> None:
+    async def _flush_groups(self) -> None:
         try:
             while self.next_group is not None:
                 await self._commit_group(self.next_group)
         finally:
-            self.flusher = None
+            self.flush_task = None
 
     async def _commit_group(self, group: asyncio.Future[DiskError | None]) -> None:
         changes, self.changes = self.changes, {}
@@ -159,12 +160,12 @@
             self.running_group = None
             if not group.done():
                 if self.failure is None:
-                    # Cancelled: the commit goes on, and nobody learns how it ends.
+                    # Cancelled: the commit continues, and its outcome is not received.
                     self._fail(DiskError("a commit was cancelled"))
                 group.set_result(self.failure)
 
     def _fail(self, error: Exception) -> None:
-        """Write nothing more; any error counts, as after it the files are not as noted here."""
+        """Write nothing more: after any error the state of the files is unknown."""
         if self.failure is None:
             logger.opt(exception=error).error("the disk failed; this entry holds no copies now")
         self._end(DiskError(f"{self.files.folder}: {error}"))
@@ -179,7 +180,7 @@
             self.next_group = None
 
     async def close(self) -> None:
-        """Make what is queued durable, if the disk has not failed, and end the threads."""
+        """Make queued changes durable, unless the disk has failed, and end the threads."""
         with contextlib.suppress(DiskError):
             await self.sync(None)
         self._end(DiskError(f"{self.files.folder}: closed"))
--- a/waxwingglade/process/disk_files.py
+++ b/waxwingglade/process/disk_files.py
@@ -1,16 +1,16 @@
-"""The files of a data folder, as one worker thread writes them.
+"""The files of a data folder, and the group commits that write them.
 
 ======================  ========================================================================
 ``lock``                locked by the process that uses the folder
-``identity``            member of the fleet that the folder stands for
-``index``               how much of each log is durable, its promise, and what was dropped
+``identity``            member of the fleet that the folder belongs to
+``index``               durable length and promise of each log, and the dropped logs
 ``logs/*.log``          one copy of a log each
-``logs/*.log.corrupt``  a copy that was damaged, kept for people to look at
-``set-aside/``          a whole content that could not be relied on, kept for people to look at
+``logs/*.log.corrupt``  a damaged copy, retained for inspection
+``set-aside/``          the content of a folder that could not be relied on, retained for inspection
 ======================  ========================================================================
 
-A group commit first makes the logs durable and then the index.  So the index never names bytes
-that are not durable, and whatever was acknowledged is named in the index.
+A group commit first makes the logs durable and then the index.  So the index never refers to bytes
+that are not durable, and it covers everything that was acknowledged.
 """
 
 import errno
@@ -47,16 +47,16 @@
 CORRUPT_SUFFIX = ".corrupt"
 TEMPORARY_SUFFIX = ".tmp"
 INDEX_LIMIT_BYTES = 4 << 20
-"""Size from which on the index is written anew."""
+"""Size from which on the index is rewritten."""
 
 WRITERS = 4
-"""Logs of a group that are written at the same time, so that the disk can merge their flushes."""
+"""Logs of a group that are written concurrently, so that the disk can merge their flushes."""
 
 FLUSH_BYTES = 1 << 20
 """Bytes after which a file is flushed while it is written.
 
-A file system may flush everything that waits when one file is flushed, so a large file that is
-flushed only at its end would hold up all others.
+A file system may flush all pending data when one file is flushed, so a large file that is flushed
+only at its end would delay all others.
 """
 
 STARTS_SHIFT = 32
@@ -68,17 +68,17 @@
 
 
 class FileOperations(msgspec.Struct, frozen=True):
-    """Everything that changes a data folder, as functions so that tests can pass their own.
+    """All operations that change a data folder, as functions that tests can replace.
 
     Parameters
     ----------
     write : callable
         Writes parts to a file from an offset on, and flushes the file.  The offset must be the end
-        of the file; 0 begins it afresh.
+        of the file; 0 truncates or creates the file.
     rename : callable
-        Moves a file or folder over another name, in one step.
+        Atomically renames a file or folder, replacing a file of the new name.
     remove : callable
-        Removes a file; one that is not there is no error.
+        Removes a file; a missing file is no error.
     flush_folder : callable
         Makes the names in a folder durable.
     """
@@ -90,7 +90,7 @@
 
 
 def write_and_flush(path: Path, offset: int, parts: Iterable[bytes]) -> None:
-    """Write to the end of a file and return once that is durable."""
+    """Write to the end of a file and return once the data are durable."""
     flags = os.O_WRONLY if offset else os.O_WRONLY | os.O_CREAT | os.O_TRUNC
     descriptor = os.open(path, flags, FILE_MODE)
     try:
@@ -111,15 +111,15 @@
 
 
 def _write_all(descriptor: int, data: bytes, offset: int) -> None:
-    left = memoryview(data)
-    while left:
-        written = os.pwrite(descriptor, left, offset)
-        left = left[written:]
+    remaining = memoryview(data)
+    while remaining:
+        written = os.pwrite(descriptor, remaining, offset)
+        remaining = remaining[written:]
         offset += written
 
 
 def remove_file(path: Path) -> None:
-    """Remove a file, if it is there."""
+    """Remove a file if it exists."""
     path.unlink(missing_ok=True)
 
 
@@ -136,10 +136,10 @@
 
 
 def replace_file(operations: FileOperations, path: Path, parts: Iterable[bytes]) -> None:
-    """Write a file under another name and move it over `path`.
+    """Write a file under another name and rename it to `path`.
 
-    There is the old content or the new one at every moment.  The new one is durable; that it is
-    the one found under the name is so only after `flush_folder`.
+    At every moment `path` has the old content or the new one.  The new content is durable, but the
+    rename is durable only after `flush_folder`.
     """
     temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     operations.write(temporary, 0, parts)
@@ -150,12 +150,12 @@
 
 
 def log_path(folder: Path, log: LogId) -> Path:
-    """Return the file of a log."""
+    """Return the path of a log's file."""
     return folder / LOGS_NAME / (quote(log, safe="") + LOG_SUFFIX)
 
 
 def log_of_path(path: Path) -> LogId:
-    """Return the log that a file is for."""
+    """Return the log that a file belongs to."""
     return LogId(unquote(path.name.removesuffix(LOG_SUFFIX)))
 
 
@@ -163,28 +163,28 @@
 
 
 class PreparedLog(msgspec.Struct, frozen=True):
-    """A durable file that takes the place of a log's with the next group commit."""
+    """A durable file that replaces a log's file in the next group commit."""
 
     path: Path
     mark: LogMark
 
 
 class LogChange(msgspec.Struct):
-    """What one group commit changes in a log.
+    """The changes of one log in one group commit.
 
     Parameters
     ----------
     generation : int
-        Generation of the new file, or of the drop; it rises with each change of a log that has
-        one, in the order in which they were queued.
+        Generation of the file that begins with `opened`, or of the drop; 0 for other changes.
+        Generations increase in the order in which the changes are queued.
     opened : Opened or None
-        Beginning of a new file; None where the present one goes on.
+        First frame of a new file; None if the present file is extended or `prepared` replaces it.
     prepared : PreparedLog or None
-        The new file, where it was written before; `frames` are added to it.
+        The new file, if it was written earlier; `frames` are added to it.
     frames : list
         Frames to add, in order.
     dropped : Epoch or None
-        Epoch at which the copy was dropped; None where it is kept.
+        Epoch at which the copy was dropped; None if it is retained.
     """
 
     generation: int = 0
@@ -195,24 +195,24 @@
 
 
 class DiskFiles:
-    """Writes group commits, one at a time.  `prepare` may run beside them.
+    """Writes group commits, one at a time.  `prepare` may run concurrently.
 
     Parameters
     ----------
     folder : Path
         The data folder.
     incarnation : Incarnation
-        Member of the fleet that the folder stands for.
+        Member of the fleet that the folder belongs to.
     starts : int
         How often the folder was opened, this time included.
     sequence : int
         Number of the last group commit.
     marks : dict of LogId to LogMark
-        What the index says.
+        Content of the index.
     operations : FileOperations
         Functions that change the folder.
     max_dropped : int
-        Dropped logs that are remembered.
+        Maximum number of dropped logs in the index.
     """
 
     def __init__(
@@ -242,15 +242,15 @@
         self.writers.shutdown()
 
     def commit(self, changes: dict[LogId, LogChange]) -> None:
-        """Make changes durable; each log's in their order.
+        """Make changes durable; those of one log in their order.
 
-        The first commit writes the index anew, which also cuts off what is torn at its end.
+        The first commit rewrites the index, which also removes an incomplete frame at its end.
 
         Raises
         ------
         OSError
             Any part of the changes may be durable.  No further commit may follow: after a failed
-            flush the system can report success for data that it has thrown away.
+            flush the system can report success for data that it has discarded.
         """
         sequence = self.sequence + 1
         marks = self._write_logs(changes, sequence)
@@ -262,14 +262,15 @@
             self._rewrite_index()
         else:
             self._write_index([Marked(marks)])
-        # Removed only now: if the machine stops before, the mark tells that the file is of no use.
+        # Files are removed only now: after a crash before this point, the mark shows that the file
+        # is obsolete.
         for mark in marks:
             if mark.dropped:
                 self.operations.remove(log_path(self.folder, mark.log))
 
     def _rewrite_index(self) -> None:
-        """Write the index anew, with nothing in it but what holds now."""
-        # A dropped log may be forgotten only when its file cannot come back.
+        """Rewrite the index with the current marks only."""
+        # The mark of a dropped log may be removed only when its file cannot reappear after a crash.
         self.operations.flush_folder(self.folder / LOGS_NAME)
         self._forget_oldest_dropped()
         self.index_generation = next(self.generations)
@@ -286,9 +287,9 @@
         dropped = sorted(mark.generation for mark in self.marks.values() if mark.dropped)
         if len(dropped) <= self.max_dropped:
             return
-        oldest_kept = dropped[-self.max_dropped]
+        oldest_retained = dropped[-self.max_dropped]
         for mark in list(self.marks.values()):
-            if mark.dropped and mark.generation < oldest_kept:
+            if mark.dropped and mark.generation < oldest_retained:
                 del self.marks[mark.log]
 
     def _write_index(self, bodies: list[FrameBody]) -> None:
@@ -314,41 +315,44 @@
             self.operations.rename(prepared.path, path)
             return prepared.mark
         if change.prepared is None:
-            return self._extend(path, self.marks[log], change.frames, sequence)
-        # Whole before it takes the name, so that the name never leads to half of it.
-        mark = self._extend(change.prepared.path, change.prepared.mark, change.frames, sequence)
+            return self._append_frames(path, self.marks[log], change.frames, sequence)
+        # Complete before the rename, so that the name never refers to an incomplete file.
+        mark = self._append_frames(
+            change.prepared.path, change.prepared.mark, change.frames, sequence
+        )
         self.operations.rename(change.prepared.path, path)
         return mark
 
     def prepare(self, log: LogId, change: LogChange, sequence: int | None = None) -> PreparedLog:
-        """Write a new file for a log, under another name.
+        """Write a new file for a log under a temporary name.
 
         Parameters
         ----------
         log : LogId
             The log.
         change : LogChange
-            What the file begins with, and what follows.
+            First frame of the file, and the frames that follow.
         sequence : int or None
-            Group commit that the file is for; None if it is for a later one than the last.
+            Number of the group commit that the file is part of; None if it will be part of a later
+            commit, in which case the file gets the number of the last one.
         """
         generation = change.generation
         bodies = [change.opened, *change.frames]
         sequence = self.sequence if sequence is None else sequence
         encoded = encode_frames(bodies, generation, sequence, HEADER_BYTES)
-        parts = _Measured(itertools.chain([encode_header(FileKind.LOG, generation)], encoded))
+        parts = _CountedParts(itertools.chain([encode_header(FileKind.LOG, generation)], encoded))
         path = log_path(self.folder, log)
         temporary = path.with_name(f"{path.name}.{generation}{TEMPORARY_SUFFIX}")
         self.operations.write(temporary, 0, parts)
         mark = LogMark(log, generation, parts.size, _highest_promise(bodies))
         return PreparedLog(temporary, mark)
 
-    def _extend(
+    def _append_frames(
         self, path: Path, mark: LogMark, frames: list[Appended | Promised], sequence: int
     ) -> LogMark:
         if not frames:
             return mark
-        parts = _Measured(encode_frames(frames, mark.generation, sequence, mark.length))
+        parts = _CountedParts(encode_frames(frames, mark.generation, sequence, mark.length))
         self.operations.write(path, mark.length, parts)
         return msgspec.structs.replace(
             mark,
@@ -357,8 +361,8 @@
         )
 
 
-class _Measured:
-    """Parts that are counted as they are passed on, so that a large log is never held twice."""
+class _CountedParts:
+    """Counts bytes of parts during iteration, so that a large log is not held in memory twice."""
 
     def __init__(self, parts: Iterable[bytes]) -> None:
         self.parts = parts
--- a/waxwingglade/process/disk_format.py
+++ b/waxwingglade/process/disk_format.py
@@ -1,16 +1,17 @@
 """Format of the files in a data folder.
 
-Every file is a header followed by frames::
+A file consists of a header followed by frames::
 
     header   magic (8)  version (2)  kind (2)  generation (8)  checksum of these (8)
     frame    length (4)  sequence (8)  checksum (8)  content (`length` bytes of MessagePack)
 
 Numbers are big-endian.  The checksum of a frame (XXH3, 64 bits) covers the generation of the file,
-the offset of the frame, its length, its sequence and its content.  So bytes that were left on the
-disk by another file, or that belong elsewhere in this one, do not pass for a frame.  It finds
-damage; it is no protection against somebody who forges a file.
+the offset of the frame, its length, its sequence and its content.  So bytes that remain on the disk
+from another file, or that belong elsewhere in this one, are not accepted as a frame.  The checksum
+detects damage; it does not protect against forged files.
 
-The header stays as it is in all versions, so that an older program recognises a newer file.
+The format of the header is the same in all versions, so that an older release recognises a newer
+file.
 """
 
 import struct
@@ -27,7 +28,7 @@
 MAGIC = b"waxwingg"
 FORMAT_VERSION = 1
 CHUNK_BYTES = 1 << 20
-"""Records that go into one frame, unless a single record is larger."""
+"""Approximate size of the records in one frame; a single larger record has a frame of its own."""
 
 _HEADER_FIELDS = struct.Struct(">8sHHQ")
 _FRAME_FIELDS = struct.Struct(">IQ")
@@ -38,7 +39,7 @@
 
 
 class FileKind(Enum):
-    """What a file holds."""
+    """Purpose of a file."""
 
     IDENTITY = 1
     INDEX = 2
@@ -49,27 +50,27 @@
 
 
 class Identity(msgspec.Struct, frozen=True, tag="identity"):
-    """Which member of the fleet a folder stands for, and how often it was opened."""
+    """Member of the fleet that a folder belongs to, and how often the folder was opened."""
 
     incarnation: Incarnation
     starts: int
 
 
 class LogMark(msgspec.Struct, frozen=True):
-    """What is known to be durable of one log.
+    """The part of one log that is known to be durable.
 
     Parameters
     ----------
     log : LogId
         The log.
     generation : int
-        Generation of its file; for a dropped log, higher than that of any file before.
+        Generation of its file; for a dropped log, higher than that of any earlier file.
     length : int
-        Bytes of the file that are durable.
+        Durable length of the file in bytes.
     promised : Epoch
         Lowest epoch that the copy accepts.
     dropped : bool
-        Whether the copy was dropped; there is no file then.
+        Whether the copy was dropped; it has no file then.
     """
 
     log: LogId
@@ -80,7 +81,7 @@
 
 
 class IndexOpened(msgspec.Struct, frozen=True, tag="index_opened"):
-    """First frame of the index: the marks of all logs."""
+    """First frame of the index, with the marks of all logs."""
 
     incarnation: Incarnation
     marks: list[LogMark]
@@ -93,10 +94,10 @@
 
 
 class Opened(msgspec.Struct, frozen=True, tag="opened"):
-    """First frame of a log: a copy as it is when its file is made.
+    """First frame of a log: the state of a copy when its file is created.
 
-    The `record_count` records follow in `Appended` frames.  A copy that is not `whole` has lost
-    records and stands only for its promise.
+    Its `record_count` records follow in `Appended` frames.  A copy that is not `whole` has lost
+    records; only its promise is valid.
     """
 
     log: LogId
@@ -110,7 +111,7 @@
 
 
 class Appended(msgspec.Struct, frozen=True, tag="appended"):
-    """Records from position `first` on; `copies` is None where the holders are as before."""
+    """Records from position `first` on; `copies` is None if the holders are unchanged."""
 
     first: int
     records: list[bytes]
@@ -142,18 +143,18 @@
 def encode_frames(
     bodies: Iterable[FrameBody], generation: int, sequence: int, offset: int
 ) -> Iterator[bytes]:
-    """Yield frames that follow each other from `offset` on.
+    """Yield consecutive frames from `offset` on.
 
     Parameters
     ----------
     bodies : iterable of FrameBody
-        Contents; one with many records is spread over several frames.
+        Contents; one with many records is split into several frames.
     generation : int
         Generation of the file.
     sequence : int
         Number of the group commit that writes the frames.
     offset : int
-        Position of the first of them in the file, in bytes.
+        Position of the first frame in the file, in bytes.
     """
     for body in bodies:
         for part in _split(body):
@@ -163,7 +164,7 @@
 
 
 def _split(body: FrameBody) -> Iterator[FrameBody]:
-    """Yield a body in parts of about `CHUNK_BYTES`, which bounds the memory that encoding takes."""
+    """Yield a body in parts of about `CHUNK_BYTES`, to limit the memory used for encoding."""
     if not isinstance(body, Appended):
         yield body
         return
@@ -200,7 +201,7 @@
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """A whole frame; `end` is the offset of the byte after it."""
+    """A complete frame; `end` is the offset of the byte after it."""
 
     body: FrameBody
     sequence: int
@@ -208,9 +209,9 @@
 
 
 class FileContent(msgspec.Struct, frozen=True):
-    """The whole frames of a file up to the first that is not.
+    """The complete frames of a file, up to the first incomplete or damaged one.
 
-    `size` is the size of the file in bytes, what follows the last whole frame included.
+    `size` is the size of the file in bytes, including what follows the last complete frame.
     """
 
     generation: int
@@ -219,17 +220,17 @@
 
     @property
     def end(self) -> int:
-        """Offset of the byte after the last whole frame."""
+        """Offset of the byte after the last complete frame."""
         return self.frames[-1].end if self.frames else HEADER_BYTES
 
 
 def read_file(data: bytes, kind: FileKind, path: Path) -> FileContent | None:
-    """Return what can be read of a file; None where its header is damaged.
+    """Return the readable content of a file; None if its header is damaged.
 
     Raises
     ------
     FormatError
-        The file is of a newer format version, or of this one and not understood.
+        The file has a newer format version, or an undamaged frame cannot be decoded.
     """
     generation = _read_header(data, kind, path)
     if generation is None:
@@ -273,5 +274,5 @@
     try:
         return Frame(_decoder.decode(content), sequence, start + length)
     except msgspec.DecodeError as error:
-        # The checksum holds, so this is no damage: another program wrote it on purpose.
+        # The checksum matches, so the frame is not damaged: it was written in another format.
         raise FormatError(f"{path}: frame at byte {offset} cannot be read: {error}") from error
--- a/waxwingglade/process/disk_load.py
+++ b/waxwingglade/process/disk_load.py
@@ -1,15 +1,15 @@
-"""Reading a data folder at the start of a process.
+"""Opening of a data folder at the start of a process.
 
-Everything is read before anything is changed, so a folder of a newer format stays as it is.
+Everything is read before anything is changed, so a folder of a newer format is not changed.
 
-What a crash may leave and what it may not:
+A crash can cause the first of these states, but not the other two:
 
-- A log longer than its mark in the index: the end was never acknowledged.  It is read up to the
-  last whole frame, and the rest is cut off.
-- A log shorter than its mark, or damaged before it: acknowledged records are missing.  The copy is
-  set aside and the log is unknown; of the copy only its promise counts.
-- An index that lacks marks which a log was written after: no mark can be relied on, so the folder
-  cannot say what it ever held.  All of it is set aside, and a new incarnation begins.
+- A log is longer than its mark in the index.  The end was never acknowledged: the log is read up to
+  the last complete frame, and the rest is truncated.
+- A log is shorter than its mark, or damaged before it.  Acknowledged records are missing: the copy
+  is set aside and the log is unknown; only the promise of the copy remains valid.
+- The index lacks marks although a log was written after them.  No mark can be relied on, so it is
+  not known what the folder contained.  All of it is set aside, and a new incarnation begins.
 """
 
 import shutil
@@ -56,14 +56,14 @@
 
 
 class LoadedLogs(msgspec.Struct):
-    """What a folder held when it was opened.
+    """Content of a folder when it was opened.
 
     Parameters
     ----------
     copies : dict of LogId to LogCopy
-        Copies that contain every record that was acknowledged.
+        Copies that contain every acknowledged record.
     unknown : dict of LogId to Epoch
-        Logs of which acknowledged records may be missing, with the promise that still binds.
+        Logs that may lack acknowledged records, with the promise that remains in force.
     dropped : dict of LogId to Epoch
         Logs that were dropped, oldest first, with the epoch that dropped them.
     """
@@ -74,27 +74,27 @@
 
 
 def open_files(folder: Path, operations: FileOperations) -> tuple[DiskFiles, int, LoadedLogs]:
-    """Bring a folder in order.
+    """Open a folder, and repair it if necessary.
 
     Returns
     -------
     files, starts, loaded : DiskFiles, int, LoadedLogs
-        The files, how often the folder was opened, and what it holds.
+        The files, how often the folder was opened, and its content.
     """
-    found = read_folder(folder)
-    if not is_reliable(found):
-        return _begin(folder, operations), 1, LoadedLogs()
-    assert found.identity is not None
-    assert found.index is not None
-    identity = Identity(found.identity.incarnation, found.identity.starts + 1)
-    # Before anything else, for the generations of files are numbered by starts.
+    content = read_folder(folder)
+    if not is_reliable(content):
+        return _create(folder, operations), 1, LoadedLogs()
+    assert content.identity is not None
+    assert content.index is not None
+    identity = Identity(content.identity.incarnation, content.identity.starts + 1)
+    # Before any other change, because generations of files are derived from the number of starts.
     _write_identity(folder, identity, operations)
     files = DiskFiles(
         folder=folder,
         incarnation=identity.incarnation,
         starts=identity.starts,
-        sequence=found.index.sequence,
-        marks=dict(found.index.marks),
+        sequence=content.index.sequence,
+        marks=dict(content.index.marks),
         operations=operations,
         max_dropped=MAX_DROPPED_LOGS,
     )
@@ -102,9 +102,9 @@
     _remove_temporary_files(folder, operations)
     loaded = LoadedLogs()
     changes: dict[LogId, LogChange] = {}
-    marks = sorted(found.index.marks.values(), key=lambda mark: mark.generation)
-    for log in dict.fromkeys([*(mark.log for mark in marks), *found.logs]):
-        _load_log(files, log, found, loaded, changes)
+    marks = sorted(content.index.marks.values(), key=lambda mark: mark.generation)
+    for log in dict.fromkeys([*(mark.log for mark in marks), *content.logs]):
+        _load_log(files, log, content, loaded, changes)
     for change in changes.values():
         change.generation = next(files.generations)
     files.commit(changes)
@@ -114,38 +114,40 @@
 def _load_log(
     files: DiskFiles,
     log: LogId,
-    found: ParsedFolder,
+    content: ParsedFolder,
     loaded: LoadedLogs,
     changes: dict[LogId, LogChange],
 ) -> None:
-    assert found.index is not None
-    read = found.logs.get(log)
-    mark = found.index.marks.get(log)
-    if is_dropped(found, log):
+    assert content.index is not None
+    parsed = content.logs.get(log)
+    mark = content.index.marks.get(log)
+    if is_dropped(content, log):
         assert mark is not None
         loaded.dropped[log] = mark.promised
         files.operations.remove(log_path(files.folder, log))
         return
-    promised = max(read.copy.promised if read else Epoch(0), mark.promised if mark else Epoch(0))
-    if is_complete(read, mark):
-        assert read is not None
-        read.copy.promised = promised
-        loaded.copies[log] = read.copy
-        if not ends_at_mark(read, mark):
-            _report_cut(log, read)
-            changes[log] = change_to_open(log, read.copy)
+    promised = max(
+        parsed.copy.promised if parsed else Epoch(0), mark.promised if mark else Epoch(0)
+    )
+    if is_complete(parsed, mark):
+        assert parsed is not None
+        parsed.copy.promised = promised
+        loaded.copies[log] = parsed.copy
+        if not ends_at_mark(parsed, mark):
+            _report_truncation(log, parsed)
+            changes[log] = change_to_open(log, parsed.copy)
         return
     loaded.unknown[log] = promised
-    placeholder = read is not None and not read.whole
-    if placeholder and ends_at_mark(read, mark):
+    placeholder = parsed is not None and not parsed.complete
+    if placeholder and ends_at_mark(parsed, mark):
         return
     if not placeholder:
-        _set_log_aside(files, log, read, mark)
-    changes[log] = change_to_open(log, LogCopy(promised), whole=False)
+        _set_log_aside(files, log, parsed, mark)
+    changes[log] = change_to_open(log, LogCopy(promised), complete=False)
 
 
-def change_to_open(log: LogId, copy: LogCopy, whole: bool = True) -> LogChange:
-    """Return the change that gives a log a new file with the content of a copy."""
+def change_to_open(log: LogId, copy: LogCopy, complete: bool = True) -> LogChange:
+    """Return the change that writes a new file with the content of a copy."""
     opened = Opened(
         log=log,
         promised=copy.promised,
@@ -154,23 +156,23 @@
         copies=list(copy.copies),
         registered=copy.registered,
         record_count=len(copy.records),
-        whole=whole,
+        whole=complete,
     )
     records = Appended(0, list(copy.records), copy.registered)
     return LogChange(opened=opened, frames=[records] if copy.records else [])
 
 
-def _report_cut(log: LogId, read: ParsedLog) -> None:
-    if read.size > read.end:
+def _report_truncation(log: LogId, parsed: ParsedLog) -> None:
+    if parsed.size > parsed.end:
         logger.warning(
             "log {}: cut {} bytes of a write that did not end before the process did",
             log,
-            read.size - read.end,
+            parsed.size - parsed.end,
         )
 
 
 def _set_log_aside(
-    files: DiskFiles, log: LogId, read: ParsedLog | None, mark: LogMark | None
+    files: DiskFiles, log: LogId, parsed: ParsedLog | None, mark: LogMark | None
 ) -> None:
     path = log_path(files.folder, log)
     logger.error(
@@ -178,40 +180,41 @@
         " {} bytes were acknowledged",
         log,
         path,
-        len(read.copy.records) if read else 0,
-        read.end if read else 0,
+        len(parsed.copy.records) if parsed else 0,
+        parsed.end if parsed else 0,
         mark.length if mark else 0,
     )
     if path.exists():
         files.operations.rename(path, path.with_name(path.name + CORRUPT_SUFFIX))
-        # Before another file takes the name: what was set aside must not be lost to a crash.
+        # Flushed before another file takes the name, so that a crash does not lose the file that
+        # was set aside.
         files.operations.flush_folder(path.parent)
 
 
-def _begin(folder: Path, operations: FileOperations) -> DiskFiles:
-    """Make a folder that stands for a new incarnation and holds nothing."""
+def _create(folder: Path, operations: FileOperations) -> DiskFiles:
+    """Create an empty folder for a new incarnation."""
     _set_folder_aside(folder, operations)
     (folder / LOGS_NAME).mkdir(FOLDER_MODE)
     identity = Identity(Incarnation(new_nonce()), 1)
     files = DiskFiles(folder, identity.incarnation, 1, 0, {}, operations, MAX_DROPPED_LOGS)
     files.commit({})
-    # Last, so that a folder with an identity has an index.
+    # Written last, so that a folder with an identity has an index.
     _write_identity(folder, identity, operations)
     return files
 
 
 def _set_folder_aside(folder: Path, operations: FileOperations) -> None:
-    # The identity first: without it nothing else counts.
-    present = [name for name in (IDENTITY_NAME, INDEX_NAME, LOGS_NAME) if (folder / name).exists()]
-    if not present:
+    # The identity is moved first: without it the rest of the folder is ignored.
+    existing = [name for name in (IDENTITY_NAME, INDEX_NAME, LOGS_NAME) if (folder / name).exists()]
+    if not existing:
         return
     aside = folder / SET_ASIDE_NAME
-    # A first start that did not end leaves an index and no log.
+    # An interrupted first start leaves an index and no log, which is no error.
     level = "ERROR" if any((folder / LOGS_NAME).glob("*")) else "INFO"
     logger.log(level, "{} cannot vouch for its content, which is now in {}", folder, aside)
     shutil.rmtree(aside, ignore_errors=True)
     aside.mkdir(FOLDER_MODE)
-    for name in present:
+    for name in existing:
         operations.rename(folder / name, aside / name)
         operations.flush_folder(folder)
 
--- a/waxwingglade/process/disk_read.py
+++ b/waxwingglade/process/disk_read.py
@@ -1,6 +1,6 @@
-"""Reading a data folder, and judging what in it can be relied on.
+"""Reading of a data folder, and checks of which parts of it can be relied on.
 
-Nothing is changed here, so a folder of a newer format stays as it is.
+Nothing is changed here, so a folder of a newer format is not modified.
 """
 
 import errno
@@ -34,19 +34,19 @@
 
 
 class ParsedLog(msgspec.Struct):
-    """A log's file as it was read; `copy` contains its records up to byte `end`."""
+    """A parsed log file; `copy` contains its records up to byte `end`."""
 
     generation: int
     copy: LogCopy
     record_count: int
-    whole: bool
+    complete: bool
     end: int
     size: int
     sequence: int
 
 
 class ParsedIndex(msgspec.Struct):
-    """The index as it was read, up to the last whole frame."""
+    """The parsed index, up to the last complete frame."""
 
     incarnation: Incarnation
     sequence: int
@@ -54,7 +54,7 @@
 
 
 class ParsedFolder(msgspec.Struct):
-    """A folder as it was read; None stands for what is missing or damaged."""
+    """A parsed folder; files that are missing or damaged are None."""
 
     identity: Identity | None
     index: ParsedIndex | None
@@ -65,21 +65,21 @@
 
 
 def read_folder(folder: Path) -> ParsedFolder:
-    """Read all files and change none.
+    """Read all files without changing them.
 
     Raises
     ------
     FormatError
-        One of them is of a newer format version.
+        A file has a newer format version.
     """
-    identity = _read_content(folder / IDENTITY_NAME, FileKind.IDENTITY)
-    index = _read_content(folder / INDEX_NAME, FileKind.INDEX)
+    identity = _read_file_content(folder / IDENTITY_NAME, FileKind.IDENTITY)
+    index = _read_file_content(folder / INDEX_NAME, FileKind.INDEX)
     paths = sorted((folder / LOGS_NAME).glob(f"*{LOG_SUFFIX}"))
-    logs = {log_of_path(path): _read_log(path) for path in paths}
-    return ParsedFolder(_as_identity(identity), _as_index(index), logs)
+    logs = {log_of_path(path): _parse_log(path) for path in paths}
+    return ParsedFolder(_parse_identity(identity), _parse_index(index), logs)
 
 
-def _read_content(path: Path, kind: FileKind) -> FileContent | None:
+def _read_file_content(path: Path, kind: FileKind) -> FileContent | None:
     try:
         data = path.read_bytes()
     except FileNotFoundError:
@@ -92,14 +92,14 @@
     return read_file(data, kind, path)
 
 
-def _as_identity(content: FileContent | None) -> Identity | None:
+def _parse_identity(content: FileContent | None) -> Identity | None:
     if content is None or not content.frames:
         return None
     body = content.frames[0].body
     return body if isinstance(body, Identity) else None
 
 
-def _as_index(content: FileContent | None) -> ParsedIndex | None:
+def _parse_index(content: FileContent | None) -> ParsedIndex | None:
     if content is None or not content.frames:
         return None
     first, *others = content.frames
@@ -115,8 +115,8 @@
     return index
 
 
-def _read_log(path: Path) -> ParsedLog | None:
-    content = _read_content(path, FileKind.LOG)
+def _parse_log(path: Path) -> ParsedLog | None:
+    content = _read_file_content(path, FileKind.LOG)
     if content is None or not content.frames:
         return None
     first, *others = content.frames
@@ -126,25 +126,25 @@
     copy = LogCopy(
         opened.promised, opened.epoch, opened.owner, opened.copies, [], opened.registered
     )
-    read = ParsedLog(
+    parsed = ParsedLog(
         generation=content.generation,
         copy=copy,
         record_count=opened.record_count,
-        whole=opened.whole,
+        complete=opened.whole,
         end=first.end,
         size=content.size,
         sequence=first.sequence,
     )
     for frame in others:
-        if not _apply(copy, frame.body):
+        if not _apply_frame(copy, frame.body):
             break
-        read.end = frame.end
-        read.sequence = frame.sequence
-    return read
+        parsed.end = frame.end
+        parsed.sequence = frame.sequence
+    return parsed
 
 
-def _apply(copy: LogCopy, body: FrameBody) -> bool:
-    """Add a frame to a copy; return whether it fits what comes before."""
+def _apply_frame(copy: LogCopy, body: FrameBody) -> bool:
+    """Add a frame to a copy; return whether it continues the frames before it."""
     if isinstance(body, Promised):
         copy.promised = max(copy.promised, body.epoch)
         return True
@@ -156,44 +156,46 @@
     return True
 
 
-# --- judging ------------------------------------------------------------------------------------
+# --- checks -------------------------------------------------------------------------------------
 
 
-def is_reliable(found: ParsedFolder) -> bool:
-    """Return whether the index can vouch for what the folder held."""
-    if found.identity is None or found.index is None:
+def is_reliable(content: ParsedFolder) -> bool:
+    """Return whether the index covers everything that the folder contained."""
+    if content.identity is None or content.index is None:
         return False
-    if found.identity.incarnation != found.index.incarnation:
+    if content.identity.incarnation != content.index.incarnation:
         return False
-    # Logs are written one group ahead of the index and never further.
-    newest = max((read.sequence for read in found.logs.values() if read is not None), default=0)
-    return newest <= found.index.sequence + 1
+    # Logs are written at most one group ahead of the index.
+    newest = max(
+        (parsed.sequence for parsed in content.logs.values() if parsed is not None), default=0
+    )
+    return newest <= content.index.sequence + 1
 
 
-def is_dropped(found: ParsedFolder, log: LogId) -> bool:
-    """Return whether a log was dropped, and no file of it is there that may be newer."""
-    assert found.index is not None
-    mark = found.index.marks.get(log)
+def is_dropped(content: ParsedFolder, log: LogId) -> bool:
+    """Return whether a log was dropped, and has no file that may be newer."""
+    assert content.index is not None
+    mark = content.index.marks.get(log)
     if mark is None or not mark.dropped:
         return False
-    if log not in found.logs:
+    if log not in content.logs:
         return True
-    read = found.logs[log]
-    return read is not None and read.generation < mark.generation
+    parsed = content.logs[log]
+    return parsed is not None and parsed.generation < mark.generation
 
 
-def is_complete(read: ParsedLog | None, mark: LogMark | None) -> bool:
-    """Return whether a log's file contains every record that was acknowledged."""
-    if read is None or not read.whole or len(read.copy.records) < read.record_count:
+def is_complete(parsed: ParsedLog | None, mark: LogMark | None) -> bool:
+    """Return whether a log's file contains every acknowledged record."""
+    if parsed is None or not parsed.complete or len(parsed.copy.records) < parsed.record_count:
         return False
-    if mark is None or read.generation > mark.generation:
-        # A new file was flushed before it took its name, and then nothing of it was acknowledged.
+    if mark is None or parsed.generation > mark.generation:
+        # The file was flushed before it was renamed, and nothing added to it was acknowledged yet.
         return True
-    return read.generation == mark.generation and read.end >= mark.length
+    return parsed.generation == mark.generation and parsed.end >= mark.length
 
 
-def ends_at_mark(read: ParsedLog | None, mark: LogMark | None) -> bool:
-    """Return whether a file ends just where the index says, so that it can be written on."""
-    if read is None or mark is None or read.generation != mark.generation:
+def ends_at_mark(parsed: ParsedLog | None, mark: LogMark | None) -> bool:
+    """Return whether a file ends exactly at its mark in the index, so that it can be extended."""
+    if parsed is None or mark is None or parsed.generation != mark.generation:
         return False
-    return read.end == read.size == mark.length
+    return parsed.end == parsed.size == mark.length
