--- a/waxwingglade/process/tests/disk_builders.py
+++ b/waxwingglade/process/tests/disk_builders.py
@@ -1,4 +1,4 @@
-"""Builders for tests of data folders: copies, damaged folders, and folders after a crash."""
+"""Builders for tests of data folders: copies, folders, and states of folders after a crash."""
 
 import asyncio
 import itertools
@@ -20,7 +20,7 @@
 
 
 def make_copy(epoch: int, *records: bytes, promised: int | None = None) -> LogCopy:
-    """Return a copy as an owner of `epoch` would send it."""
+    """Return a copy with records of an owner at `epoch`."""
     promise = Epoch(epoch if promised is None else promised)
     return LogCopy(promise, Epoch(epoch), OWNER, [OWNER, HOLDER], list(records), True)
 
@@ -50,14 +50,14 @@
 
 
 def copy_folder(source: Path, target: Path) -> Path:
-    """Return a fresh copy of a folder."""
+    """Copy a folder to `target`, replacing it, and return `target`."""
     shutil.rmtree(target, ignore_errors=True)
     shutil.copytree(source, target)
     return target
 
 
 def overwrite(path: Path, data: bytes) -> None:
-    """Give a file other content."""
+    """Replace the content of a file."""
     path.unlink()
     path.write_bytes(data)
 
@@ -69,7 +69,7 @@
 
 
 def failing_write(name: str, error: Exception) -> FileOperations:
-    """Return operations that fail when a file whose name contains `name` is added to."""
+    """Return operations that fail when a file whose name contains `name` is extended."""
 
     def write(path: Path, offset: int, parts: Iterable[bytes]) -> None:
         if name in path.name and offset:
@@ -83,7 +83,7 @@
 
 
 class Step(msgspec.Struct):
-    """One operation on a folder; `name` is what it changes, `other` where a rename begins."""
+    """One operation on the file or folder `name`; `other` is the old name in a rename."""
 
     kind: str
     name: str
@@ -97,19 +97,19 @@
 
 
 def _move(source: Path, target: Path) -> None:
-    # To rename over a file would make some file systems flush it.
+    # A rename over an existing file would make some file systems flush it.
     target.unlink(missing_ok=True)
     source.rename(target)
 
 
 UNFLUSHED = FileOperations(_write_unflushed, _move, remove_file, lambda _: None)
-"""Operations for folders that are opened only to look at them, so that many can be."""
+"""Operations without flushes, to open many folders quickly for inspection only."""
 
 
 class Recorder:
-    """Operations on a folder that are noted, to build what crashes may leave of them.
+    """Records operations on a folder, to build the states that a crash may leave.
 
-    `base` is a copy of the folder as it was before, or None for an empty one.
+    `base` is a copy of the folder before the operations, or None for an empty folder.
     """
 
     def __init__(self, folder: Path, base: Path | None = None) -> None:
@@ -140,10 +140,13 @@
         _apply(self.folder, step)
 
     def crashes(self, count: int, image: Path) -> Iterator[Path]:
-        """Yield what a crash may leave when `count` steps are done and the next has begun."""
+        """Yield the states that a crash may leave after `count` steps, during the next one."""
         begun = self.steps[count : count + 1]
-        partial = [None, *itertools.chain.from_iterable(_torn(step) for step in begun)]
-        for lost, torn in itertools.product(self._losable(count), partial):
+        partial_writes = [
+            None,
+            *itertools.chain.from_iterable(_partial_writes(step) for step in begun),
+        ]
+        for lost, partial in itertools.product(self._losable_steps(count), partial_writes):
             shutil.rmtree(image, ignore_errors=True)
             if self.base is not None:
                 shutil.copytree(self.base, image)
@@ -151,24 +154,26 @@
             for number, step in enumerate(self.steps[:count]):
                 if number not in lost:
                     _apply(image, step)
-            if torn is not None:
-                _apply(image, torn)
+            if partial is not None:
+                _apply(image, partial)
             yield image
 
-    def _losable(self, count: int) -> list[set[int]]:
-        """Return sets of steps on names that no flush of their folder has made durable."""
-        open_steps: dict[str, list[int]] = {}
+    def _losable_steps(self, count: int) -> list[set[int]]:
+        """Return sets of renames and removals that no flush of their folder has made durable."""
+        unflushed_in: dict[str, list[int]] = {}
         for number, step in enumerate(self.steps[:count]):
             if step.kind == "flush_folder":
-                open_steps[step.name] = []
+                unflushed_in[step.name] = []
             elif step.kind in ("rename", "remove"):
-                open_steps.setdefault(str(Path(step.name).parent), []).append(number)
-        pending = list(itertools.chain.from_iterable(open_steps.values()))
-        return [set(), set(pending), *({number} for number in pending)] if pending else [set()]
+                unflushed_in.setdefault(str(Path(step.name).parent), []).append(number)
+        unflushed = list(itertools.chain.from_iterable(unflushed_in.values()))
+        return (
+            [set(), set(unflushed), *({number} for number in unflushed)] if unflushed else [set()]
+        )
 
 
-def _torn(step: Step) -> list[Step]:
-    """Return what of a write may be on the disk before it is flushed."""
+def _partial_writes(step: Step) -> list[Step]:
+    """Return the parts of a write that may be on the disk before it is flushed."""
     if step.kind != "write":
         return []
     half = len(step.data) // 2
@@ -194,9 +199,9 @@
 
 
 class History:
-    """Runs groups of changes and notes, for each log, the states it went through.
+    """Runs groups of changes, and records the successive states of each log.
 
-    `acknowledged` has, after each group, the number of steps done and of states of each log.
+    `acknowledged` has an item after each group: the number of steps so far, and of states per log.
     """
 
     def __init__(self, disk: Disk, recorder: Recorder) -> None:
@@ -221,11 +226,11 @@
             lengths = {log: len(states) for log, states in self.states.items()}
             self.acknowledged.append((len(self.recorder.steps), lengths))
 
-    def possible(self, log: LogId, count: int) -> list[LogState]:
-        """Return the states that a log may be in after a crash when `count` steps are done."""
-        done = [lengths[log] for steps, lengths in self.acknowledged if steps <= count]
+    def possible_states(self, log: LogId, count: int) -> list[LogState]:
+        """Return the states that a log may be in after a crash once `count` steps are complete."""
+        completed = [lengths[log] for steps, lengths in self.acknowledged if steps <= count]
         begun = [lengths[log] for steps, lengths in self.acknowledged if steps > count]
-        return self.states[log][done[-1] - 1 : (begun or done[-1:])[0]]
+        return self.states[log][completed[-1] - 1 : (begun or completed[-1:])[0]]
 
     def _open(self, log: LogId, number: int) -> LogState:
         copy = make_copy(number, b"%d" % number, b"x" * (40 if number % 2 else 4))
--- a/waxwingglade/process/tests/disk_case.py
+++ b/waxwingglade/process/tests/disk_case.py
@@ -1,4 +1,4 @@
-"""What tests of data folders share: a folder to work in, and how to read one."""
+"""Common parts of the tests of data folders: a temporary folder, and how to read one."""
 
 import tempfile
 import unittest
@@ -32,7 +32,7 @@
 
 
 class DiskTest(unittest.IsolatedAsyncioTestCase):
-    """A folder to work in."""
+    """A test with temporary folders."""
 
     def setUp(self) -> None:
         logger.disable("waxwingglade.process")
@@ -46,5 +46,5 @@
         await disk.close()
         return disk
 
-    def check_whole(self, loaded: LoadedLogs) -> None:
+    def check_complete(self, loaded: LoadedLogs) -> None:
         self.assertEqual(loaded, LoadedLogs({LOG_A: COPY_A, LOG_B: COPY_B}, {}, {LOG_C: Epoch(4)}))
--- a/waxwingglade/process/tests/test_disk.py
+++ b/waxwingglade/process/tests/test_disk.py
@@ -1,4 +1,4 @@
-"""Data folders: what is acknowledged is there after a restart, and wrong folders are refused."""
+"""Data folders: acknowledged changes survive a restart, and invalid folders are refused."""
 
 import asyncio
 import struct
@@ -25,21 +25,21 @@
 
 
 class RestartTest(DiskTest):
-    """Everything that was acknowledged is there after a restart."""
+    """All acknowledged changes survive a restart."""
 
     async def test_content_promises_and_drops_survive(self):
         first = await self.make()
         for start in (2, 3):
             disk = open_disk(self.folder)
-            self.check_whole(disk.load())
+            self.check_complete(disk.load())
             self.assertEqual((disk.incarnation, disk.starts), (first.incarnation, start))
             await disk.close()
 
-    async def test_a_killed_process_leaves_what_it_acknowledged(self):
+    async def test_acknowledged_changes_survive_a_kill(self):
         disk = await make_folder(self.folder)
-        # Nothing that a close would do is in the copy.
+        # The copy is made before the folder is closed.
         _, loaded = await reopen(copy_folder(self.folder, self.image))
-        self.check_whole(loaded)
+        self.check_complete(loaded)
         await disk.close()
 
     async def test_a_promise_is_never_lowered(self):
@@ -80,7 +80,7 @@
 
 
 class FolderTest(DiskTest):
-    """One process at a time, and nothing that this version does not understand."""
+    """A folder is used by one process at a time, and a newer format is refused."""
 
     async def test_a_second_process_is_refused(self):
         disk = open_disk(self.folder)
@@ -97,7 +97,7 @@
         await disk.close()
         await reopen(self.folder)
 
-    async def test_a_folder_that_cannot_be_made_is_a_settings_error(self):
+    async def test_a_folder_that_cannot_be_created_is_a_settings_error(self):
         (self.top / "file").write_text("")
         with self.assertRaises(SettingsError):
             open_disk(self.top / "file")
@@ -111,7 +111,7 @@
             with patch.object(disk_format, "FORMAT_VERSION", disk_format.FORMAT_VERSION + 1):
                 header = encode_header(kind, *generation.unpack_from(data))
             (image / name).write_bytes(header + data[len(header) :])
-            # Also where something else would be put in order.
+            # Nothing is changed even if a damaged file would otherwise be replaced.
             (image / FILE_A).write_bytes(b"damaged")
             before = contents(image)
             with self.assertRaises(FormatError):
--- a/waxwingglade/process/tests/test_disk_damage.py
+++ b/waxwingglade/process/tests/test_disk_damage.py
@@ -1,4 +1,4 @@
-"""Data folders: what is acknowledged is there after a crash, and damage is never served."""
+"""Data folders: acknowledged changes survive a crash, and damaged copies are never served."""
 
 import asyncio
 import errno
@@ -46,7 +46,7 @@
 
 
 class CrashTest(DiskTest):
-    """A crash at any moment loses nothing acknowledged and makes no log unknown."""
+    """A crash at any moment loses no acknowledged change and makes no log unknown."""
 
     @settings(max_examples=40, derandomize=True, deadline=None)
     @example([[("promise", LOG_B), ("open", LOG_A), ("open", LOG_A)]], 1 << 20, 20)
@@ -74,7 +74,7 @@
                 self.assertEqual(loaded.unknown, {})
                 for log in LOGS:
                     state = loaded.copies.get(log, loaded.dropped.get(log))
-                    self.assertIn(state, history.possible(log, count))
+                    self.assertIn(state, history.possible_states(log, count))
 
     async def test_every_step_of_opening_a_damaged_folder(self):
         disk = await make_folder(self.folder)
@@ -100,7 +100,7 @@
         data[offset] ^= 1
         path.write_bytes(data)
 
-    async def test_a_tail_torn_at_every_byte(self):
+    async def test_a_file_truncated_at_every_byte(self):
         await self.make()
         synced = (self.folder / FILE_A).stat().st_size
         disk = open_disk(self.folder, failing_write("index", OSError(errno.EIO, "planted")))
@@ -133,7 +133,7 @@
 
 
 class DamageTest(DiskTest):
-    """Damage of what was acknowledged is found, and the copy is not served."""
+    """Damage to acknowledged records is detected, and the copy is not served."""
 
     async def test_a_flipped_bit_in_any_byte(self):
         disk = await self.make()
@@ -161,7 +161,7 @@
                 self.assertEqual(loaded.copies[log], copy)
         self.assertTrue(LOG_C in loaded.dropped or LOG_C in loaded.unknown)
 
-    async def test_an_unknown_log_stays_so_until_an_owner_writes_it_anew(self):
+    async def test_an_unknown_log_stays_unknown_until_an_owner_replaces_it(self):
         await self.make()
         (self.folder / FILE_A).unlink()
         await reopen(self.folder)
@@ -188,21 +188,21 @@
         self.assertEqual(loaded.unknown, {LOG_A: Epoch(6)})
         self.assertEqual((self.folder / f"{FILE_A}.corrupt").read_bytes(), older)
 
-    async def test_bytes_that_an_older_file_left_are_no_records(self):
+    async def test_bytes_of_an_older_file_are_not_read_as_records(self):
         disk = open_disk(self.folder)
         disk.open_epoch(LOG_A, make_copy(1, b"old"))
         await disk.sync()
         add_records(disk, LOG_A, b"older")
         await disk.sync()
-        left = (self.folder / FILE_A).read_bytes()
+        older = (self.folder / FILE_A).read_bytes()
         disk.open_epoch(LOG_A, make_copy(2, b"new"))
         await disk.close()
         data = (self.folder / FILE_A).read_bytes()
-        overwrite(self.folder / FILE_A, data + left[len(data) :])
+        overwrite(self.folder / FILE_A, data + older[len(data) :])
         _, loaded = await reopen(self.folder)
         self.assertEqual(loaded.copies, {LOG_A: make_copy(2, b"new")})
 
-    async def test_frames_that_do_not_fit_are_not_served(self):
+    async def test_frames_that_do_not_continue_the_file_are_not_served(self):
         opened = Opened(LOG_A, Epoch(1), Epoch(1), None, [], False, record_count=1)
         record = Appended(0, [b"one"], False)
         expected = {1: None, 2: [b"one"], 3: [b"one"]}
@@ -217,7 +217,7 @@
             self.assertEqual(loaded.unknown, {} if copy else {LOG_A: Epoch(1)})
             shutil.rmtree(self.image)
 
-    async def test_a_folder_that_cannot_vouch_for_its_content_ends_the_incarnation(self):
+    async def test_an_unreliable_folder_starts_a_new_incarnation(self):
         disk = open_disk(self.folder)
         disk.open_epoch(LOG_A, make_copy(1, b"one"))
         await disk.sync()
@@ -226,11 +226,16 @@
             add_records(disk, LOG_A, record)
             await disk.sync()
         await disk.close()
-        whole = (self.folder / "index").read_bytes()
+        complete = (self.folder / "index").read_bytes()
         other = await make_folder(self.top / "other")
         await other.close()
         foreign = (self.top / "other" / "index").read_bytes()
-        damages = [("index", whole[:size]), ("index", b""), ("index", foreign), ("identity", b"")]
+        damages = [
+            ("index", complete[:size]),
+            ("index", b""),
+            ("index", foreign),
+            ("identity", b""),
+        ]
         for name, data in damages:
             image = copy_folder(self.folder, self.image)
             overwrite(image / name, data)
@@ -240,7 +245,7 @@
             self.assertTrue((image / "set-aside" / FILE_A).exists())
             self.assertEqual(await reopen(image), (incarnation, LoadedLogs()))
 
-    async def test_a_file_that_the_disk_cannot_read_makes_its_log_unknown(self):
+    async def test_an_unreadable_file_makes_its_log_unknown(self):
         await self.make()
         read = Path.read_bytes
 
--- a/waxwingglade/process/tests/test_disk_sync.py
+++ b/waxwingglade/process/tests/test_disk_sync.py
@@ -1,4 +1,4 @@
-"""Data folders: which changes wait for the disk, and for which."""
+"""Data folders: which changes wait for the disk, and for which writes."""
 
 import asyncio
 import errno
@@ -29,18 +29,18 @@
 
 
 class SyncTest(DiskTest):
-    """Group commits, and errors of the disk."""
+    """Group commits and disk errors."""
 
-    def counted(self, written: list[str]) -> disk_files.FileOperations:
+    def recording_operations(self, written: list[str]) -> disk_files.FileOperations:
         def write(path, offset, parts):
             written.append(path.name)
             REAL_OPERATIONS.write(path, offset, parts)
 
         return msgspec.structs.replace(REAL_OPERATIONS, write=write)
 
-    async def test_changes_of_a_turn_share_a_group(self):
+    async def test_changes_in_one_loop_iteration_share_a_group(self):
         written: list[str] = []
-        disk = open_disk(self.folder, self.counted(written))
+        disk = open_disk(self.folder, self.recording_operations(written))
 
         async def add(log: LogId, record: bytes) -> None:
             add_records(disk, log, record)
@@ -56,45 +56,45 @@
         self.assertEqual(len(written), len(LOGS) + 1)
         await disk.close()
 
-    def hold_back(
-        self, disk: Disk, chosen: Callable[[Path], bool], error: OSError | None = None
+    def block_writes(
+        self, disk: Disk, is_blocked: Callable[[Path], bool], error: OSError | None = None
     ) -> threading.Event:
-        """Return what lets writes to the chosen files go on, or fail."""
-        go_on = threading.Event()
-        self.addCleanup(go_on.set)
+        """Block writes to some files; return the event that lets them continue, or fail."""
+        resume = threading.Event()
+        self.addCleanup(resume.set)
 
         def write(path, offset, parts):
-            if chosen(path):
-                go_on.wait()
+            if is_blocked(path):
+                resume.wait()
                 if error is not None:
                     raise error
             REAL_OPERATIONS.write(path, offset, parts)
 
         files = disk.commits.files
         files.operations = msgspec.structs.replace(REAL_OPERATIONS, write=write)
-        return go_on
+        return resume
 
-    async def begin_group(self, disk: Disk) -> asyncio.Task:
+    async def start_group(self, disk: Disk) -> asyncio.Task:
         task = asyncio.create_task(disk.sync())
         while disk.commits.running_group is None:
             await asyncio.sleep(0)
         return task
 
-    async def test_sync_waits_for_the_disk_and_the_event_loop_does_not(self):
+    async def test_sync_waits_for_the_disk_without_blocking_the_event_loop(self):
         await self.make()
         disk = open_disk(self.folder)
-        go_on = self.hold_back(disk, lambda path: True)
+        resume = self.block_writes(disk, lambda path: True)
         add_records(disk, LOG_A, b"four")
-        first = await self.begin_group(disk)
+        first = await self.start_group(disk)
         again = asyncio.create_task(disk.sync())
         await asyncio.sleep(0)
         add_records(disk, LOG_A, b"five")
-        second, given_up = (asyncio.create_task(disk.sync()) for _ in range(2))
+        second, cancelled = (asyncio.create_task(disk.sync()) for _ in range(2))
         await asyncio.sleep(0)
-        given_up.cancel()
-        await asyncio.wait([given_up])
+        cancelled.cancel()
+        await asyncio.wait([cancelled])
         self.assertFalse(first.done() or again.done() or second.done())
-        go_on.set()
+        resume.set()
         await asyncio.gather(first, again, second)
         await disk.close()
         _, loaded = await reopen(self.folder)
@@ -103,7 +103,7 @@
     async def test_other_logs_do_not_wait_for_a_large_copy(self):
         await self.make()
         disk = open_disk(self.folder)
-        go_on = self.hold_back(
+        resume = self.block_writes(
             disk, lambda path: path.name.startswith(LOG_A) and "tmp" in path.name
         )
         with patch.object(disk_commit, "LARGE_BYTES", 4):
@@ -118,15 +118,15 @@
         self.assertEqual(loaded.copies[LOG_B].records, [*COPY_B.records, b"next"])
         self.assertEqual([path.name for path in killed.rglob("*.tmp")], [])
         self.assertFalse(any(task.done() for task in waiting))
-        go_on.set()
+        resume.set()
         await asyncio.gather(*waiting)
         await disk.close()
         _, loaded = await reopen(self.folder)
         self.assertEqual(loaded.copies[LOG_A].records, [b"large", b"copy", b"more"])
 
-    async def test_a_large_copy_that_was_replaced_does_not_come_back(self):
+    async def test_a_replaced_large_copy_does_not_reappear(self):
         disk = open_disk(self.folder)
-        go_on = self.hold_back(disk, lambda path: "tmp" in path.name)
+        resume = self.block_writes(disk, lambda path: "tmp" in path.name)
         with patch.object(disk_commit, "LARGE_BYTES", 4):
             disk.open_epoch(LOG_A, make_copy(1, b"first"))
             first = asyncio.create_task(disk.sync(LOG_A))
@@ -137,7 +137,7 @@
             await disk.sync(LOG_B)
         await asyncio.sleep(0)
         self.assertFalse(first.done())
-        go_on.set()
+        resume.set()
         await first
         _, loaded = await reopen(copy_folder(self.folder, self.image))
         self.assertEqual(loaded.copies, {LOG_A: make_copy(2, b"second")})
@@ -149,14 +149,14 @@
     async def test_after_an_error_nothing_is_acknowledged(self):
         await self.make()
         disk = open_disk(self.folder)
-        full = OSError(errno.ENOSPC, "no space left")
-        go_on = self.hold_back(disk, lambda path: True, full)
+        disk_full = OSError(errno.ENOSPC, "no space left")
+        resume = self.block_writes(disk, lambda path: True, disk_full)
         add_records(disk, LOG_A, b"lost")
-        waiting = [await self.begin_group(disk)]
+        waiting = [await self.start_group(disk)]
         add_records(disk, LOG_B, b"next")
         waiting.append(asyncio.create_task(disk.sync()))
         await asyncio.sleep(0)
-        go_on.set()
+        resume.set()
         for result in await asyncio.gather(*waiting, return_exceptions=True):
             self.assertIsInstance(result, DiskError)
         self.assertIn("no space left", str(disk.failure))
@@ -170,9 +170,9 @@
         with self.assertRaises(DiskError):
             await disk.sync()
         await disk.close()
-        self.check_whole((await reopen(self.folder))[1])
+        self.check_complete((await reopen(self.folder))[1])
 
-    async def test_a_file_changed_by_others_fails_the_disk(self):
+    async def test_a_file_changed_by_another_process_fails_the_disk(self):
         disk = await make_folder(self.folder)
         os.truncate(self.folder / FILE_A, 60)
         add_records(disk, LOG_A, b"four")
@@ -180,7 +180,7 @@
             await disk.sync()
         await disk.close()
 
-    async def test_records_out_of_place_are_refused(self):
+    async def test_records_at_a_wrong_position_are_refused(self):
         disk = open_disk(self.folder)
         disk.open_epoch(LOG_A, make_copy(1, b"one"))
         for log, first in ((LOG_A, 0), (LOG_A, 2), (LOG_B, 0)):
--- a/waxwingglade/process/tests/test_half_takeover.py
+++ b/waxwingglade/process/tests/test_half_takeover.py
@@ -1,4 +1,4 @@
-"""An entry whose takeover broke off before the store had named it."""
+"""A repeated takeover by an entry whose first one failed before the store had registered it."""
 
 import unittest
 
@@ -21,12 +21,12 @@
 
 
 def ref(name: str) -> EntryRef:
-    """Return a made-up entry."""
+    """Return a reference to a fictitious entry."""
     return EntryRef(EntryId(name), Incarnation(f"i-{name}"), ZoneId("z"), f"tcp://{name}")
 
 
 class Directory:
-    """Names an owner, and takes no writes."""
+    """A directory that contains one record and refuses writes."""
 
     async def read(self, log, purpose=None):
         entry = LogEntry(FORMAT_VERSION, LOG, Epoch(2), ref("e3"), [ref("e0"), ref("e2")])
@@ -36,19 +36,20 @@
         return not_run(ErrorCode.STORE_UNAVAILABLE, "as far as this test goes")
 
 
-class HalfTakeover(unittest.IsolatedAsyncioTestCase):
-    async def attempt(self, own, owner):
-        """Return why `own` cannot take over a log whose copies name `owner`."""
+class RepeatedTakeover(unittest.IsolatedAsyncioTestCase):
+    async def try_takeover(self, own, owner):
+        """Return the error code of a takeover by `own` of a log whose copies name `owner`."""
 
         async def ask(_ref, _message):
             return Ok(LogFound(owner, Epoch(2), serving=False, owner_gone=False))
 
-        means = TakeoverContext(own, Directory(), ask, None, None, 2)
-        return (await take_over(means, LOG, None)).err_value.code
+        context = TakeoverContext(own, Directory(), ask, None, None, 2)
+        return (await take_over(context, LOG, None)).err_value.code
 
-    async def test_copies_that_take_it_for_the_owner_do_not_keep_it_from_trying_again(self):
-        # Its copies heard of it, the store's answer was lost: nobody else will look after the log.
-        self.assertIs(ErrorCode.STORE_UNAVAILABLE, await self.attempt(ref("e3"), ref("e3")))
+    async def test_copies_that_name_the_entry_itself_do_not_prevent_a_retry(self):
+        # The copies received its records but the store's answer was lost, so no other entry takes
+        # the log over.
+        self.assertIs(ErrorCode.STORE_UNAVAILABLE, await self.try_takeover(ref("e3"), ref("e3")))
 
-    async def test_copies_that_see_another_owner_do(self):
-        self.assertIs(ErrorCode.CONFLICT, await self.attempt(ref("e0"), ref("e3")))
+    async def test_copies_that_reach_another_owner_prevent_a_takeover(self):
+        self.assertIs(ErrorCode.CONFLICT, await self.try_takeover(ref("e0"), ref("e3")))
--- a/waxwingglade/process/tests/test_late_adoption.py
+++ b/waxwingglade/process/tests/test_late_adoption.py
@@ -1,4 +1,4 @@
-"""A leaving entry that comes to own another log while it gives its own away."""
+"""A draining entry that takes over another log while it hands over its own."""
 
 import unittest
 from unittest.mock import patch
@@ -8,22 +8,22 @@
 from waxwingglade.process.ownership import build_log
 from waxwingglade.process.tests.one_entry import one_entry
 
-ADOPTED = LogId("zone-1.other.i.home0")
+TAKEN_OVER = LogId("zone-1.other.i.home0")
 
 
-class LateAdoption(unittest.IsolatedAsyncioTestCase):
-    async def test_a_log_taken_over_meanwhile_is_given_away_too(self):
+class LateTakeover(unittest.IsolatedAsyncioTestCase):
+    async def test_a_log_taken_over_during_the_drain_is_handed_over(self):
         async with one_entry(drain_timeout_s=2.0) as running:
             entry = running.entry
-            given: list[LogId] = []
+            handed_over: list[LogId] = []
 
-            async def give_away(entry, owned):
-                if ADOPTED not in entry.owned:
-                    # A takeover that had begun before the drain comes to its end now.
-                    entry.owned[ADOPTED] = build_log(entry, ADOPTED, Epoch(2), [])
-                given.append(owned.log)
+            async def hand_over(entry, owned):
+                if TAKEN_OVER not in entry.owned:
+                    # A takeover that began before the drain completes now.
+                    entry.owned[TAKEN_OVER] = build_log(entry, TAKEN_OVER, Epoch(2), [])
+                handed_over.append(owned.log)
                 owned.fence(Epoch(owned.epoch + 1))
 
-            with patch.object(draining, "_give_away", give_away):
+            with patch.object(draining, "_give_away", hand_over):
                 await draining.drain(entry)
-        self.assertIn(ADOPTED, given)
+        self.assertIn(TAKEN_OVER, handed_over)
--- a/waxwingglade/process/tests/test_leaving_copies.py
+++ b/waxwingglade/process/tests/test_leaving_copies.py
@@ -1,21 +1,17 @@
-"""A leaving entry and the copies of logs that have just lost their owner.
-
-An entry was killed and a quarter of a second later another was told to stop; they held two of the
-three copies of a log.  Its programs could not be reached for the rest of the run: "the program is
-changing hands", and "1 of 3 copies answered, 2 are needed" at the third holder, again and again.
-
-The cause: a leaving entry waited until owners had replaced it as a holder, and counted only owners
-that it could see.  Once it took the killed one for gone, it left within milliseconds, while the
-third holder was about to take the logs over: it had done so for three of four, and needed both
-copies for the fourth.
-
-In another run the third holder was named in the store just before the kill and had not been sent
-the log yet: a majority of the new holders is enough for a change.  Only the leaving entry knew that
-the log had lost its owner, and it takes nothing over; it left after its 30 s.  So it asks a peer to
-do it.
-
-The evidence: the kept logs of seed 84 of the short form, in which the three were taken over 2.7 to
-2.8 s after the kill and the leaving entry ended 3.0 s after it.
+"""A draining entry retains its copies of logs that have just lost their owner.
+
+Guards against two failures, in which two of the three holders of a log go at almost the same time:
+
+- One holder is killed, and another is stopped a quarter of a second later.  The draining entry must
+  wait until owners have replaced it as a holder.  If it counts only reachable owners, it exits as
+  soon as it considers the killed one unreachable, while the third holder is still taking the logs
+  over.  Then "1 of 3 copies answered, 2 are needed", and the programs of the log stay unreachable.
+  In a recorded run, three of four logs were taken over 2.7 to 2.8 s after the kill; the draining
+  entry exited 3.0 s after it, before the fourth.
+- The third holder is named in the store just before the kill, but has not received the log yet, as
+  a majority of the new holders is enough for a change.  Only the draining entry knows that the log
+  has lost its owner, and it takes no log over.  So it has to ask a peer, instead of exiting at its
+  drain timeout of 30 s.
 """
 
 import asyncio
@@ -42,17 +38,17 @@
 from waxwingglade.process.tests.one_entry import OneEntry, one_entry
 
 LOG = LogId("zone-2.entry-1.i1.home0")
-NOBODY = "tcp://127.0.0.1:1"
-"""Where no entry listens."""
+UNUSED_ADDRESS = "tcp://127.0.0.1:1"
+"""Address at which no entry listens."""
 
-SOON_S = 0.4
-"""Seconds in which an entry with nothing to wait for has left."""
+EXIT_S = 0.4
+"""Seconds within which an entry with nothing to wait for has drained."""
 
 
-def reference(number: int) -> EntryRef:
-    """Return a peer, each in a zone of its own."""
+def make_ref(number: int) -> EntryRef:
+    """Return a peer in a zone of its own."""
     name, zone = EntryId(f"entry-{number}"), ZoneId(f"zone-{number + 1}")
-    return EntryRef(name, Incarnation(f"i{number}"), zone, peer_address=NOBODY)
+    return EntryRef(name, Incarnation(f"i{number}"), zone, peer_address=UNUSED_ADDRESS)
 
 
 class LeavingCopies(unittest.IsolatedAsyncioTestCase):
@@ -61,47 +57,48 @@
         context = one_entry(drain_timeout_s=5.0, durability=durability)
         self.running: OneEntry = await self.enterAsyncContext(context)
         self.entry = self.running.entry
-        self.lost, self.other = reference(1), reference(2)
-        self.entry.members.hear(self.other, EntryState.ALIVE, ConfigVersion(0))
-        holders = [self.lost, self.entry.own, self.other]
-        # The owner was never heard of by this entry, which amounts to one that is gone.
-        self.entry.copies.logs[LOG] = LogCopy(Epoch(1), Epoch(1), self.lost, holders, [])
-
-    async def leave(self) -> None:
-        """Leave, with no logs of its own."""
+        self.lost_owner, self.other_holder = make_ref(1), make_ref(2)
+        self.entry.members.hear(self.other_holder, EntryState.ALIVE, ConfigVersion(0))
+        holders = [self.lost_owner, self.entry.own, self.other_holder]
+        # This entry has never received a message of the owner, so it considers the owner
+        # unreachable.
+        self.entry.copies.logs[LOG] = LogCopy(Epoch(1), Epoch(1), self.lost_owner, holders, [])
+
+    async def drain(self) -> None:
+        """Drain the entry as if it owned no logs."""
         with (
             mock.patch.object(draining, "_give_all_away", mock.AsyncMock()),
             mock.patch.object(self.entry, "is_orphan", return_value=True),
         ):
             await draining.drain(self.entry)
 
-    async def test_the_copy_of_a_lost_owner_is_kept_until_the_log_was_taken_over(self) -> None:
-        leaving = asyncio.create_task(self.leave())
-        await asyncio.sleep(SOON_S)
-        self.assertFalse(leaving.done())
-        # The entry that has taken over says that the copy is not needed any more.
+    async def test_the_copy_of_a_lost_owner_is_retained_until_the_log_is_taken_over(self) -> None:
+        draining_task = asyncio.create_task(self.drain())
+        await asyncio.sleep(EXIT_S)
+        self.assertFalse(draining_task.done())
+        # The entry that has taken the log over reports that the copy is no longer needed.
         self.entry.copies.forget(LOG, Epoch(2))
-        async with asyncio.timeout(SOON_S):
-            await leaving
+        async with asyncio.timeout(EXIT_S):
+            await draining_task
 
-    async def test_a_takeover_that_was_not_heard_of_is_found_in_the_store(self) -> None:
-        taken = LogEntry(FORMAT_VERSION, LOG, Epoch(2), self.other, [self.other])
+    async def test_a_takeover_that_was_not_reported_is_found_in_the_store(self) -> None:
+        taken = LogEntry(FORMAT_VERSION, LOG, Epoch(2), self.other_holder, [self.other_holder])
         written = await self.entry.directory.write(taken, 0)
         self.assertTrue(written.is_ok())
         with mock.patch.object(ownership, "_serves", mock.AsyncMock(return_value=True)):
-            async with asyncio.timeout(4 * SOON_S):
-                await self.leave()
+            async with asyncio.timeout(4 * EXIT_S):
+                await self.drain()
         self.assertNotIn(LOG, self.entry.copies.logs)
 
-    async def test_a_leaving_entry_takes_no_log_over(self) -> None:
+    async def test_a_draining_entry_takes_no_log_over(self) -> None:
         with mock.patch.object(ownership, "take_over_log", mock.AsyncMock()) as take_over_log:
-            leaving = asyncio.create_task(self.leave())
-            await asyncio.sleep(SOON_S)
-            leaving.cancel()
-            await asyncio.gather(leaving, return_exceptions=True)
+            draining_task = asyncio.create_task(self.drain())
+            await asyncio.sleep(EXIT_S)
+            draining_task.cancel()
+            await asyncio.gather(draining_task, return_exceptions=True)
         take_over_log.assert_not_called()
 
-    async def test_a_peer_is_asked_to_take_over_what_only_a_leaving_entry_holds(self) -> None:
+    async def test_a_peer_is_asked_to_take_over_a_log_held_only_by_a_draining_entry(self) -> None:
         asked: list[PeerBody] = []
 
         async def request(body: PeerBody, timeout_s: float) -> Ok[LogTaken]:
@@ -112,21 +109,21 @@
 
         link = mock.Mock(request=request)
         with mock.patch.object(self.entry.links, "to", return_value=link):
-            async with asyncio.timeout(4 * SOON_S):
-                await self.leave()
+            async with asyncio.timeout(4 * EXIT_S):
+                await self.drain()
         self.assertEqual(asked, [TakeLog(LOG, True)])
 
-    async def test_others_are_asked_whether_the_owner_is_gone_unless_it_asks_itself(self) -> None:
+    async def test_the_owner_is_checked_unless_it_requested_the_takeover(self) -> None:
         refusal = mock.AsyncMock(return_value=not_run(ErrorCode.UNAVAILABLE, "not now"))
         for orphaned in (True, False):
             with mock.patch.object(draining, "take_over_log", refusal) as take_over_log:
                 await draining.take_from_leaving(self.entry, TakeLog(LOG, orphaned))
             self.assertEqual(take_over_log.call_args.kwargs, {"requested_by_owner": not orphaned})
 
-    async def test_nobody_is_waited_for_where_no_peer_is_left(self) -> None:
-        self.entry.members.hear(self.other, EntryState.DRAINING, ConfigVersion(0))
-        async with asyncio.timeout(SOON_S):
-            await self.leave()
+    async def test_a_drain_does_not_wait_if_no_peer_stays(self) -> None:
+        self.entry.members.hear(self.other_holder, EntryState.DRAINING, ConfigVersion(0))
+        async with asyncio.timeout(EXIT_S):
+            await self.drain()
 
 
 if __name__ == "__main__":
--- a/waxwingglade/process/tests/test_locate.py
+++ b/waxwingglade/process/tests/test_locate.py
@@ -1,4 +1,4 @@
-"""Finding owners without asking the store more often than needed."""
+"""Lookup of owners without unnecessary reads of the store."""
 
 import asyncio
 import unittest
@@ -10,18 +10,18 @@
 UNKNOWN = LogId("zone-9.gone.i.home0")
 
 
-class Lookups(unittest.IsolatedAsyncioTestCase):
-    async def test_all_that_wait_for_a_log_share_one_read_of_the_store(self):
+class OwnerLookups(unittest.IsolatedAsyncioTestCase):
+    async def test_concurrent_lookups_of_a_log_share_one_read_of_the_store(self):
         async with one_entry() as running:
             reads = 0
             read = running.entry.directory.read
 
-            async def counted(log, *more):
+            async def counted_read(log, *more):
                 nonlocal reads
                 reads += 1
                 return await read(log, *more)
 
-            running.entry.directory.read = counted
+            running.entry.directory.read = counted_read
             found = await asyncio.gather(
                 *(find_owner(running.entry, UNKNOWN, fresh=True) for _ in range(20))
             )
--- a/waxwingglade/process/tests/test_log_safety.py
+++ b/waxwingglade/process/tests/test_log_safety.py
@@ -1,4 +1,4 @@
-"""No acknowledged record is ever lost or reordered, whatever fails."""
+"""No acknowledged record is lost or reordered under any combination of faults."""
 
 import asyncio
 import os
@@ -15,15 +15,15 @@
 from waxwingglade.process.tests.virtual_time import run_in_virtual_time
 
 SEEDS = range(int(os.environ.get("WAXWINGGLADE_SEEDS", "300")))
-"""Seeds of the runs; the long form sets a higher number."""
+"""Seeds of the runs; the long form of the tests sets a higher number."""
 
-PLANTED_SEEDS = range(300)
+MUTANT_SEEDS = range(300)
 STEPS = 40
 ZONES = ("z0", "z0", "z1", "z1", "z2")
 
 
 class Run:
-    """One run of random faults, with what was acknowledged."""
+    """One run with random faults, and its acknowledged records."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -33,11 +33,11 @@
             Node(number, zone, self.network, self.store) for number, zone in enumerate(ZONES)
         ]
         self.acknowledged: list = []
-        self.before: dict = {}
+        self.acknowledged_before: dict = {}
         self.tasks: list[asyncio.Task] = []
 
-    async def go(self) -> list | None:
-        """Run, heal everything, and return the programs in the log that is left, if any is."""
+    async def execute(self) -> list | None:
+        """Run, remove all faults, and return the programs in the log, or None if it cannot be read."""
         first = self.nodes[0]
         first.owned = first.build(LOG, Epoch(1), [])
         await first.register()
@@ -48,10 +48,10 @@
         return await self.final_programs()
 
     def actions(self):
-        """Return what may happen next; appends are the most frequent."""
-        often = [self.append] * 8 + [self.adopt] * 2 + [self.change_holders] * 2
-        faults = [self.cut, self.cut, self.heal, self.toggle_store, self.lose_answers]
-        return [*often, *faults, self.kill]
+        """Return the possible next actions; appends are the most frequent."""
+        operations = [self.append] * 8 + [self.take_over] * 2 + [self.change_holders] * 2
+        faults = [self.partition, self.partition, self.heal, self.toggle_store, self.lose_answers]
+        return [*operations, *faults, self.kill]
 
     def append(self) -> None:
         for node in self.nodes:
@@ -63,13 +63,13 @@
         owned = node.owned
         if owned is None:
             return
-        self.before[program] = list(self.acknowledged)
+        self.acknowledged_before[program] = list(self.acknowledged)
         done = await owned.append(program, body)
-        # What a node that was killed meanwhile believes, nobody was told.
+        # A node that was killed meanwhile acknowledged nothing.
         if done.is_ok() and node.alive:
             self.acknowledged.append(program)
 
-    def adopt(self) -> None:
+    def take_over(self) -> None:
         node = self.chance.choice(self.nodes)
         if node.alive and node.owned is None:
             self.tasks.append(asyncio.create_task(node.adopt()))
@@ -79,7 +79,7 @@
         if node.alive:
             self.tasks.append(asyncio.create_task(node.change_holders()))
 
-    def cut(self) -> None:
+    def partition(self) -> None:
         one, other = self.chance.sample(self.nodes, 2)
         self.network.cut.add(frozenset((one.ref.incarnation, other.ref.incarnation)))
 
@@ -93,7 +93,7 @@
         self.store.lost_answers = self.chance.choice([0.0, 0.3])
 
     def kill(self) -> None:
-        """Kill a node for good; one dead at a time is what three copies are meant for."""
+        """Kill a node permanently, at most one per run: three copies tolerate one failed node."""
         if all(node.alive for node in self.nodes):
             self.chance.choice(self.nodes).alive = False
 
@@ -119,29 +119,29 @@
                 run, violations = run_once(seed)
                 self.assertEqual([], violations)
                 acknowledged += len(run.acknowledged)
-        self.assertGreater(acknowledged, 10 * len(SEEDS), "too little happened to show anything")
+        self.assertGreater(acknowledged, 10 * len(SEEDS), "too few records were acknowledged")
 
-    def test_too_few_sealed_copies_are_noticed(self):
+    def test_too_few_sealed_copies_are_detected(self):
         with mock.patch.object(takeover, "copies_to_seal", lambda copies: 1):
-            self.assertTrue(any(run_once(seed)[1] for seed in PLANTED_SEEDS))
+            self.assertTrue(any(run_once(seed)[1] for seed in MUTANT_SEEDS))
 
-    def test_an_owner_that_holds_copies_of_its_own_log_is_noticed(self):
+    def test_an_owner_that_holds_copies_of_its_own_log_is_detected(self):
         with mock.patch.object(Node, "owned_epoch", lambda node, log: None):
-            self.assertTrue(any(run_once(seed)[1] for seed in PLANTED_SEEDS))
+            self.assertTrue(any(run_once(seed)[1] for seed in MUTANT_SEEDS))
 
-    def test_holders_change_only_when_the_new_ones_have_everything(self):
-        self.assertEqual(1, run_in_virtual_time(change_to_holders_out_of_reach()))
+    def test_holders_change_only_when_the_new_ones_have_all_records(self):
+        self.assertEqual(1, run_in_virtual_time(change_to_unreachable_holders()))
 
-    def test_a_change_that_does_not_wait_for_the_new_holders_is_noticed(self):
+    def test_a_change_that_does_not_wait_for_the_new_holders_is_detected(self):
         async def ready(_log):
             return Ok(None)
 
         with mock.patch.object(OwnedLog, "wait_for_new_copies", ready):
-            self.assertEqual(0, run_in_virtual_time(change_to_holders_out_of_reach()))
+            self.assertEqual(0, run_in_virtual_time(change_to_unreachable_holders()))
 
 
-async def change_to_holders_out_of_reach() -> int:
-    """Change to holders that cannot be reached, lose the owner, and count what is left."""
+async def change_to_unreachable_holders() -> int:
+    """Change to unreachable holders, kill the owner, and count the copies of its only record."""
     run = Run(seed=1)
     owner, second, third, *others = run.nodes
     owner.owned = owner.build(LOG, Epoch(1), [], [owner.ref, second.ref, third.ref])
@@ -152,22 +152,24 @@
         run.network.cut.add(frozenset((owner.ref.incarnation, node.ref.incarnation)))
     await change_copies(owner.owned, [owner.ref, *(n.ref for n in others)], Directory(run.store))
     owner.alive = False
-    left = await run.final_programs()
-    return 0 if left is None else left.count(program)
+    remaining = await run.final_programs()
+    return 0 if remaining is None else remaining.count(program)
 
 
 def run_once(seed: int) -> tuple[Run, list[str]]:
-    """Run one seed and return the run with what is wrong with it."""
+    """Run one seed and return the run with its violations."""
     run = Run(seed)
-    left = run_in_virtual_time(run.go())
-    if left is None:
-        return run, ["nobody could take the log over"]
-    violations = [] if len(left) == len(set(left)) else ["a record stands twice"]
-    position = {program: index for index, program in enumerate(left)}
+    remaining = run_in_virtual_time(run.execute())
+    if remaining is None:
+        return run, ["no node could take the log over"]
+    violations = [] if len(remaining) == len(set(remaining)) else ["a record is duplicated"]
+    position = {program: index for index, program in enumerate(remaining)}
     for program in run.acknowledged:
         if program not in position:
             violations.append(f"{program} was acknowledged and lost")
             continue
-        late = [p for p in run.before[program] if position.get(p, -1) > position[program]]
-        violations += [f"{earlier} stands after {program}" for earlier in late]
+        late = [
+            p for p in run.acknowledged_before[program] if position.get(p, -1) > position[program]
+        ]
+        violations += [f"{earlier} was reordered after {program}" for earlier in late]
     return run, violations
