--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -54,23 +54,23 @@
         open_log(entry, CutPolicy.HOME)
 
 
-def open_log(entry: Entry, cut: CutPolicy) -> OwnedLog:
+def open_log(entry: Entry, cut_policy: CutPolicy) -> OwnedLog:
     """Create a log for new programs, without a request to a peer or the store."""
-    log = make_log_id(entry.own, cut.value, next(entry.log_numbers))
+    log = make_log_id(entry.own, cut_policy.value, next(entry.log_numbers))
     owned = build_log(entry, log, Epoch(1), [])
     entry.owned[log] = owned
-    entry.open_logs[cut].append(log)
+    entry.open_logs[cut_policy].append(log)
     return owned
 
 
-def log_for_new_program(entry: Entry, cut: CutPolicy) -> OwnedLog | None:
+def log_for_new_program(entry: Entry, cut_policy: CutPolicy) -> OwnedLog | None:
     """Return the open log with the fewest programs among those as fault tolerant as a new log.
 
     If there is none, a log is opened.  A change of a log's holders requires the store, while a new
     log does not; until its holders are changed, a log with few holders stalls once it loses one.
     """
-    roll_logs(entry, cut)
-    candidates = [entry.owned.get(log) for log in entry.open_logs[cut]]
+    roll_logs(entry, cut_policy)
+    candidates = [entry.owned.get(log) for log in entry.open_logs[cut_policy]]
     usable = [owned for owned in candidates if owned is not None and _can_append(entry, owned)]
     if not usable:
         return None
@@ -78,7 +78,7 @@
     tolerant = [
         owned for owned in usable if _spare_holders(owned) >= _excess_over_majority(copies, copies)
     ]
-    return min(tolerant or [open_log(entry, cut)], key=lambda owned: len(owned.programs))
+    return min(tolerant or [open_log(entry, cut_policy)], key=lambda owned: len(owned.programs))
 
 
 def _spare_holders(owned: OwnedLog) -> int:
@@ -91,21 +91,21 @@
     return alive - (copies // 2 + 1)
 
 
-def roll_logs(entry: Entry, cut: CutPolicy) -> None:
+def roll_logs(entry: Entry, cut_policy: CutPolicy) -> None:
     """Close logs that are full, fenced or partitioned from their copies, and open new ones."""
     limit = entry.settings.durability.programs_per_log
-    before = entry.open_logs[cut]
-    entry.open_logs[cut] = [
+    previous = entry.open_logs[cut_policy]
+    entry.open_logs[cut_policy] = [
         log
-        for log in before
+        for log in previous
         if (owned := entry.owned.get(log))
         and _can_append(entry, owned)
         and len(owned.programs) < limit
     ]
     if len(entry.members.usable()) + 1 < min_copies(entry):
         return
-    for _ in range(entry.settings.durability.logs_per_entry - len(entry.open_logs[cut])):
-        open_log(entry, cut)
+    for _ in range(entry.settings.durability.logs_per_entry - len(entry.open_logs[cut_policy])):
+        open_log(entry, cut_policy)
 
 
 def min_copies(entry: Entry) -> int:
--- a/waxwingglade/process/tests/test_half_takeover.py
+++ b/waxwingglade/process/tests/test_half_takeover.py
@@ -33,7 +33,7 @@
         return Ok(Versioned(entry, 7))
 
     async def write(self, entry, expected):
-        return not_run(ErrorCode.STORE_UNAVAILABLE, "as far as this test goes")
+        return not_run(ErrorCode.STORE_UNAVAILABLE, "the store refuses writes")
 
 
 class RepeatedTakeover(unittest.IsolatedAsyncioTestCase):
@@ -47,8 +47,8 @@
         return (await take_over(context, LOG, None)).err_value.code
 
     async def test_copies_that_name_the_entry_itself_do_not_prevent_a_retry(self):
-        # The copies received its records but the store's answer was lost, so no other entry takes
-        # the log over.
+        # The copies name the entry as the owner, but the store's answer was lost.  No other entry
+        # takes the log over then.
         self.assertIs(ErrorCode.STORE_UNAVAILABLE, await self.try_takeover(ref("e3"), ref("e3")))
 
     async def test_copies_that_reach_another_owner_prevent_a_takeover(self):
--- a/waxwingglade/process/tests/test_log_safety.py
+++ b/waxwingglade/process/tests/test_log_safety.py
@@ -37,7 +37,7 @@
         self.tasks: list[asyncio.Task] = []
 
     async def execute(self) -> list | None:
-        """Run, remove all faults, and return the programs in the log, or None if it cannot be read."""
+        """Run, remove all faults, and return the programs in the log; None if no takeover works."""
         first = self.nodes[0]
         first.owned = first.build(LOG, Epoch(1), [])
         await first.register()
@@ -141,7 +141,7 @@
 
 
 async def change_to_unreachable_holders() -> int:
-    """Change to unreachable holders, kill the owner, and count the copies of its only record."""
+    """Change to unreachable holders, kill the owner, and count its only record in the log."""
     run = Run(seed=1)
     owner, second, third, *others = run.nodes
     owner.owned = owner.build(LOG, Epoch(1), [], [owner.ref, second.ref, third.ref])
--- a/waxwingglade/process/unfinished.py
+++ b/waxwingglade/process/unfinished.py
@@ -15,7 +15,7 @@
 from waxwingglade.request.events import CallEvents
 from waxwingglade.request.tool_call import find_tool, idempotency_key
 
-LOST = "the entry that ran the call was lost; the call may have run"
+OUTCOME_UNKNOWN = "the entry that ran the call was lost; the call may have run"
 
 
 def resolve_unfinished(entry: Entry, owned: OwnedLog) -> None:
@@ -37,7 +37,9 @@
     entry: Entry, owned: OwnedLog, state: ProgramState, call_state: CallState, events: CallEvents
 ) -> None:
     running = entry.running_program(state)
-    outcome: Done | Failure = Failure(Verdict.MAY_HAVE_RUN, ErrorCode.OWNER_LOST, LOST, 1.0)
+    outcome: Done | Failure = Failure(
+        Verdict.MAY_HAVE_RUN, ErrorCode.OWNER_LOST, OUTCOME_UNKNOWN, 1.0
+    )
     try:
         answer = await _ask_tool(entry, state, call_state)
         if answer.is_ok():
@@ -57,10 +59,10 @@
     still send the call.
     """
     if not isinstance(call_state.call, ToolCall) or call_state.idempotent:
-        return may_have_run(ErrorCode.OWNER_LOST, LOST)
+        return may_have_run(ErrorCode.OWNER_LOST, OUTCOME_UNKNOWN)
     tool = find_tool(entry, call_state.call)
     if tool is None or not tool.answers_by_key:
-        return may_have_run(ErrorCode.OWNER_LOST, LOST)
+        return may_have_run(ErrorCode.OWNER_LOST, OUTCOME_UNKNOWN)
     for name in call_state.targets:
         target = entry.targets.get(name)
         if target is None:
@@ -68,4 +70,4 @@
         answer = await ask_outcome(entry.http, target, tool, idempotency_key(state, call_state.call))
         if answer.is_ok() and answer.ok_value is not None:
             return Ok(Done(result=answer.ok_value.result))
-    return may_have_run(ErrorCode.OWNER_LOST, LOST)
+    return may_have_run(ErrorCode.OWNER_LOST, OUTCOME_UNKNOWN)
