--- a/waxwingglade/process/disk.py
+++ b/waxwingglade/process/disk.py
@@ -10,8 +10,7 @@
 - When `sync` has returned, every change queued before the call is durable.  Only then may it be
   acknowledged to a peer.
 - Changes of one log become durable in the order in which they were queued.  After a crash, a log
-  is in the state after one of its changes, and not before the last one that a returned `sync`
-  covers.
+  is in the state after the last change that a returned `sync` covers, or after a later change.
 - Before `sync` has returned, changes of different logs may become durable in any order.
 - `open_epoch` replaces a copy atomically: a crash leaves the old content or the new one.  A large
   copy is written concurrently with the groups, so other logs do not wait for it if they are synced
--- a/waxwingglade/process/expiry.py
+++ b/waxwingglade/process/expiry.py
@@ -6,7 +6,7 @@
 
 from waxwingglade.process.entry import Entry
 from waxwingglade.process.owned_log import OwnedLog
-from waxwingglade.process.ownership import retire
+from waxwingglade.process.ownership import retire_log
 from waxwingglade.process.programs import end_program
 from waxwingglade.program import ProgramState
 
@@ -58,7 +58,7 @@
 
 
 async def _remove_log(entry: Entry, owned: OwnedLog) -> None:
-    removed = await retire(entry, owned)
+    removed = await retire_log(entry, owned)
     if removed.is_err():
         return
     for state in owned.programs.values():
--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -358,7 +358,7 @@
 # --- retirement ---------------------------------------------------------------------------------
 
 
-async def retire(entry: Entry, owned: OwnedLog) -> Outcome[None]:
+async def retire_log(entry: Entry, owned: OwnedLog) -> Outcome[None]:
     """Remove a log whose programs have all ended, and all of its copies."""
     removed = await entry.directory.remove(owned.log, owned.store_revision)
     if removed.is_err():
--- a/waxwingglade/process/takeover.py
+++ b/waxwingglade/process/takeover.py
@@ -1,7 +1,7 @@
 """Takeover of a log whose owner is unreachable or leaving.
 
-1. Ask the copies whether the owner is unreachable for them, too: an entry that is itself cut off by
-   a partition must not disrupt a healthy owner.  This step changes nothing.
+1. Ask the copies whether the owner is unreachable for them, too: a partitioned entry must not
+   disrupt a healthy owner.  This step changes nothing.
 2. Raise the epoch in the store by compare-and-swap, so that only one entry can continue.
 3. Seal enough copies that the previous owner can make no further record durable.  Among the sealed
    copies, the longest log of the highest epoch contains every durable record.
