--- a/waxwingglade/process/unfinished.py
+++ b/waxwingglade/process/unfinished.py
@@ -67,7 +67,9 @@
         target = entry.targets.get(name)
         if target is None:
             continue
-        answer = await ask_outcome(entry.http, target, tool, idempotency_key(state, call_state.call))
+        answer = await ask_outcome(
+            entry.http, target, tool, idempotency_key(state, call_state.call)
+        )
         if answer.is_ok() and answer.ok_value is not None:
             return Ok(Done(result=answer.ok_value.result))
     return may_have_run(ErrorCode.OWNER_LOST, OUTCOME_UNKNOWN)
