--- a/bench/crowd.py
+++ b/bench/crowd.py
@@ -65,7 +65,7 @@
     """Return the digest of an entry that knows all of `refs`."""
     members = Members(refs[0], DurabilitySettings())
     for ref in refs[1:]:
-        members.hear(ref, EntryState.ALIVE, VERSION)
+        members.record_contact(ref, EntryState.ALIVE, VERSION)
     return members.digest()
 
 
--- a/bench/spread_worker.py
+++ b/bench/spread_worker.py
@@ -22,7 +22,7 @@
 from waxwingglade.connection.store_budget import Purpose
 from waxwingglade.process.configuration import Configuration
 from waxwingglade.process.entry import Entry
-from waxwingglade.process.members import FEW_OF_ZONE, Heartbeats
+from waxwingglade.process.members import MEMBERS_PER_REMOTE_ZONE, Heartbeats
 from waxwingglade.process.peers import answer_peer
 from waxwingglade.settings import DurabilitySettings, ProcessSettings, StoreSettings
 from waxwingglade.version import (
@@ -170,7 +170,7 @@
     def greet(self, refs: list[EntryRef]) -> None:
         """Learn of some entries of each zone, begin to send heartbeats and follow the store."""
         entry = self.entry
-        entry.members.learn(known_of(entry.own.zone, refs))
+        entry.members.add_reported(known_of(entry.own.zone, refs))
         entry.heartbeats = Heartbeats(
             entry.members, entry.links, [], entry.config.digest, self.configuration.heard
         )
@@ -208,7 +208,12 @@
     by_zone: dict[ZoneId, list[EntryRef]] = {}
     for ref in random.sample(refs, len(refs)):
         by_zone.setdefault(ref.zone, []).append(ref)
-    few = [ref for other, there in by_zone.items() if other != zone for ref in there[:FEW_OF_ZONE]]
+    few = [
+        ref
+        for other, there in by_zone.items()
+        if other != zone
+        for ref in there[:MEMBERS_PER_REMOTE_ZONE]
+    ]
     return [*by_zone[zone], *few]
 
 
--- a/waxwingglade/process/drain.py
+++ b/waxwingglade/process/drain.py
@@ -50,7 +50,7 @@
 
 async def _tell_peers(entry: Entry) -> None:
     if entry.heartbeats is not None:
-        await entry.heartbeats.beat_all()
+        await entry.heartbeats.send_to_all()
 
 
 async def _give_all_away(entry: Entry) -> None:
@@ -111,7 +111,7 @@
 
 
 def _is_needed(entry: Entry, copy: LogCopy) -> bool:
-    if not entry.members.any_stays() or copy.owner is None:
+    if not entry.members.any_not_draining() or copy.owner is None:
         return False
     return any(entry.own.answers_to(ref.incarnation) for ref in copy.copies)
 
--- a/waxwingglade/process/entry.py
+++ b/waxwingglade/process/entry.py
@@ -172,7 +172,7 @@
 
         Its owner is gone, or it was sealed long ago by an entry that never came to own it.
         """
-        if copy.owner is None or self.members.gone(copy.owner):
+        if copy.owner is None or self.members.is_unreachable(copy.owner):
             return True
         if copy.owner.incarnation == self.incarnation and copy.promised == copy.epoch:
             # This process failed half-way through taking the log over.
--- a/waxwingglade/process/locate.py
+++ b/waxwingglade/process/locate.py
@@ -48,7 +48,7 @@
         return await _find_at_peers(entry, log)
     owner = stored.owner
     _cache_owner(entry, log, owner)
-    if entry.members.gone(owner):
+    if entry.members.is_unreachable(owner):
         text = "the entry that owns the program was lost; another is taking over"
         return not_run(ErrorCode.OWNER_UNAVAILABLE, text, RETRY_AFTER_S)
     return Ok(owner)
@@ -88,7 +88,7 @@
     if (
         cached is not None
         and entry.clock() - cached[1] < CACHE_TTL_S
-        and not entry.members.gone(cached[0])
+        and not entry.members.is_unreachable(cached[0])
     ):
         return cached[0]
     copy = entry.copies.logs.get(log)
--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -37,7 +37,7 @@
 RECENT = 0.8
 """Share of the heartbeat period within which a peer's own heartbeat makes one to it needless."""
 
-FEW_OF_ZONE = 3
+MEMBERS_PER_REMOTE_ZONE = 3
 """Entries of another zone that an entry wants to know of."""
 
 
@@ -75,13 +75,15 @@
         self.watched_since: dict[EntryId, float] = {}
         self.watches_everybody = True
 
-    def hear(self, ref: EntryRef, state: EntryState, config_version: ConfigVersion) -> None:
+    def record_contact(
+        self, ref: EntryRef, state: EntryState, config_version: ConfigVersion
+    ) -> None:
         """Note a direct sign of life."""
         if ref.entry == self.own.entry:
             return
         self.peers[ref.entry] = Peer(ref, state, self.clock(), config_version)
 
-    def learn(self, refs: list[EntryRef]) -> None:
+    def add_reported(self, refs: list[EntryRef]) -> None:
         """Note entries that a peer told of; they count as alive once they answer."""
         for ref in refs:
             if ref.entry == self.own.entry or ref.entry in self.peers:
@@ -98,21 +100,21 @@
             return False
         return self.clock() - peer.last_heard < self.settings.suspect_after_s
 
-    def staying(self, ref: EntryRef) -> bool:
+    def is_active(self, ref: EntryRef) -> bool:
         """Return whether an incarnation is alive and not about to leave."""
         if not self.alive(ref):
             return False
         peer = self.peers.get(ref.entry)
         return peer is None or peer.state is EntryState.ALIVE
 
-    def watch(self, watch: Watch) -> None:
+    def set_watched(self, watch: Watch) -> None:
         """Note with whom heartbeats are exchanged: of others, silence tells nothing."""
         now = self.clock()
         before = self.watched_since
         self.watched_since = {entry: before.get(entry, now) for entry in watch.entries}
         self.watches_everybody = watch.everybody
 
-    def gone(self, ref: EntryRef) -> bool:
+    def is_unreachable(self, ref: EntryRef) -> bool:
         """Return whether this incarnation has been silent for long enough to replace it."""
         if self.alive(ref):
             return False
@@ -131,7 +133,7 @@
             if peer.state is EntryState.ALIVE and self.alive(peer.ref)
         ]
 
-    def any_stays(self) -> bool:
+    def any_not_draining(self) -> bool:
         """Return whether a peer, alive or silent, has not said that it is about to leave."""
         return any(peer.state is EntryState.ALIVE for peer in self.peers.values())
 
@@ -148,7 +150,7 @@
         """Return this entry and the peers that were heard of lately."""
         return [self.own, *(p.ref for p in self.peers.values() if self.alive(p.ref))]
 
-    def forget_silent(self) -> None:
+    def forget_unresponsive(self) -> None:
         """Forget peers that were silent for so long that they will hardly come back."""
         limit = self.clock() - self.settings.forget_after_s
         for entry in [name for name, peer in self.peers.items() if peer.last_heard < limit]:
@@ -164,11 +166,11 @@
         """Return the entries that the sender of a heartbeat should be told of."""
         if self.watches_everybody or heartbeat.sender.zone == self.own.zone:
             return [] if heartbeat.members_digest == self.digest() else self.told()
-        return self.told()[:FEW_OF_ZONE] if heartbeat.wants_members else []
+        return self.told()[:MEMBERS_PER_REMOTE_ZONE] if heartbeat.wants_members else []
 
     def knows_few_of(self, zone: ZoneId) -> bool:
         """Return whether this entry could use to hear of more entries of a zone."""
-        return sum(peer.ref.zone == zone for peer in self.peers.values()) < FEW_OF_ZONE
+        return sum(peer.ref.zone == zone for peer in self.peers.values()) < MEMBERS_PER_REMOTE_ZONE
 
     def digest(self) -> int:
         """Return a hash of the entries known, equal on entries that know the same."""
@@ -240,7 +242,7 @@
 
     def answer(self, heartbeat: Heartbeat) -> HeartbeatReply:
         """Note a peer's heartbeat and return the reply to it."""
-        self.members.hear(heartbeat.sender, heartbeat.state, heartbeat.config_version)
+        self.members.record_contact(heartbeat.sender, heartbeat.state, heartbeat.config_version)
         self.on_config(heartbeat.sender, _config_of(heartbeat))
         known = self.members.misses(heartbeat)
         members, config = self.members, self.config()
@@ -248,7 +250,7 @@
             members.own, members.state, config.version, known, config.hash, config.confirmed
         )
 
-    async def beat_all(self) -> None:
+    async def send_to_all(self) -> None:
         """Send a heartbeat to every peer at once, without waiting for answers for long."""
         message = self.message()
         period_s = self.members.settings.heartbeat_s
@@ -268,12 +270,12 @@
     def _addresses(self) -> set[str]:
         """Choose whom to watch, and return where they are reached, the seeds included."""
         members = self.members
-        members.forget_silent()
+        members.forget_unresponsive()
         partners = self.partners()
-        members.learn(partners)
+        members.add_reported(partners)
         known = [peer.ref for peer in members.peers.values()]
         watch = choose_watched(members.own, known, partners, members.settings)
-        members.watch(watch)
+        members.set_watched(watch)
         addresses = {ref.peer_address for ref in known if ref.entry in watch.entries}
         return (addresses | set(self.seeds)) - {members.own.peer_address}
 
@@ -306,8 +308,8 @@
         return math.inf
 
     def _note(self, reply: HeartbeatReply) -> None:
-        self.members.learn(reply.members)
-        self.members.hear(reply.sender, reply.state, reply.config_version)
+        self.members.add_reported(reply.members)
+        self.members.record_contact(reply.sender, reply.state, reply.config_version)
         self.on_config(reply.sender, _config_of(reply))
 
 
--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -272,7 +272,7 @@
     alive = [
         ref
         for ref in copy.copies
-        if entry.members.staying(ref) and (stays or not entry.own.answers_to(ref.incarnation))
+        if entry.members.is_active(ref) and (stays or not entry.own.answers_to(ref.incarnation))
     ]
     ranked = rank(log, alive)
     places = [place for place, ref in enumerate(ranked) if entry.own.answers_to(ref.incarnation)]
@@ -281,7 +281,7 @@
 
 async def _serves(entry: Entry, ref: EntryRef, log: LogId) -> bool:
     """Ask an entry whether it owns a log or is taking it over."""
-    if entry.own.answers_to(ref.incarnation) or entry.members.gone(ref):
+    if entry.own.answers_to(ref.incarnation) or entry.members.is_unreachable(ref):
         return False
     answer = await _ask(entry, ref, FindLog(log))
     if answer.is_err() or not isinstance(answer.ok_value, LogFound):
--- a/waxwingglade/process/serving.py
+++ b/waxwingglade/process/serving.py
@@ -220,7 +220,9 @@
         return
     owner = found.ok_value
     link = entry.links.to(owner.peer_address, owner.incarnation)
-    answers = link.stream(PassedOn(request), PEER_SILENCE_S, lambda: not entry.members.gone(owner))
+    answers = link.stream(
+        PassedOn(request), PEER_SILENCE_S, lambda: not entry.members.is_unreachable(owner)
+    )
     async with contextlib.aclosing(answers):
         async for answer in answers:
             if answer.is_err():
--- a/waxwingglade/process/tests/test_configuration.py
+++ b/waxwingglade/process/tests/test_configuration.py
@@ -70,7 +70,7 @@
 
     def hear(self, peer: EntryRef) -> None:
         digest = self.ahead.active.digest()
-        self.entry.members.hear(peer, EntryState.ALIVE, digest.version)
+        self.entry.members.record_contact(peer, EntryState.ALIVE, digest.version)
         self.configuration.heard(peer, digest)
 
     async def settle(self) -> None:
--- a/waxwingglade/process/tests/test_drain.py
+++ b/waxwingglade/process/tests/test_drain.py
@@ -32,7 +32,7 @@
 
     def hear(self, state: EntryState) -> None:
         """Take a sign of life of the owner."""
-        self.members.hear(OWNER, state, ConfigVersion(1))
+        self.members.record_contact(OWNER, state, ConfigVersion(1))
 
     async def is_waiting(self) -> bool:
         """Return whether the entry still waits after its peers count as silent."""
--- a/waxwingglade/process/tests/test_leaving_copies.py
+++ b/waxwingglade/process/tests/test_leaving_copies.py
@@ -58,7 +58,7 @@
         self.running: OneEntry = await self.enterAsyncContext(context)
         self.entry = self.running.entry
         self.lost_owner, self.other_holder = make_ref(1), make_ref(2)
-        self.entry.members.hear(self.other_holder, EntryState.ALIVE, ConfigVersion(0))
+        self.entry.members.record_contact(self.other_holder, EntryState.ALIVE, ConfigVersion(0))
         holders = [self.lost_owner, self.entry.own, self.other_holder]
         # This entry has never received a message of the owner, so it considers the owner
         # unreachable.
@@ -121,7 +121,7 @@
             self.assertEqual(take_over_log.call_args.kwargs, {"requested_by_owner": not orphaned})
 
     async def test_a_drain_does_not_wait_if_no_peer_stays(self) -> None:
-        self.entry.members.hear(self.other_holder, EntryState.DRAINING, ConfigVersion(0))
+        self.entry.members.record_contact(self.other_holder, EntryState.DRAINING, ConfigVersion(0))
         async with asyncio.timeout(EXIT_S):
             await self.drain()
 
--- a/waxwingglade/process/tests/test_members.py
+++ b/waxwingglade/process/tests/test_members.py
@@ -26,7 +26,7 @@
         self.now = 10.0
 
     def hear(self, peer: EntryRef, state: EntryState = EntryState.ALIVE) -> None:
-        self.members.hear(peer, state, ConfigVersion(0))
+        self.members.record_contact(peer, state, ConfigVersion(0))
 
     def test_a_peer_is_alive_until_it_has_been_silent(self):
         self.hear(ref("a"))
@@ -34,50 +34,50 @@
         self.assertTrue(self.members.alive(ref("a")))
         self.now += 0.2
         self.assertFalse(self.members.alive(ref("a")))
-        self.assertTrue(self.members.gone(ref("a")))
+        self.assertTrue(self.members.is_unreachable(ref("a")))
 
     def test_an_incarnation_that_was_replaced_is_gone_at_once(self):
         self.hear(ref("a", "1"))
         self.hear(ref("a", "2"))
-        self.assertTrue(self.members.gone(ref("a", "1")))
+        self.assertTrue(self.members.is_unreachable(ref("a", "1")))
         self.assertTrue(self.members.alive(ref("a", "2")))
 
     def test_nobody_is_gone_before_there_was_time_to_hear_of_it(self):
         members = Members(ref("own"), SETTINGS, lambda: self.now)
-        self.assertFalse(members.gone(ref("a")))
+        self.assertFalse(members.is_unreachable(ref("a")))
         self.now += 2.0
-        self.assertTrue(members.gone(ref("a")))
+        self.assertTrue(members.is_unreachable(ref("a")))
 
     def test_what_others_tell_makes_nobody_alive(self):
-        self.members.learn([ref("a")])
+        self.members.add_reported([ref("a")])
         self.assertFalse(self.members.alive(ref("a")))
         self.assertIn(EntryId("a"), self.members.peers)
 
     def test_what_others_tell_does_not_replace_what_was_heard(self):
         self.hear(ref("a", "2"))
-        self.members.learn([ref("a", "1")])
+        self.members.add_reported([ref("a", "1")])
         self.assertTrue(self.members.alive(ref("a", "2")))
 
     def test_a_leaving_peer_is_alive_and_gets_nothing_new(self):
         self.hear(ref("a"), EntryState.DRAINING)
         self.assertTrue(self.members.alive(ref("a")))
-        self.assertFalse(self.members.staying(ref("a")))
+        self.assertFalse(self.members.is_active(ref("a")))
         self.assertEqual([], self.members.usable())
 
     def test_entries_that_know_the_same_have_the_same_digest(self):
         other = Members(ref("a"), SETTINGS, lambda: self.now)
         self.assertNotEqual(self.members.digest(), other.digest())
         self.hear(ref("a"))
-        other.hear(ref("own"), EntryState.ALIVE, ConfigVersion(0))
+        other.record_contact(ref("own"), EntryState.ALIVE, ConfigVersion(0))
         self.assertEqual(self.members.digest(), other.digest())
 
     def test_a_peer_is_forgotten_only_after_a_long_silence(self):
         self.hear(ref("a"))
         self.now += 99.0
-        self.members.forget_silent()
+        self.members.forget_unresponsive()
         self.assertIn(EntryId("a"), self.members.peers)
         self.now += 2.0
-        self.members.forget_silent()
+        self.members.forget_unresponsive()
         self.assertNotIn(EntryId("a"), self.members.peers)
 
 
@@ -130,27 +130,27 @@
 
     def test_silence_of_one_that_is_not_watched_tells_nothing(self):
         watched, other = self.away[0], self.away[1]
-        self.members.watch(Watch(frozenset({watched.entry}), everybody=False))
+        self.members.set_watched(Watch(frozenset({watched.entry}), everybody=False))
         self.now += 10.0
-        self.assertTrue(self.members.gone(watched))
-        self.assertFalse(self.members.gone(other))
+        self.assertTrue(self.members.is_unreachable(watched))
+        self.assertFalse(self.members.is_unreachable(other))
 
     def test_one_that_was_just_chosen_has_time_to_speak(self):
         self.now += 100.0
-        self.members.watch(Watch(frozenset({self.away[0].entry}), everybody=False))
-        self.assertFalse(self.members.gone(self.away[0]))
+        self.members.set_watched(Watch(frozenset({self.away[0].entry}), everybody=False))
+        self.assertFalse(self.members.is_unreachable(self.away[0]))
         self.now += 2.0
-        self.assertTrue(self.members.gone(self.away[0]))
+        self.assertTrue(self.members.is_unreachable(self.away[0]))
 
     def test_an_incarnation_that_was_replaced_is_gone_though_not_watched(self):
-        self.members.watch(Watch(frozenset(), everybody=False))
-        self.members.hear(ref("a", "2"), EntryState.ALIVE, ConfigVersion(0))
-        self.assertTrue(self.members.gone(ref("a", "1")))
+        self.members.set_watched(Watch(frozenset(), everybody=False))
+        self.members.record_contact(ref("a", "2"), EntryState.ALIVE, ConfigVersion(0))
+        self.assertTrue(self.members.is_unreachable(ref("a", "1")))
 
     def test_other_zones_are_told_of_few_and_only_on_request(self):
         for peer in self.at_home:
-            self.members.hear(peer, EntryState.ALIVE, ConfigVersion(0))
-        self.members.watch(Watch(frozenset(), everybody=False))
+            self.members.record_contact(peer, EntryState.ALIVE, ConfigVersion(0))
+        self.members.set_watched(Watch(frozenset(), everybody=False))
         for wants, told in ((True, 3), (False, 0)):
             beat = Heartbeat(self.away[0], EntryState.ALIVE, 0, ConfigVersion(0))
             beat = msgspec.structs.replace(beat, wants_members=wants)
--- a/waxwingglade/process/tests/test_new_programs.py
+++ b/waxwingglade/process/tests/test_new_programs.py
@@ -39,7 +39,7 @@
         """Let the entry hear of a peer in a zone of its own."""
         name, zone = EntryId(f"entry-{number}"), ZoneId(f"zone-{number + 1}")
         ref = EntryRef(name, Incarnation(f"i{number}"), zone, peer_address=NOBODY)
-        self.entry.members.hear(ref, EntryState.ALIVE, ConfigVersion(0))
+        self.entry.members.record_contact(ref, EntryState.ALIVE, ConfigVersion(0))
         return ref
 
     def holders(self, owned: OwnedLog | None) -> set[str]:
