--- a/bench/entry.py
+++ b/bench/entry.py
@@ -10,7 +10,7 @@
 from waxwingglade.base import ConfigVersion
 from waxwingglade.cli.serve import run_until_told
 from waxwingglade.process.daemon import Daemon
-from waxwingglade.process.entry import Entry, InForce
+from waxwingglade.process.entry import Entry, ResolvedPolicy
 from waxwingglade.process.logs import start_logging
 from waxwingglade.settings import Budget, ProgramPolicy, load_settings
 
@@ -25,7 +25,7 @@
     """Run one entry until it is told to stop."""
     settings = load_settings(path)
     start_logging(settings, lambda: ConfigVersion(0))
-    daemon = Daemon(Entry(settings, lambda *_: InForce(POLICY, ConfigVersion(0))))
+    daemon = Daemon(Entry(settings, lambda *_: ResolvedPolicy(POLICY, ConfigVersion(0))))
 
     async def start() -> None:
         await daemon.start()
--- a/bench/spread_worker.py
+++ b/bench/spread_worker.py
@@ -172,7 +172,7 @@
         entry = self.entry
         entry.members.add_reported(known_of(entry.own.zone, refs))
         entry.heartbeats = Heartbeats(
-            entry.members, entry.links, [], entry.config.digest, self.configuration.heard
+            entry.members, entry.links, [], entry.config.digest, self.configuration.on_peer_digest
         )
         self.configuration.start()
 
--- a/tests/prove/mutants.py
+++ b/tests/prove/mutants.py
@@ -132,7 +132,7 @@
 
 def drain_cuts() -> None:
     """Close at once when asked to leave."""
-    daemon.Daemon.leave = daemon.Daemon.stop
+    daemon.Daemon.drain_and_stop = daemon.Daemon.stop
 
 
 def configuration_reverts() -> None:
--- a/waxwingglade/cli/serve.py
+++ b/waxwingglade/cli/serve.py
@@ -45,7 +45,7 @@
         typer.echo(daemon.url)
         typer.echo(daemon.operator_url)
 
-    await run_until_told(start, daemon.leave, daemon.drain_asked)
+    await run_until_told(start, daemon.drain_and_stop, daemon.drain_requested)
 
 
 @standin_app.command("store")
--- a/waxwingglade/cli/tests/test_remote.py
+++ b/waxwingglade/cli/tests/test_remote.py
@@ -70,7 +70,7 @@
                 self.assertIn(text, status.output)
             self.assertEqual("entry-1", (await command.json("status"))["entry"])
             self.assertEqual(0, (await command.run("drain")).status)
-            self.assertTrue(running.daemons[0].drain_asked.is_set())
+            self.assertTrue(running.daemons[0].drain_requested.is_set())
 
 
 class Config(unittest.IsolatedAsyncioTestCase):
--- a/waxwingglade/process/__init__.py
+++ b/waxwingglade/process/__init__.py
@@ -6,8 +6,8 @@
 
 from waxwingglade.process.check import check_file
 from waxwingglade.process.daemon import Daemon
-from waxwingglade.process.entry import Entry, InForce
+from waxwingglade.process.entry import Entry, ResolvedPolicy
 from waxwingglade.process.logs import start_logging
 from waxwingglade.process.status import entry_status
 
-__all__ = ["Daemon", "Entry", "InForce", "check_file", "entry_status", "start_logging"]
+__all__ = ["Daemon", "Entry", "ResolvedPolicy", "check_file", "entry_status", "start_logging"]
--- a/waxwingglade/process/calls.py
+++ b/waxwingglade/process/calls.py
@@ -168,7 +168,7 @@
             outcome = await _run_in_order(entry, owned, state, running, request, events)
     finally:
         running.service_received_s += entry.clock() - started
-        entry.metrics.call_ended(state.created, entry.clock() - started)
+        entry.metrics.observe_call(state.created, entry.clock() - started)
         running.calls.pop(call.call, None)
         events.finish(outcome or _cut_short(owned))
 
--- a/waxwingglade/process/configuration.py
+++ b/waxwingglade/process/configuration.py
@@ -36,16 +36,16 @@
 
 TIDY_PERIOD_S = 600.0
 FETCH_TIMEOUT_S = 2.0
-MOST_FETCHES = 2
+MAX_FETCHES = 2
 """Peers asked at a time for one version: more than one, since the first may not answer."""
 
-STORE_PATIENCE_S = 4.0
+STORE_READ_LIMIT_S = 4.0
 """Seconds for which an entry that starts tries to read the store while peers are missing; with what
 the last reading takes, it is short of the six seconds within which a version is in force."""
 
 RETRY_S = 0.2
-LOOK_S = 0.02
-NOTHING_KNOWN = ConfigVersion(-1)
+POLL_S = 0.02
+NO_VERSION = ConfigVersion(-1)
 
 
 class Configuration:
@@ -64,7 +64,7 @@
         self.service = ConfigService(store, entry.own, entry.config, clock=entry.wall_clock)
         self.reports = VersionReports(entry.clock)
         self.fetching: set[EntryRef] = set()
-        self.store_asked = False
+        self.store_read_attempted = False
 
     def start(self) -> None:
         """Begin to follow the store where that is this entry's duty, and to keep a copy."""
@@ -81,18 +81,18 @@
         if folder is not None and self.active.current.version > 0:
             save_copy(Path(folder), self.active.current)
 
-    async def catch_up_first(self) -> None:
+    async def wait_until_current(self) -> None:
         """Wait for the version that the store or peers in sight have, before callers are served.
 
         Otherwise a process that was restarted would serve under an older version than before.
         Peers that are ahead are waited for no longer than for their signs of life.
         """
-        while not (self.store_asked or self.active.confirmed):
-            await asyncio.sleep(LOOK_S)
+        while not (self.store_read_attempted or self.active.confirmed):
+            await asyncio.sleep(POLL_S)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.entry.settings.durability.suspect_after_s):
                 while self._is_peer_ahead():
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_S)
         if not self.active.confirmed:
             logger.warning("neither the store nor a peer has confirmed the configuration")
 
@@ -103,7 +103,7 @@
 
     # --- peers --------------------------------------------------------------------------------
 
-    def heard(self, peer: EntryRef, digest: ConfigDigest) -> None:
+    def on_peer_digest(self, peer: EntryRef, digest: ConfigDigest) -> None:
         """Note which version a peer has in force, and fetch it if it is newer."""
         self.reports.report(peer.entry, digest)
         if self.active.is_behind(digest):
@@ -111,7 +111,7 @@
 
     def fetch_soon(self, peer: EntryRef, version: ConfigVersion) -> None:
         """Fetch a version that a peer has in force, unless enough peers are being asked."""
-        if peer in self.fetching or len(self.fetching) >= MOST_FETCHES:
+        if peer in self.fetching or len(self.fetching) >= MAX_FETCHES:
             return
         self.fetching.add(peer)
         self.entry.spawn(self._fetch(peer, version))
@@ -121,7 +121,7 @@
             done = await self._fetch_since(peer, self.active.current.version)
             if not done and self.active.current.version < version:
                 # The versions since then do not fit to what is in force here: take the whole.
-                await self._fetch_since(peer, NOTHING_KNOWN)
+                await self._fetch_since(peer, NO_VERSION)
         finally:
             self.fetching.discard(peer)
 
@@ -158,7 +158,7 @@
         try:
             await self._read_store()
         finally:
-            self.store_asked = True
+            self.store_read_attempted = True
         watching: asyncio.Task | None = None
         try:
             while True:
@@ -176,7 +176,7 @@
     async def _read_store(self) -> None:
         """Read the store, again if that fails while a peer that may know better is missing."""
         clock = self.entry.clock
-        end_at = clock() + STORE_PATIENCE_S
+        end_at = clock() + STORE_READ_LIMIT_S
         while (found := await catch_up(self.service.config_store, self.active)).is_err():
             logger.info("the configuration was not read: {}", found.err_value.message)
             if self.active.confirmed or self._sees_all_peers() or clock() >= end_at:
--- a/waxwingglade/process/daemon.py
+++ b/waxwingglade/process/daemon.py
@@ -12,7 +12,7 @@
 from waxwingglade.connection.peer import PeerServer
 from waxwingglade.connection.peer_messages import EntryState
 from waxwingglade.process.configuration import Configuration
-from waxwingglade.process.drain import LOOK_S, drain
+from waxwingglade.process.drain import POLL_S, drain
 from waxwingglade.process.duties import give_orders
 from waxwingglade.process.entry import Entry
 from waxwingglade.process.expiry import expire_programs
@@ -42,7 +42,7 @@
         self.operator_server: HTTPServer | None = None
         self.url = ""
         self.operator_url = ""
-        self.drain_asked = asyncio.Event()
+        self.drain_requested = asyncio.Event()
 
     async def start(self) -> None:
         """Open the sockets, greet the peers, open the logs and begin to serve."""
@@ -57,12 +57,12 @@
             entry.links,
             [peer.peer_address for peer in entry.settings.peers],
             entry.config.digest,
-            configuration.heard,
+            configuration.on_peer_digest,
             entry.log_partners,
         )
         configuration.start()
         await self._wait_for_peers()
-        await configuration.catch_up_first()
+        await configuration.wait_until_current()
         open_logs(entry)
         self._start_tasks()
         self._start_callers(peer_server, caller_sockets)
@@ -99,7 +99,7 @@
             lambda request: serve_counted(entry, request),
             lambda: entry.members.state is EntryState.ALIVE,
             [metrics_route(Scrape(entry, peer_server))],
-            entry.metrics.refused,
+            entry.metrics.count_refusal,
         )
         self.http_server = http_server(application, entry.settings.limits)
         self.http_server.add_sockets(sockets)
@@ -112,7 +112,7 @@
             entry,
             configuration,
             lambda request: serve_counted(entry, request),
-            self.drain_asked.set,
+            self.drain_requested.set,
         )
         sockets = bind_sockets(listen.operator_port, listen.address)
         self.operator_server = http_server(application, entry.settings.limits)
@@ -131,27 +131,27 @@
         except TimeoutError:
             logger.info("{} of {} peers answer", len(self.entry.members.usable()), wanted)
 
-    async def leave(self) -> None:
+    async def drain_and_stop(self) -> None:
         """Hand everything over, let callers have their answers, and close."""
         await drain(self.entry)
         if self.http_server is not None:
             # Connections that wait to be accepted are reset when the port closes, so the loop,
             # which may have stood still for long, accepts them first.
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
             self.http_server.stop()
         try:
             async with asyncio.timeout(self.entry.settings.drain_timeout_s):
                 await self._wait_for_requests()
         except TimeoutError:
-            logger.warning("closed with {} requests unanswered", self.entry.requests)
+            logger.warning("closed with {} requests unanswered", self.entry.active_requests)
         await self.stop()
 
     async def _wait_for_requests(self) -> None:
         """Wait until no request is under way, nor was for as long as one may take to be read."""
         quiet_s = 0.0
         while quiet_s < READ_S:
-            await asyncio.sleep(LOOK_S)
-            quiet_s = 0.0 if self.entry.requests else quiet_s + LOOK_S
+            await asyncio.sleep(POLL_S)
+            quiet_s = 0.0 if self.entry.active_requests else quiet_s + POLL_S
 
     async def stop(self) -> None:
         """Close everything at once."""
--- a/waxwingglade/process/drain.py
+++ b/waxwingglade/process/drain.py
@@ -23,7 +23,7 @@
 from waxwingglade.process.ownership import fallback_entry, take_over_log
 from waxwingglade.process.placement import rank
 
-LOOK_S = 0.05
+POLL_S = 0.05
 """Seconds between looks whether calls have ended and copies are needed no more."""
 
 TAKE_TIMEOUT_S = 10.0
@@ -62,7 +62,7 @@
             return
         tried.update(owned.log for owned in logs)
         await asyncio.gather(*(_give_away(entry, owned) for owned in logs))
-        await asyncio.sleep(0 if logs else LOOK_S)
+        await asyncio.sleep(0 if logs else POLL_S)
 
 
 async def _give_away(entry: Entry, owned: OwnedLog) -> None:
@@ -70,7 +70,7 @@
     owned.handing_over = True
     while not owned.fenced:
         if _calls_running(entry, owned):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
             continue
         if not owned.programs and not entry.members.usable():
             return
@@ -79,7 +79,7 @@
             answer = await link.request(TakeLog(owned.log), TAKE_TIMEOUT_S)
             if answer.is_ok() and isinstance(answer.ok_value, LogTaken):
                 return
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
 
 
 def _takers(entry: Entry, owned: OwnedLog) -> list[EntryRef]:
@@ -107,7 +107,7 @@
     copies.  So are peers that are silent: on a busy machine all of them may be for a moment.
     """
     while any(_is_needed(entry, copy) for copy in entry.copies.logs.values()):
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
 
 
 def _is_needed(entry: Entry, copy: LogCopy) -> bool:
@@ -116,7 +116,7 @@
     return any(entry.own.answers_to(ref.incarnation) for ref in copy.copies)
 
 
-async def take_from_leaving(entry: Entry, body: TakeLog) -> PeerBody:
+async def take_over_on_request(entry: Entry, body: TakeLog) -> PeerBody:
     """Take over a log on request of its owner, or of a leaving holder if the owner is gone."""
     if entry.members.state is EntryState.DRAINING:
         text = "this entry cannot take the log now"
--- a/waxwingglade/process/entry.py
+++ b/waxwingglade/process/entry.py
@@ -49,10 +49,10 @@
 if TYPE_CHECKING:
     from waxwingglade.process.configuration import Configuration
 
-PolicyFor = Callable[[PolicyPath], "InForce"]
+PolicyFor = Callable[[PolicyPath], "ResolvedPolicy"]
 
 
-class InForce(msgspec.Struct, frozen=True):
+class ResolvedPolicy(msgspec.Struct, frozen=True):
     """A resolved policy, and the version of the configuration that it comes from."""
 
     policy: ProgramPolicy
@@ -62,14 +62,15 @@
 class RunningProgram(msgspec.Struct):
     """What a program needs in the process that owns it, beyond its records.
 
-    `seen_at` is the monotonic time at which this process first met the program, less its age then,
-    in seconds; `blocks` is the hash chain of the last prompt.
+    `created_at_estimate` is the program's creation on this process's monotonic clock, in seconds,
+    derived from its age when this process first saw it; `blocks` is the hash chain of the last
+    prompt.
     """
 
     order: CallOrder
     calls: dict[CallId, CallEvents]
     tasks: set[asyncio.Task]
-    seen_at: float
+    created_at_estimate: float
     service_received_s: float = 0.0
     blocks: tuple[BlockHash, ...] = ()
 
@@ -131,12 +132,12 @@
         if self.disk is not None:
             self.copies.attach_disk(self.disk)
         self.running: dict[ProgramId, RunningProgram] = {}
-        self.created: dict[tuple[TenantId, CallId], ProgramId] = {}
+        self.programs_by_request: dict[tuple[TenantId, CallId], ProgramId] = {}
         self.tasks: set[asyncio.Task] = set()
         self.taking_over: set[LogId] = set()
         self.rescuing: set[LogId] = set()
         self.target_reports: dict[TargetId, TargetReport] = {}
-        self.requests = 0
+        self.active_requests = 0
         self.lookups: dict[LogId, asyncio.Task] = {}
         self.owner_cache: dict[LogId, tuple[EntryRef, float]] = {}
 
@@ -162,7 +163,7 @@
         self.copies.retain_demoted(owned)
         self.spawn(owned.stop())
         for program, state in owned.programs.items():
-            self.created.pop((state.created.tenant, state.created.request), None)
+            self.programs_by_request.pop((state.created.tenant, state.created.request), None)
             running = self.running.pop(program, None)
             for task in running.tasks if running else ():
                 task.cancel()
@@ -180,9 +181,9 @@
         patience_s = self.settings.durability.suspect_after_s
         return copy.promised > copy.epoch and self.clock() - copy.sealed_at > patience_s
 
-    def _policy_in_force(self, path: PolicyPath) -> InForce:
+    def _policy_in_force(self, path: PolicyPath) -> ResolvedPolicy:
         current = self.config.current
-        return InForce(current.resolve(path), current.version)
+        return ResolvedPolicy(current.resolve(path), current.version)
 
     def answers_to(self, name: str) -> bool:
         """Return whether messages meant for `name` are meant for this entry."""
@@ -195,7 +196,7 @@
             partners += copy.copies if copy.owner is None else [copy.owner, *copy.copies]
         return list({ref.entry: ref for ref in partners}.values())
 
-    def leave_disk(self) -> None:
+    def stop_using_disk(self) -> None:
         """Stop to hold copies under the data folder's name: the folder has failed."""
         self.own = msgspec.structs.replace(self.own, disk="")
         self.members.own = self.own
--- a/waxwingglade/process/expiry.py
+++ b/waxwingglade/process/expiry.py
@@ -63,5 +63,5 @@
         return
     for state in owned.programs.values():
         entry.running.pop(state.program, None)
-        entry.created.pop((state.created.tenant, state.created.request), None)
+        entry.programs_by_request.pop((state.created.tenant, state.created.request), None)
     logger.info("log {} removed: its {} programs ended", owned.log, len(owned.programs))
--- a/waxwingglade/process/log_requests.py
+++ b/waxwingglade/process/log_requests.py
@@ -18,7 +18,7 @@
     answer = _handle(entry, body)
     synced = await entry.copies.sync()
     if synced.is_err():
-        entry.leave_disk()
+        entry.stop_using_disk()
         return Refused(synced.err_value)
     return answer
 
--- a/waxwingglade/process/metrics.py
+++ b/waxwingglade/process/metrics.py
@@ -10,7 +10,7 @@
 
 PREFIX = "waxwingglade_"
 OTHER_CLASS = "other"
-MOST_CLASSES = 50
+MAX_CLASSES = 50
 """Program classes of a tenant with series of their own; bounded, as callers name classes."""
 
 TOKEN_BUCKETS_S = (0.005, 0.01, 0.02, 0.028, 0.05, 0.1, 0.2, 0.41, 1.0, 2.0, 5.0, float("inf"))
@@ -72,7 +72,7 @@
 
     # --- observing ----------------------------------------------------------------------------
 
-    def waited(self, created: Created, seconds: float) -> None:
+    def observe_queue_wait(self, created: Created, seconds: float) -> None:
         """Note how long a call waited for a target."""
         self.queue_wait.observe(self.labels(created), seconds)
 
@@ -91,15 +91,15 @@
 
         return note_text
 
-    def call_ended(self, created: Created, seconds: float) -> None:
+    def observe_call(self, created: Created, seconds: float) -> None:
         """Note the time that a call took."""
         self.call.observe(self.labels(created), seconds)
 
-    def program_ended(self, created: Created, ended_at: float) -> None:
+    def observe_program(self, created: Created, ended_at: float) -> None:
         """Note the time that a program took; `ended_at` is in seconds since 1970."""
         self.program.observe(self.labels(created), max(0.0, ended_at - created.created_at))
 
-    def refused(self, failure: Failure) -> None:
+    def count_refusal(self, failure: Failure) -> None:
         """Count a failure that was answered."""
         self.refusals.inc({"code": failure.code.value, "verdict": failure.verdict.value})
 
@@ -113,7 +113,7 @@
         """Return the labels of a program."""
         classes = self.known.setdefault(created.tenant, {})
         name = created.program_class
-        if name not in classes and len(classes) >= MOST_CLASSES:
+        if name not in classes and len(classes) >= MAX_CLASSES:
             name = ClassName(OTHER_CLASS)
         return classes.setdefault(name, {"tenant": created.tenant, "class": name})
 
--- a/waxwingglade/process/operating.py
+++ b/waxwingglade/process/operating.py
@@ -72,7 +72,7 @@
         *target_routes(entry),
         *config_routes(configuration),
     ]
-    return operator_application(entry.settings, routes, entry.metrics.refused)
+    return operator_application(entry.settings, routes, entry.metrics.count_refusal)
 
 
 def config_routes(configuration: Configuration) -> list[Route]:
--- a/waxwingglade/process/peers.py
+++ b/waxwingglade/process/peers.py
@@ -19,7 +19,7 @@
     TakeLog,
     TargetReports,
 )
-from waxwingglade.process.drain import take_from_leaving
+from waxwingglade.process.drain import take_over_on_request
 from waxwingglade.process.duties import take_reports
 from waxwingglade.process.entry import Entry
 from waxwingglade.process.log_requests import answer_log_request
@@ -38,7 +38,7 @@
         await _serve_passed_on(entry, body, reply)
         return
     if isinstance(body, TakeLog):
-        await reply(await take_from_leaving(entry, body), True)
+        await reply(await take_over_on_request(entry, body), True)
         return
     await reply(await _answer(entry, body), True)
 
--- a/waxwingglade/process/programs.py
+++ b/waxwingglade/process/programs.py
@@ -30,7 +30,7 @@
 
 async def create_program(entry: Entry, request: CreateProgram) -> ProgramView | Failure:
     """Create a program, or return the one that the same request created here before."""
-    known = entry.created.get((request.tenant, request.request))
+    known = entry.programs_by_request.get((request.tenant, request.request))
     owned = entry.log_for(known) if known else None
     if known and owned and known in owned.programs:
         return await read_program(owned, owned.programs[known])
@@ -43,7 +43,7 @@
         text = "no log of this entry has enough copies"
         return Failure(Verdict.NOT_RUN, ErrorCode.UNAVAILABLE, text, RETRY_AFTER_S)
     program = make_program_id(owned.log)
-    entry.created[(request.tenant, request.request)] = program
+    entry.programs_by_request[(request.tenant, request.request)] = program
     appended = await owned.append(program, created)
     if appended.is_err():
         return appended.err_value
@@ -132,7 +132,7 @@
         appended = await owned.append(state.program, ProgramEnded(reason, entry.wall_clock()))
         if appended.is_err():
             return appended.err_value
-        entry.metrics.program_ended(state.created, entry.wall_clock())
+        entry.metrics.observe_program(state.created, entry.wall_clock())
         with log_context(owned, state):
             logger.info("program ended")
         await _cancel_calls(entry, state)
--- a/waxwingglade/process/serving.py
+++ b/waxwingglade/process/serving.py
@@ -55,13 +55,13 @@
     entry: Entry, request: CallerRequest, passed_on: bool = False
 ) -> AsyncIterator[CallerEvent]:
     """Serve a request, and count it while it runs: a leaving entry waits for it."""
-    entry.requests += 1
+    entry.active_requests += 1
     try:
         async with contextlib.aclosing(serve(entry, request, passed_on)) as events:
             async for event in events:
                 yield event
     finally:
-        entry.requests -= 1
+        entry.active_requests -= 1
 
 
 async def serve(
--- a/waxwingglade/process/status.py
+++ b/waxwingglade/process/status.py
@@ -21,7 +21,7 @@
         state=entry.members.state.value,
         version=waxwingglade.__version__,
         config_version=entry.config.current.version,
-        requests=entry.requests,
+        requests=entry.active_requests,
         peers=[_peer_status(entry, peer) for _, peer in sorted(entry.members.peers.items())],
         logs=[_log_status(owned) for owned in entry.owned.values() if not owned.fenced],
         targets=_target_statuses(entry),
--- a/waxwingglade/process/tests/one_entry.py
+++ b/waxwingglade/process/tests/one_entry.py
@@ -10,7 +10,7 @@
 from waxwingglade.connection.peer_messages import CreateProgram, SubmitCall
 from waxwingglade.demo.embedded import TOOLS
 from waxwingglade.process.daemon import Daemon
-from waxwingglade.process.entry import Entry, InForce
+from waxwingglade.process.entry import Entry, ResolvedPolicy
 from waxwingglade.process.serving import serve
 from waxwingglade.program import Message, MessageRole, ModelCall, ToolCall
 from waxwingglade.settings import ProcessSettings, ProgramPolicy, parse_settings
@@ -50,7 +50,7 @@
         for standin in (self.store, self.engine, self.tool, self.platform):
             await standin.start()
         settings = parse_settings(self.settings(), ProcessSettings, "test")
-        in_force = InForce(self.policy, ConfigVersion(1))
+        in_force = ResolvedPolicy(self.policy, ConfigVersion(1))
         self.daemon = Daemon(Entry(settings, lambda *_: in_force))
         await self.daemon.start()
 
--- a/waxwingglade/process/tests/test_configuration.py
+++ b/waxwingglade/process/tests/test_configuration.py
@@ -17,8 +17,8 @@
 )
 from waxwingglade.connection.peer_messages import ConfigSnapshot, EntryState, FetchConfig
 from waxwingglade.process.configuration import (
-    MOST_FETCHES,
-    NOTHING_KNOWN,
+    MAX_FETCHES,
+    NO_VERSION,
     RETRY_S,
     Configuration,
 )
@@ -71,16 +71,16 @@
     def hear(self, peer: EntryRef) -> None:
         digest = self.ahead.active.digest()
         self.entry.members.record_contact(peer, EntryState.ALIVE, digest.version)
-        self.configuration.heard(peer, digest)
+        self.configuration.on_peer_digest(peer, digest)
 
     async def settle(self) -> None:
         while self.entry.tasks:
             await asyncio.sleep(0)
 
     async def test_it_serves_nobody_before_it_has_what_a_peer_has(self):
-        self.configuration.store_asked = True
+        self.configuration.store_read_attempted = True
         self.hear(PEERS[0])
-        waiting = asyncio.create_task(self.configuration.catch_up_first())
+        waiting = asyncio.create_task(self.configuration.wait_until_current())
         await asyncio.sleep(0.1)
         self.assertFalse(waiting.done())
         self.ahead.let.set()
@@ -88,11 +88,13 @@
         self.assertEqual(5, self.entry.config.current.version)
 
     async def test_it_waits_for_the_store_unless_a_peer_has_heard_from_it(self):
-        waiting = asyncio.create_task(self.configuration.catch_up_first())
+        waiting = asyncio.create_task(self.configuration.wait_until_current())
         await asyncio.sleep(0.1)
         self.assertFalse(waiting.done())
         own = self.entry.config.digest()
-        self.configuration.heard(PEERS[0], ConfigDigest(own.version, own.hash, confirmed=True))
+        self.configuration.on_peer_digest(
+            PEERS[0], ConfigDigest(own.version, own.hash, confirmed=True)
+        )
         await with_timeout(waiting)
         self.assertTrue(self.entry.config.confirmed)
 
@@ -107,7 +109,7 @@
         self.readings = self.enterContext(patch)
         reading = asyncio.create_task(self.configuration._do_duties())
         self.addCleanup(reading.cancel)
-        return asyncio.create_task(self.configuration.catch_up_first())
+        return asyncio.create_task(self.configuration.wait_until_current())
 
     async def test_it_serves_nobody_after_a_reading_of_the_store_that_failed(self):
         """Guards against an entry that goes back to the version of its settings by a restart."""
@@ -121,7 +123,7 @@
     async def test_it_serves_in_the_end_though_nobody_answers(self):
         with (
             mock.patch.object(self.configuration, "is_watcher", return_value=False),
-            mock.patch("waxwingglade.process.configuration.STORE_PATIENCE_S", SHORT_S),
+            mock.patch("waxwingglade.process.configuration.STORE_READ_LIMIT_S", SHORT_S),
         ):
             waiting = await self.read_store(NOT_READ, NOT_READ)
             await with_timeout(waiting)
@@ -134,7 +136,7 @@
         self.ahead.let.set()
         await with_timeout(self.settle())
         self.assertEqual(5, self.entry.config.current.version)
-        self.assertEqual([4] * MOST_FETCHES, self.ahead.asked)
+        self.assertEqual([4] * MAX_FETCHES, self.ahead.asked)
 
     async def test_what_does_not_follow_from_the_version_here_is_fetched_whole(self):
         other = replay(Tree(4, make_tree()), [next_record(Tree(4, make_tree()), set_value(9))])
@@ -142,5 +144,5 @@
         self.ahead.let.set()
         self.hear(PEERS[0])
         await with_timeout(self.settle())
-        self.assertEqual([4, NOTHING_KNOWN], self.ahead.asked)
+        self.assertEqual([4, NO_VERSION], self.ahead.asked)
         self.assertEqual(self.ahead.active.digest().hash, self.entry.config.digest().hash)
--- a/waxwingglade/process/tests/test_drain.py
+++ b/waxwingglade/process/tests/test_drain.py
@@ -7,7 +7,7 @@
 
 from waxwingglade.base import ConfigVersion, EntryId, EntryRef, Incarnation, LogId, ZoneId
 from waxwingglade.connection.peer_messages import EntryState
-from waxwingglade.process.drain import LOOK_S, _wait_for_copies
+from waxwingglade.process.drain import POLL_S, _wait_for_copies
 from waxwingglade.process.members import Members
 from waxwingglade.settings import DurabilitySettings
 
@@ -37,7 +37,7 @@
     async def is_waiting(self) -> bool:
         """Return whether the entry still waits after its peers count as silent."""
         waiting = asyncio.create_task(_wait_for_copies(self.entry))
-        await asyncio.sleep(SUSPECT_S + 2 * LOOK_S)
+        await asyncio.sleep(SUSPECT_S + 2 * POLL_S)
         ended = waiting.done()
         waiting.cancel()
         return not ended
--- a/waxwingglade/process/tests/test_leaving_copies.py
+++ b/waxwingglade/process/tests/test_leaving_copies.py
@@ -117,7 +117,7 @@
         refusal = mock.AsyncMock(return_value=not_run(ErrorCode.UNAVAILABLE, "not now"))
         for orphaned in (True, False):
             with mock.patch.object(draining, "take_over_log", refusal) as take_over_log:
-                await draining.take_from_leaving(self.entry, TakeLog(LOG, orphaned))
+                await draining.take_over_on_request(self.entry, TakeLog(LOG, orphaned))
             self.assertEqual(take_over_log.call_args.kwargs, {"requested_by_owner": not orphaned})
 
     async def test_a_drain_does_not_wait_if_no_peer_stays(self) -> None:
--- a/waxwingglade/process/tests/test_observing.py
+++ b/waxwingglade/process/tests/test_observing.py
@@ -13,7 +13,7 @@
 from waxwingglade.connection.tests.caller_builders import client, create, model_call, system
 from waxwingglade.demo.embedded import wait_until
 from waxwingglade.process.logs import start_logging
-from waxwingglade.process.metrics import MOST_CLASSES, OTHER_CLASS, Metrics
+from waxwingglade.process.metrics import MAX_CLASSES, OTHER_CLASS, Metrics
 from waxwingglade.program import Created
 from waxwingglade.settings import ProcessSettings, ProgramPolicy
 from waxwingglade.standins import EngineFaults, ToolFaults
@@ -66,11 +66,11 @@
 
     def test_callers_cannot_add_series_without_end(self):
         metrics = Metrics()
-        for number in range(MOST_CLASSES + 10):
+        for number in range(MAX_CLASSES + 10):
             created = Created("kettu", f"class-{number}", ProgramPolicy(), 0, 0.0, "r")
-            metrics.call_ended(created, 1.0)
+            metrics.observe_call(created, 1.0)
         classes = {labels["class"] for labels, _ in metrics.call.get_all()}
-        self.assertEqual(MOST_CLASSES + 1, len(classes))
+        self.assertEqual(MAX_CLASSES + 1, len(classes))
         self.assertIn(OTHER_CLASS, classes)
 
 
--- a/waxwingglade/process/tests/test_operating.py
+++ b/waxwingglade/process/tests/test_operating.py
@@ -94,7 +94,7 @@
                 self.assertEqual(401, answer.status)
             caller = ApiClient(http, running.urls[0], running.operator_tokens["adam"])
             self.assertEqual(401, (await caller.send("GET", "/v1/programs")).status)
-            self.assertTrue(running.daemons[0].drain_asked.is_set())
+            self.assertTrue(running.daemons[0].drain_requested.is_set())
 
 
 class Programs(unittest.IsolatedAsyncioTestCase):
--- a/waxwingglade/request/call_execution.py
+++ b/waxwingglade/request/call_execution.py
@@ -96,8 +96,8 @@
         program_class=created.program_class,
         policy=execution.policy,
         pool=pool,
-        created_at=running.seen_at,
-        deadline_at=_deadline_at(running.seen_at, entry.clock(), execution.policy),
+        created_at=running.created_at_estimate,
+        deadline_at=_deadline_at(running.created_at_estimate, entry.clock(), execution.policy),
         service_received_s=running.service_received_s,
         idempotent=execution.idempotent,
     )
@@ -122,7 +122,9 @@
     """
     requested_at = execution.entry.clock()
     granted = await execution.entry.dispatcher.acquire(work)
-    execution.entry.metrics.waited(execution.state.created, execution.entry.clock() - requested_at)
+    execution.entry.metrics.observe_queue_wait(
+        execution.state.created, execution.entry.clock() - requested_at
+    )
     if granted.is_err():
         return granted
     execution.grant = granted.ok_value
--- a/waxwingglade/request/tests/test_call_execution.py
+++ b/waxwingglade/request/tests/test_call_execution.py
@@ -5,7 +5,7 @@
 
 from waxwingglade.base import ConfigVersion, Failure, Verdict
 from waxwingglade.connection.peer_messages import EndProgram, ReadProgram
-from waxwingglade.process.entry import InForce
+from waxwingglade.process.entry import ResolvedPolicy
 from waxwingglade.process.tests.one_entry import TENANT, one_entry
 from waxwingglade.program import CallStarted, Done, decode_record
 from waxwingglade.settings import Budget, ProgramPolicy
@@ -102,7 +102,7 @@
             async with asyncio.timeout(20):
                 while not view.in_flight:
                     await asyncio.sleep(0.01)
-            newer_version = InForce(ProgramPolicy(max_output_tokens=3), ConfigVersion(2))
+            newer_version = ResolvedPolicy(ProgramPolicy(max_output_tokens=3), ConfigVersion(2))
             running.entry.policy_for = lambda path: newer_version
             second = await running.model(program, "m2", LONG_ANSWER)
             log = running.entry.log_for(program)
