--- a/waxwingglade/process/daemon.py
+++ b/waxwingglade/process/daemon.py
@@ -22,7 +22,7 @@
 from waxwingglade.process.peers import answer_peer
 from waxwingglade.process.release import release_ended
 from waxwingglade.process.sampling import sample_loads
-from waxwingglade.process.scrape import Scrape, metrics_route
+from waxwingglade.process.scrape import MetricsCollector, metrics_route
 from waxwingglade.process.serving import serve_counted
 from waxwingglade.process.sweep import sweep_caches
 from waxwingglade.process.vms import watch_vms
@@ -98,7 +98,7 @@
             entry.settings,
             lambda request: serve_counted(entry, request),
             lambda: entry.members.state is EntryState.ALIVE,
-            [metrics_route(Scrape(entry, peer_server))],
+            [metrics_route(MetricsCollector(entry, peer_server))],
             entry.metrics.count_refusal,
         )
         self.http_server = http_server(application, entry.settings.limits)
--- a/waxwingglade/process/duties/keeper.py
+++ b/waxwingglade/process/duties/controller.py
@@ -32,27 +32,27 @@
 SendOrder = Callable[[HttpClient, TargetSettings, EngineOrder, float], Awaitable[Outcome[None]]]
 
 
-class Awaited(msgspec.Struct, frozen=True):
+class PendingOrder(msgspec.Struct, frozen=True):
     """An order that was accepted at `since`, in monotonic seconds, and has to show its effect."""
 
     step: Step
     since: float
 
 
-class KeptTarget:
+class ManagedTarget:
     """What the holder knows of one target."""
 
     def __init__(self, settings: TargetSettings) -> None:
         self.settings = settings
         self.name = TargetId(settings.target)
-        self.awaited: Awaited | None = None
+        self.awaited: PendingOrder | None = None
         self.fence_raised = False
         self.seen_fencing = 0
         self.note = ""
         self.changed = asyncio.Event()
 
 
-class OrderKeeper:
+class OrderController:
     """Gives the orders of a zone during one term.
 
     Parameters
@@ -78,15 +78,15 @@
         self.permits = LoadPermits(term.settings.weight_store, term.clock)
         self.version: int | None = None
         self.desired: dict[TargetId, DesiredTarget] = {}
-        self.kept = [
-            KeptTarget(each) for each in models_in_zone(term.settings.targets, term.own.zone)
+        self.managed = [
+            ManagedTarget(each) for each in models_in_zone(term.settings.targets, term.own.zone)
         ]
 
     async def keep(self, wanted: Callable[[], bool] = lambda: True) -> None:
         """Give orders until the term is lost, or while `wanted`."""
         tasks = [start_task(self._follow())]
-        tasks += [start_task(self._keep_target(each)) for each in self.kept]
-        if any(not each.settings.honours_fencing for each in self.kept):
+        tasks += [start_task(self._keep_target(each)) for each in self.managed]
+        if any(not each.settings.honours_fencing for each in self.managed):
             tasks.append(start_task(self.term.wait_out()))
         try:
             await self.term.keep(wanted)
@@ -102,12 +102,12 @@
             if read.is_ok() and read.ok_value.version != self.version:
                 self.version = read.ok_value.version
                 self.desired = read.ok_value.targets
-                for target in self.kept:
+                for target in self.managed:
                     target.changed.set()
-            await self.reporter.tell_all()
+            await self.reporter.send_to_all()
             await self.term.sleep(self.settings.follow_s)
 
-    async def _keep_target(self, target: KeptTarget) -> None:
+    async def _keep_target(self, target: ManagedTarget) -> None:
         while self.term.may_act():
             pause_s = self.settings.read_back_s
             try:
@@ -117,7 +117,7 @@
                 logger.exception("giving orders to {} failed; trying again", target.name)
             await self._pause(target, pause_s)
 
-    async def _pause(self, target: KeptTarget, pause_s: float) -> None:
+    async def _pause(self, target: ManagedTarget, pause_s: float) -> None:
         """Wait, but not when the desired state has changed."""
         try:
             async with asyncio.timeout(pause_s):
@@ -126,7 +126,7 @@
             return
         target.changed.clear()
 
-    async def _look(self, target: KeptTarget) -> float:
+    async def _look(self, target: ManagedTarget) -> float:
         """Read a target's state back and give the next order; return the pause after it."""
         desired = self.desired.get(target.name)
         if desired is None:
@@ -152,7 +152,7 @@
             await self._give(target, step)
         return self.settings.read_back_s
 
-    def _fence_step(self, target: KeptTarget, state: EngineState) -> Step | None:
+    def _fence_step(self, target: ManagedTarget, state: EngineState) -> Step | None:
         """Return an order that changes nothing but the fencing number that the target has seen.
 
         Without it, a target that agrees would still take a late order of an earlier holder.
@@ -168,7 +168,7 @@
         return Step(OrderKind.SET_ROLE, state.role)
 
     def _may_give(
-        self, target: KeptTarget, step: Step, desired: DesiredTarget, state: EngineState
+        self, target: ManagedTarget, step: Step, desired: DesiredTarget, state: EngineState
     ) -> bool:
         """Return whether nothing has to be waited for; permits are taken."""
         if self._is_under_way(target, state):
@@ -184,7 +184,7 @@
             return False
         return True
 
-    def _is_under_way(self, target: KeptTarget, state: EngineState) -> bool:
+    def _is_under_way(self, target: ManagedTarget, state: EngineState) -> bool:
         """Return whether an accepted order still has time to show its effect."""
         awaited = target.awaited
         if awaited is None:
@@ -197,7 +197,7 @@
         target.awaited = None
         return False
 
-    async def _give(self, target: KeptTarget, step: Step) -> None:
+    async def _give(self, target: ManagedTarget, step: Step) -> None:
         """Send one order, if this entry still holds the duty."""
         if not target.settings.honours_fencing and not await self.term.renew():
             return
@@ -208,12 +208,12 @@
         if sent.is_ok():
             logger.info("{} was ordered: {}", target.name, step)
             target.note = f"ordered: {step}"
-            target.awaited = Awaited(step, self.term.clock())
+            target.awaited = PendingOrder(step, self.term.clock())
             target.fence_raised = True
             return
         await self._note_failure(target, step, sent.err_value)
 
-    async def _note_failure(self, target: KeptTarget, step: Step, failure: Failure) -> None:
+    async def _note_failure(self, target: ManagedTarget, step: Step, failure: Failure) -> None:
         target.note = f"{step}: {failure.message}"
         logger.warning("order to {} failed: {}", target.name, target.note)
         if step.loads and failure.verdict is Verdict.NOT_RUN:
@@ -222,7 +222,9 @@
             # The target has seen a higher number: the store says whether the duty is lost.
             await self.term.renew()
 
-    async def _report(self, target: KeptTarget, desired: DesiredTarget, state: EngineState) -> None:
+    async def _report(
+        self, target: ManagedTarget, desired: DesiredTarget, state: EngineState
+    ) -> None:
         await self.reporter.report(
             TargetReport(
                 target.name,
@@ -237,7 +239,7 @@
             )
         )
 
-    async def _report_unread(self, target: KeptTarget) -> None:
+    async def _report_unread(self, target: ManagedTarget) -> None:
         """Report that a target could not be read; what it serves stays as it was known."""
         known = self.reporter.reports.get(target.name)
         if known is not None:
--- a/waxwingglade/process/duties/reports.py
+++ b/waxwingglade/process/duties/reports.py
@@ -23,7 +23,7 @@
 TELL_TIMEOUT_S = 1.0
 
 
-def take_reports(entry: Entry, reports: list[TargetReport]) -> None:
+def apply_reports(entry: Entry, reports: list[TargetReport]) -> None:
     """Take in reports that are newer than those known, and route by them."""
     for report in reports:
         known = entry.target_reports.get(report.target)
@@ -80,9 +80,9 @@
         numbered = msgspec.structs.replace(report, number=self.number)
         self.reports[report.target] = numbered
         self.take([numbered])
-        await self.tell_all()
+        await self.send_to_all()
 
-    async def tell_all(self) -> None:
+    async def send_to_all(self) -> None:
         """Send every entry of the zone what it lacks."""
         own = self.members.own
         peers = [each for each in self.members.known() if each.zone == own.zone and each != own]
--- a/waxwingglade/process/duties/run.py
+++ b/waxwingglade/process/duties/run.py
@@ -7,10 +7,10 @@
 
 from waxwingglade.base import ErrorCode, LogId
 from waxwingglade.connection.peer_messages import EntryState
+from waxwingglade.process.duties.controller import OrderController
 from waxwingglade.process.duties.desired import models_in_zone, read_desired
-from waxwingglade.process.duties.keeper import OrderKeeper
 from waxwingglade.process.duties.lease import Term, acquire
-from waxwingglade.process.duties.reports import Reporter, take_reports
+from waxwingglade.process.duties.reports import Reporter, apply_reports
 from waxwingglade.process.entry import Entry
 from waxwingglade.process.placement import rank
 
@@ -63,10 +63,10 @@
 
 async def _hold(entry: Entry, term: Term) -> None:
     logger.info("gives the orders of zone {} with number {}", entry.own.zone, term.fencing)
-    take = functools.partial(take_reports, entry)
+    take = functools.partial(apply_reports, entry)
     reporter = Reporter(term.fencing, entry.members, entry.links, take)
     try:
-        await OrderKeeper(term, entry.http, reporter).keep(lambda: stays(entry))
+        await OrderController(term, entry.http, reporter).keep(lambda: stays(entry))
     finally:
         await term.resign()
     logger.info("gives the orders of zone {} no longer", entry.own.zone)
--- a/waxwingglade/process/duties/tests/builders.py
+++ b/waxwingglade/process/duties/tests/builders.py
@@ -9,8 +9,8 @@
 from waxwingglade.connection import EngineOrder, HttpClient, StoreClient, send_order
 from waxwingglade.connection.peer import PeerLinks
 from waxwingglade.connection.tests.store_builders import StoreTestCase, store_settings
+from waxwingglade.process.duties.controller import OrderController
 from waxwingglade.process.duties.desired import DesiredTarget, change_desired
-from waxwingglade.process.duties.keeper import OrderKeeper
 from waxwingglade.process.duties.lease import Term, acquire
 from waxwingglade.process.duties.reports import Reporter
 from waxwingglade.process.members import Members
@@ -85,7 +85,7 @@
         members = Members(term.own, DurabilitySettings())
         self.reports: list[Any] = []
         self.reporter = Reporter(term.fencing, members, PeerLinks(None), self.reports.extend)
-        self.keeper = OrderKeeper(term, http, self.reporter, self.send)
+        self.controller = OrderController(term, http, self.reporter, self.send)
         self.task: asyncio.Task | None = None
 
     async def send(
@@ -104,7 +104,7 @@
 
     def start(self) -> None:
         """Begin to give orders."""
-        self.task = asyncio.create_task(self.keeper.keep())
+        self.task = asyncio.create_task(self.controller.keep())
 
     async def stop(self) -> None:
         """End."""
--- a/waxwingglade/process/duties/tests/test_keeper.py
+++ b/waxwingglade/process/duties/tests/test_controller.py
@@ -41,7 +41,7 @@
         await until(lambda: note(holder).startswith("waits for the end of the previous"))
         looks = len(holder.reports)
         await self.ask_for("newer")
-        await until(lambda: len(holder.reports) > looks or holder.keeper.version == 2)
+        await until(lambda: len(holder.reports) > looks or holder.controller.version == 2)
         self.assertEqual([], orders(engine))
 
     async def test_a_holder_whose_clock_stood_still_learns_of_its_loss_before_an_order(self):
--- a/waxwingglade/process/duties/tests/test_reports.py
+++ b/waxwingglade/process/duties/tests/test_reports.py
@@ -5,7 +5,7 @@
 from waxwingglade.connection.peer_messages import TargetReport
 from waxwingglade.connection.tests.caller_builders import client, create, model_call
 from waxwingglade.demo.embedded import EmbeddedSettings, embedded
-from waxwingglade.process.duties.reports import take_reports
+from waxwingglade.process.duties.reports import apply_reports
 from waxwingglade.process.duties.tests.builders import QUICK, until
 from waxwingglade.process.tests.test_operating import OPERATORS, system
 from waxwingglade.settings import WeightStoreSettings
@@ -68,7 +68,7 @@
             entry = running.daemons[0].entry
 
             def report(fencing, number, *serving):
-                take_reports(entry, [TargetReport("engine-1", fencing, number, list(serving))])
+                apply_reports(entry, [TargetReport("engine-1", fencing, number, list(serving))])
                 return serves(running.daemons[0])
 
             report(2, 2, "new")
--- a/waxwingglade/process/duties/tests/test_two_holders.py
+++ b/waxwingglade/process/duties/tests/test_two_holders.py
@@ -63,7 +63,7 @@
             return self.engine.orders.last_fencing == holder.term.fencing
 
         await until(raised)
-        await until(lambda: holder.keeper.kept[0].seen_fencing == holder.term.fencing)
+        await until(lambda: holder.controller.managed[0].seen_fencing == holder.term.fencing)
         # As after a restart of the engine.
         self.engine.orders.last_fencing = 0
         await until(raised)
--- a/waxwingglade/process/peers.py
+++ b/waxwingglade/process/peers.py
@@ -20,12 +20,12 @@
     TargetReports,
 )
 from waxwingglade.process.drain import take_over_on_request
-from waxwingglade.process.duties import take_reports
+from waxwingglade.process.duties import apply_reports
 from waxwingglade.process.entry import Entry
 from waxwingglade.process.log_requests import answer_log_request
-from waxwingglade.process.sampling import take_loads
+from waxwingglade.process.sampling import apply_loads
 from waxwingglade.process.serving import serve_counted
-from waxwingglade.process.sweep import done_here
+from waxwingglade.process.sweep import releasable_here
 from waxwingglade.program import Delta, Reset
 
 SIGN_OF_LIFE_S = 1.0
@@ -47,12 +47,12 @@
     if isinstance(body, Heartbeat) and entry.heartbeats is not None:
         return entry.heartbeats.answer(body)
     if isinstance(body, CheckPrograms):
-        return ProgramsChecked(done_here(entry, body.programs))
+        return ProgramsChecked(releasable_here(entry, body.programs))
     if isinstance(body, LoadReports):
-        take_loads(entry, body.loads)
+        apply_loads(entry, body.loads)
         return Noted()
     if isinstance(body, TargetReports):
-        take_reports(entry, body.reports)
+        apply_reports(entry, body.reports)
         return Noted()
     if isinstance(body, FetchConfig) and entry.configuration is not None:
         return entry.configuration.answer(body)
--- a/waxwingglade/process/programs.py
+++ b/waxwingglade/process/programs.py
@@ -58,7 +58,9 @@
     in_force = entry.policy_for(path)
     policy = in_force.policy
     if request.budget is not None:
-        policy = msgspec.structs.replace(policy, budget=smaller(policy.budget, request.budget))
+        policy = msgspec.structs.replace(
+            policy, budget=smaller_budget(policy.budget, request.budget)
+        )
     return Created(
         tenant=request.tenant,
         program_class=request.program_class,
@@ -70,7 +72,7 @@
     )
 
 
-def smaller(configured: Budget, asked: Budget) -> Budget:
+def smaller_budget(configured: Budget, asked: Budget) -> Budget:
     """Return the smaller of two budgets, field by field: a caller can only lower its limits."""
     names = Budget.__struct_fields__
     return Budget(*(min(getattr(configured, name), getattr(asked, name)) for name in names))
@@ -85,10 +87,10 @@
     if durable.is_err():
         failure = durable.err_value
         return Failure(Verdict.NOT_RUN, failure.code, failure.message, failure.retry_after_s)
-    return view_of(owned, state)
+    return program_view(owned, state)
 
 
-def view_of(owned: OwnedLog, state: ProgramState) -> ProgramView:
+def program_view(owned: OwnedLog, state: ProgramState) -> ProgramView:
     """Return a program as a caller sees it."""
     account = owned.programs[state.root].account
     calls = [
--- a/waxwingglade/process/sampling.py
+++ b/waxwingglade/process/sampling.py
@@ -29,11 +29,11 @@
 
 
 async def _sample_once(entry: Entry) -> None:
-    read = await asyncio.gather(*(_read(entry, name) for name in own_share(entry)))
+    read = await asyncio.gather(*(_read(entry, name) for name in assigned_targets(entry)))
     loads = [load for load in read if load is not None]
     if not loads:
         return
-    take_loads(entry, loads)
+    apply_loads(entry, loads)
     peers = [ref for ref in entry.members.usable() if ref.zone == entry.own.zone]
     links = [entry.links.to(ref.peer_address, ref.incarnation) for ref in peers]
     message = LoadReports(loads)
@@ -41,7 +41,7 @@
     await asyncio.gather(*(link.request(message, period_s) for link in links))
 
 
-def own_share(entry: Entry) -> list[TargetId]:
+def assigned_targets(entry: Entry) -> list[TargetId]:
     """Return the model engines that this entry reads for its zone."""
     zone = entry.own.zone
     entries = [entry.own, *(ref for ref in entry.members.usable() if ref.zone == zone)]
@@ -64,7 +64,7 @@
     return TargetLoad(name, load.running, load.waiting, load.kv_used_fraction, age_s)
 
 
-def take_loads(entry: Entry, loads: list[TargetLoad]) -> None:
+def apply_loads(entry: Entry, loads: list[TargetLoad]) -> None:
     """Hand loads to the decisions."""
     for load in loads:
         report = LoadReport(load.running, load.waiting, load.cache_used, load.age_s)
--- a/waxwingglade/process/scrape.py
+++ b/waxwingglade/process/scrape.py
@@ -10,7 +10,7 @@
 FIRST_EPOCH = 1
 
 
-class Scrape:
+class MetricsCollector:
     """What was read last, so that counters rise by what is new.
 
     Parameters
@@ -60,7 +60,7 @@
         counter.add({"direction": "received"}, end.bytes_received - received)
 
 
-def metrics_route(scrape: Scrape) -> Route:
+def metrics_route(scrape: MetricsCollector) -> Route:
     """Return ``/metrics``; it needs no key, and names tenants and classes but no program."""
 
     async def get(handler: ApiHandler) -> None:
--- a/waxwingglade/process/sweep.py
+++ b/waxwingglade/process/sweep.py
@@ -15,7 +15,7 @@
 from waxwingglade.connection.peer_messages import CheckPrograms, ProgramsChecked
 from waxwingglade.process.entry import Entry
 from waxwingglade.process.locate import find_owner
-from waxwingglade.process.sampling import own_share
+from waxwingglade.process.sampling import assigned_targets
 
 ASK_TIMEOUT_S = 2.0
 
@@ -25,7 +25,7 @@
     suspected: dict[TargetId, set[ProgramId]] = {}
     while True:
         await asyncio.sleep(entry.settings.sampling.sweep_period_s)
-        for name in own_share(entry):
+        for name in assigned_targets(entry):
             try:
                 suspected[name] = await _sweep(entry, name, suspected.get(name, set()))
             except Exception:
@@ -38,14 +38,14 @@
     held = await held_programs(entry.http, target)
     if held.is_err():
         return before
-    done = await done_programs(entry, held.ok_value)
+    done = await releasable_programs(entry, held.ok_value)
     for program in done & before:
         logger.info("releasing cache on {} that program {} left behind", name, program)
         await release(entry.http, target, program)
     return done - before
 
 
-async def done_programs(entry: Entry, programs: list[ProgramId]) -> set[ProgramId]:
+async def releasable_programs(entry: Entry, programs: list[ProgramId]) -> set[ProgramId]:
     """Return the programs that certainly need no cache any more."""
     by_log: dict[LogId, list[ProgramId]] = {}
     for program in programs:
@@ -60,7 +60,7 @@
 
 async def _done_in_log(entry: Entry, log: LogId, programs: list[ProgramId]) -> list[ProgramId]:
     if log in entry.owned:
-        return done_here(entry, programs)
+        return releasable_here(entry, programs)
     owner: Outcome = await find_owner(entry, log)
     if owner.is_err():
         # Nobody knows the log: its programs ended long ago.  If it only cannot be had, wait.
@@ -72,7 +72,7 @@
     return answer.ok_value.done
 
 
-def done_here(entry: Entry, programs: list[ProgramId]) -> list[ProgramId]:
+def releasable_here(entry: Entry, programs: list[ProgramId]) -> list[ProgramId]:
     """Return which programs of logs owned here have ended, or are not known in them."""
     done = []
     for program in programs:
--- a/waxwingglade/process/vms.py
+++ b/waxwingglade/process/vms.py
@@ -36,13 +36,13 @@
         return
     while True:
         try:
-            await look_once(entry)
+            await poll_once(entry)
         except Exception:
             logger.exception("reading the list of VMs failed; trying again")
         await asyncio.sleep(entry.settings.platform.poll_s)
 
 
-async def look_once(entry: Entry) -> None:
+async def poll_once(entry: Entry) -> None:
     """Read the list and take new work from the targets that leave."""
     listed = await _read(entry)
     if listed is None:
