--- a/waxwingglade/process/__init__.py
+++ b/waxwingglade/process/__init__.py
@@ -1,6 +1,6 @@
-"""What lives as long as a process: an entry, its logs and copies, its peers and its duties.
+"""An entry process: its state, logs, copies, peers and duties.
 
-To run an entry inside a program of your own, load its settings, make an `Entry` and start a
+To embed an entry in another Python program, load its settings, create an `Entry` and start a
 `Daemon` on it.
 """
 
--- a/waxwingglade/process/calls.py
+++ b/waxwingglade/process/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the programs that this process owns."""
+"""Executes the calls of programs that this process owns."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -31,14 +31,14 @@
 from waxwingglade.request.tool_call import run_tool_call
 
 RETRY_AFTER_S = 1.0
-ORDER_WAIT_S = 30.0
-"""Seconds that a call waits for the calls before it."""
+ORDER_WAIT_LIMIT_S = 30.0
+"""Seconds that a call waits for the calls before it in its program."""
 
 
 async def submit(
     entry: Entry, owned: OwnedLog, state: ProgramState, request: SubmitCall
 ) -> AsyncIterator[CallerEvent]:
-    """Run a call and yield its events; join a running one, replay a recorded one.
+    """Run a call and yield its events; follow a running call, replay a recorded one.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
     state : ProgramState
         The program.
     request : SubmitCall
-        The call, and how much of its text the caller has.
+        The call, and the offset up to which the caller has its text.
 
     Yields
     ------
@@ -60,12 +60,12 @@
     events = running.calls.get(request.call.call)
     known = state.calls.get(request.call.call)
     first = events.call if events is not None else known.call if known is not None else None
-    if first is not None and first != _as_recorded(request.call, first):
+    if first is not None and first != _with_recorded_defaults(request.call, first):
         text = f"call {request.call.call} was made before with other content"
         yield Failure(Verdict.NOT_RUN, ErrorCode.CONFLICT, text)
         return
     if events is None and known is not None and known.outcome and not known.repeatable():
-        async for event in _recorded(owned, known, request.offset, request.attempt):
+        async for event in _replay_recorded(owned, known, request.offset, request.attempt):
             yield event
         return
     if events is None and owned.handing_over:
@@ -82,7 +82,7 @@
 
 
 async def _wait_for_handover(entry: Entry, owned: OwnedLog) -> Failure:
-    """Hold a new call until the log has its next owner; what is returned sends it there."""
+    """Delay a new call until another entry owns the log; return the failure that redirects it."""
     try:
         async with asyncio.timeout(entry.settings.drain_timeout_s):
             await owned.handed_over.wait()
@@ -92,8 +92,8 @@
     return Failure(Verdict.NOT_RUN, ErrorCode.FENCED, TAKEN_OVER, RETRY_AFTER_S)
 
 
-def _as_recorded(call: Call, recorded: Call) -> Call:
-    """Return `call` with the defaults that were filled in when it was recorded."""
+def _with_recorded_defaults(call: Call, recorded: Call) -> Call:
+    """Return `call` with the defaults that were set when it was recorded."""
     if isinstance(call, ModelCall) and isinstance(recorded, ModelCall) and call.max_tokens is None:
         return msgspec.structs.replace(call, max_tokens=recorded.max_tokens)
     return call
@@ -106,7 +106,7 @@
     return None
 
 
-async def _recorded(
+async def _replay_recorded(
     owned: OwnedLog, known: CallState, offset: int, attempt: str
 ) -> AsyncIterator[CallerEvent]:
     durable = await owned.wait_until_durable()
@@ -120,7 +120,7 @@
 async def follow(
     entry: Entry, owned: OwnedLog, state: ProgramState, request: FollowCall
 ) -> AsyncIterator[CallerEvent]:
-    """Yield the events of a call that was submitted before, from the offset in the request on."""
+    """Yield the events of a submitted call, starting at the offset in the request."""
     running = entry.running_program(state)
     events = running.calls.get(request.call)
     if events is not None:
@@ -131,7 +131,7 @@
     if known is None or known.outcome is None:
         yield Failure(Verdict.NOT_RUN, ErrorCode.NOT_FOUND, f"no call {request.call}")
         return
-    async for event in _recorded(owned, known, request.offset, request.attempt):
+    async for event in _replay_recorded(owned, known, request.offset, request.attempt):
         yield event
 
 
@@ -142,7 +142,7 @@
     running: RunningProgram,
     request: SubmitCall,
 ) -> CallEvents:
-    """Start a call as a task of its own: it goes on though its caller leaves."""
+    """Start a call in its own task, which continues when the caller disconnects."""
     on_text = entry.metrics.text_timer(state.created)
     events = CallEvents(new_nonce(), request.call, on_text)
     running.calls[request.call.call] = events
@@ -170,7 +170,7 @@
         running.service_received_s += entry.clock() - started
         entry.metrics.observe_call(state.created, entry.clock() - started)
         running.calls.pop(call.call, None)
-        events.finish(outcome or _cut_short(owned))
+        events.finish(outcome or _interrupted(owned))
 
 
 async def _run_in_order(
@@ -181,7 +181,7 @@
     request: SubmitCall,
     events: CallEvents,
 ) -> Done | Failure:
-    async with running.order.turn(state, request.call, ORDER_WAIT_S) as turn:
+    async with running.order.turn(state, request.call, ORDER_WAIT_LIMIT_S) as turn:
         if turn.is_err():
             return turn.err_value
         if request.history_length not in (None, len(state.history)):
@@ -192,8 +192,8 @@
     return outcome
 
 
-def _cut_short(owned: OwnedLog) -> Failure:
-    """Return what is told of a call that was cancelled, or broke off in an unforeseen way."""
+def _interrupted(owned: OwnedLog) -> Failure:
+    """Return the outcome of a call that was cancelled or that raised an unexpected exception."""
     if owned.fenced:
         return Failure(Verdict.MAY_HAVE_RUN, ErrorCode.FENCED, TAKEN_OVER, RETRY_AFTER_S)
     return Failure(Verdict.MAY_HAVE_RUN, ErrorCode.CANCELLED, "the call was cut short")
@@ -211,7 +211,7 @@
 
 
 async def run_sub_program(execution: CallExecution) -> Done | Failure:
-    """Create a sub-agent in the same log, so that one account covers both."""
+    """Create a sub-agent in the log of its program, so that both share one account."""
     owned, state = execution.owned, execution.state
     allowed = check_depth(state, owned.programs[state.root].created.policy.budget)
     if allowed.is_err():
--- a/waxwingglade/process/check.py
+++ b/waxwingglade/process/check.py
@@ -1,4 +1,4 @@
-"""Checking everything in a settings file, the first configuration included."""
+"""Validates a settings file, including the initial configuration in it."""
 
 from pathlib import Path
 
--- a/waxwingglade/process/config_store.py
+++ b/waxwingglade/process/config_store.py
@@ -1,4 +1,4 @@
-"""The store as the configuration sees it."""
+"""Adapts the client of the store to the interface that the configuration uses."""
 
 from collections.abc import AsyncIterator
 
@@ -17,7 +17,7 @@
 
 
 class ConfigStoreClient:
-    """Passes the configuration's reads, writes and watches on to the client of the store.
+    """Forwards reads, writes and watches of the configuration to the client of the store.
 
     Parameters
     ----------
@@ -29,7 +29,7 @@
         self.client = client
 
     async def get(self, key: str, purpose: str = "") -> Outcome[version.KeyValue | None]:
-        """Return a value, or None where the key is absent."""
+        """Return a value, or None if the key is absent."""
         found = await self.client.get(key, Purpose.CONFIG)
         return found.map(lambda item: _item(item) if item is not None else None)
 
@@ -50,7 +50,7 @@
     async def watch(
         self, prefix: str, from_revision: int, purpose: str = ""
     ) -> AsyncIterator[version.WatchEvent]:
-        """Report changes under `prefix` from a revision on."""
+        """Yield the changes under `prefix`, starting at a revision."""
         async for event in self.client.watch(prefix, from_revision):
             yield _event(event)
 
--- a/waxwingglade/process/configuration.py
+++ b/waxwingglade/process/configuration.py
@@ -1,7 +1,7 @@
-"""How an entry comes to the version in force: from the store, from peers, from its data folder.
+"""Keeps the configuration of an entry current, from the store, from peers and from its data folder.
 
-A couple of entries in each zone watch the store; the others hear of a new version by heartbeat and
-fetch it from the peer that has it, so it spreads without the store as well.
+Two entries in each zone watch the store.  The others learn of a new version from heartbeats and
+fetch it from the peer that has it, so versions also spread while the store is unavailable.
 """
 
 import asyncio
@@ -32,16 +32,17 @@
 WATCHERS_PER_ZONE = 2
 WATCH_DUTY = LogId("watch-configuration")
 TIDY_DUTY = LogId("tidy-configuration")
-"""Names by which entries are ranked for a duty."""
+"""Keys by which entries are ranked for a duty."""
 
 TIDY_PERIOD_S = 600.0
 FETCH_TIMEOUT_S = 2.0
 MAX_FETCHES = 2
-"""Peers asked at a time for one version: more than one, since the first may not answer."""
+"""Peers asked for a version at the same time; more than one, since the first may not answer."""
 
 STORE_READ_LIMIT_S = 4.0
-"""Seconds for which an entry that starts tries to read the store while peers are missing; with what
-the last reading takes, it is short of the six seconds within which a version is in force."""
+"""Seconds for which a starting entry retries to read the store while peers are missing.  Together
+with the duration of the last read, this is less than the six seconds within which a new version
+must be in force."""
 
 RETRY_S = 0.2
 POLL_S = 0.02
@@ -49,12 +50,12 @@
 
 
 class Configuration:
-    """What an entry needs to stay up to date.
+    """Keeps the configuration of an entry current.
 
     Parameters
     ----------
     entry : Entry
-        The process; its `config` is the version in force.
+        The process; its `config` holds the version in force.
     """
 
     def __init__(self, entry: Entry) -> None:
@@ -67,7 +68,7 @@
         self.store_read_attempted = False
 
     def start(self) -> None:
-        """Begin to follow the store where that is this entry's duty, and to keep a copy."""
+        """Begin to follow the store where that is this entry's duty, and to save a copy on disk."""
         self.entry.spawn(self._do_duties())
         self.entry.spawn(self._tidy())
         folder = self.entry.settings.data_folder
@@ -76,16 +77,16 @@
             self.entry.spawn(maintain_copy(self.active, Path(folder)))
 
     def stop(self) -> None:
-        """Copy what came since the last copy."""
+        """Save the version in force, which may be newer than the last copy on disk."""
         folder = self.entry.settings.data_folder
         if folder is not None and self.active.current.version > 0:
             save_copy(Path(folder), self.active.current)
 
     async def wait_until_current(self) -> None:
-        """Wait for the version that the store or peers in sight have, before callers are served.
+        """Wait, before callers are served, for the version that the store or a live peer has.
 
-        Otherwise a process that was restarted would serve under an older version than before.
-        Peers that are ahead are waited for no longer than for their signs of life.
+        Otherwise a restarted process would serve under an older version than before its restart.
+        The wait for peers that are ahead ends after `suspect_after_s`.
         """
         while not (self.store_read_attempted or self.active.confirmed):
             await asyncio.sleep(POLL_S)
@@ -104,13 +105,13 @@
     # --- peers --------------------------------------------------------------------------------
 
     def on_peer_digest(self, peer: EntryRef, digest: ConfigDigest) -> None:
-        """Note which version a peer has in force, and fetch it if it is newer."""
+        """Record which version a peer has in force, and fetch it if it is newer."""
         self.reports.report(peer.entry, digest)
         if self.active.is_behind(digest):
             self.fetch_soon(peer, digest.version)
 
     def fetch_soon(self, peer: EntryRef, version: ConfigVersion) -> None:
-        """Fetch a version that a peer has in force, unless enough peers are being asked."""
+        """Start to fetch a peer's version, unless `MAX_FETCHES` peers are already being asked."""
         if peer in self.fetching or len(self.fetching) >= MAX_FETCHES:
             return
         self.fetching.add(peer)
@@ -120,13 +121,13 @@
         try:
             done = await self._fetch_since(peer, self.active.current.version)
             if not done and self.active.current.version < version:
-                # The versions since then do not fit to what is in force here: take the whole.
+                # The newer records do not follow from the version here: fetch a full snapshot.
                 await self._fetch_since(peer, NO_VERSION)
         finally:
             self.fetching.discard(peer)
 
     async def _fetch_since(self, peer: EntryRef, known: ConfigVersion) -> bool:
-        """Ask for the versions after `known`; return whether there is nothing more to ask for."""
+        """Fetch the versions after `known`; return whether there is no need for a full snapshot."""
         link = self.entry.links.to(peer.peer_address, peer.incarnation)
         reply = await link.request(FetchConfig(known), FETCH_TIMEOUT_S)
         if reply.is_err() or not isinstance(reply.ok_value, ConfigSnapshot):
@@ -138,7 +139,7 @@
         return taken.is_ok() and taken.ok_value
 
     def answer(self, request: FetchConfig) -> ConfigSnapshot:
-        """Return what a peer lacks."""
+        """Return the versions that a peer lacks."""
         if request.known >= self.active.current.version:
             return ConfigSnapshot()
         recent = self.active.records_bytes(request.known)
@@ -147,14 +148,14 @@
     # --- store --------------------------------------------------------------------------------
 
     def is_watcher(self) -> bool:
-        """Return whether this entry is one of its zone's that watch the store."""
+        """Return whether this entry is one of those in its zone that watch the store."""
         own = self.entry.own
         zone = [ref for ref in self.entry.members.usable() if ref.zone == own.zone]
         first = rank(WATCH_DUTY, [own, *zone])[:WATCHERS_PER_ZONE]
         return own in first
 
     async def _do_duties(self) -> None:
-        """Read the store once, then watch it for as long as that is this entry's duty."""
+        """Read the store once, then watch it while that is this entry's duty."""
         try:
             await self._read_store()
         finally:
@@ -165,35 +166,35 @@
                 if self.is_watcher() and watching is None:
                     watching = start_task(self._watch())
                 elif not self.is_watcher() and watching is not None:
-                    await _end(watching)
+                    await _cancel(watching)
                     watching = None
-                self._forget_silent_peers()
+                self._forget_unresponsive_peers()
                 await asyncio.sleep(self.entry.settings.durability.heartbeat_s)
         finally:
             if watching is not None:
-                await _end(watching)
+                await _cancel(watching)
 
     async def _read_store(self) -> None:
-        """Read the store, again if that fails while a peer that may know better is missing."""
+        """Read the store; retry failures while a peer that may have a newer version is missing."""
         clock = self.entry.clock
         end_at = clock() + STORE_READ_LIMIT_S
         while (found := await catch_up(self.service.config_store, self.active)).is_err():
             logger.info("the configuration was not read: {}", found.err_value.message)
-            if self.active.confirmed or self._sees_all_peers() or clock() >= end_at:
+            if self.active.confirmed or self._reaches_all_peers() or clock() >= end_at:
                 return
             await asyncio.sleep(RETRY_S)
 
-    def _sees_all_peers(self) -> bool:
+    def _reaches_all_peers(self) -> bool:
         return len(self.entry.members.usable()) >= len(self.entry.settings.peers)
 
-    def _forget_silent_peers(self) -> None:
-        """Drop what entries reported that are not alive any more."""
+    def _forget_unresponsive_peers(self) -> None:
+        """Discard the reports of entries that are no longer alive."""
         alive = {ref.entry for ref in self.entry.members.known()}
         for entry in self.reports.reports.keys() - alive:
             self.reports.forget(entry)
 
     async def _watch(self) -> None:
-        """Follow the store, after making sure that it holds a configuration."""
+        """Follow the store, after seeding it if it holds no configuration."""
         pause_s = self.entry.settings.durability.suspect_after_s
         while True:
             found = await catch_up(self.service.config_store, self.active)
@@ -208,7 +209,7 @@
         await follow_store(self.service.config_store, self.active)
 
     async def _tidy(self) -> None:
-        """Remove old records from the store, if this entry ranks first of all."""
+        """Periodically remove old records from the store if this entry ranks first of all."""
         while True:
             await asyncio.sleep(TIDY_PERIOD_S)
             own = self.entry.own
@@ -216,7 +217,7 @@
                 await delete_old_records(self.service.config_store, self.entry.wall_clock())
 
 
-async def _end(task: asyncio.Task) -> None:
+async def _cancel(task: asyncio.Task) -> None:
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await task
--- a/waxwingglade/process/daemon.py
+++ b/waxwingglade/process/daemon.py
@@ -1,4 +1,4 @@
-"""An entry process from start to stop."""
+"""The lifecycle of an entry process, from start to stop."""
 
 import asyncio
 from functools import partial
@@ -27,9 +27,9 @@
 from waxwingglade.process.sweep import sweep_caches
 from waxwingglade.process.vms import watch_vms
 
-READ_S = 0.3
-"""Seconds without a request after which an entry that leaves closes its callers' connections: a
-request that was begun is read by then, also on a VM that stands still for a while."""
+REQUEST_READ_S = 0.3
+"""Seconds without a request after which a draining entry closes the connections of its callers.  A
+request that has begun to arrive is read within this time, also on a VM that stalls for a while."""
 
 
 class Daemon:
@@ -45,11 +45,11 @@
         self.drain_requested = asyncio.Event()
 
     async def start(self) -> None:
-        """Open the sockets, greet the peers, open the logs and begin to serve."""
+        """Open the sockets, contact the peers, open the logs and begin to serve."""
         entry = self.entry
         peer_server = PeerServer(entry.context, entry.answers_to, partial(answer_peer, entry))
         self.peer_server = peer_server
-        caller_sockets = self._take_addresses(peer_server)
+        caller_sockets = self._bind_addresses(peer_server)
         configuration = Configuration(entry)
         entry.configuration = configuration
         entry.heartbeats = Heartbeats(
@@ -69,8 +69,8 @@
         self._start_operators(configuration)
         logger.info("entry {} serves callers at {}", entry.own.entry, self.url)
 
-    def _take_addresses(self, peer_server: PeerServer) -> list[socket]:
-        """Open the peers' socket and bind the callers', whose addresses heartbeats carry."""
+    def _bind_addresses(self, peer_server: PeerServer) -> list[socket]:
+        """Open the peers' socket and bind the callers' sockets; heartbeats carry both addresses."""
         listen = self.entry.settings.listen
         bound_address = peer_server.start(listen.address, listen.peer_port)
         peer_address = listen.advertised_peer_address or bound_address
@@ -81,7 +81,7 @@
         return sockets
 
     def _start_tasks(self) -> None:
-        """Start what an entry does beside serving, each in a task of its own."""
+        """Start the background tasks of the entry."""
         entry = self.entry
         entry.spawn(maintain_logs(entry))
         entry.spawn(release_ended(entry))
@@ -92,7 +92,7 @@
         entry.spawn(give_orders(entry))
 
     def _start_callers(self, peer_server: PeerServer, sockets: list[socket]) -> None:
-        """Begin to serve callers at sockets that are bound already."""
+        """Begin to serve callers on sockets that are already bound."""
         entry = self.entry
         application = caller_application(
             entry.settings,
@@ -105,7 +105,7 @@
         self.http_server.add_sockets(sockets)
 
     def _start_operators(self, configuration: Configuration) -> None:
-        """Open the operators' port."""
+        """Open the port for operators."""
         entry = self.entry
         listen = entry.settings.listen
         application = operating_application(
@@ -121,22 +121,24 @@
         logger.info("entry {} serves operators at {}", entry.own.entry, self.operator_url)
 
     async def _wait_for_peers(self) -> None:
-        """Wait a little for the peers named in the settings, so that logs find their holders."""
+        """Wait up to `suspect_after_s` for the configured peers, so that new logs get copies."""
         wanted = len(self.entry.settings.peers)
-        patience_s = self.entry.settings.durability.suspect_after_s
+        wait_limit_s = self.entry.settings.durability.suspect_after_s
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(wait_limit_s):
                 while len(self.entry.members.usable()) < wanted:
                     await asyncio.sleep(self.entry.settings.durability.heartbeat_s / 5)
         except TimeoutError:
-            logger.info("{} of {} peers answer", len(self.entry.members.usable()), wanted)
+            logger.info(
+                "{} of {} configured peers reachable", len(self.entry.members.usable()), wanted
+            )
 
     async def drain_and_stop(self) -> None:
-        """Hand everything over, let callers have their answers, and close."""
+        """Hand over logs and copies, let callers receive their answers, and close."""
         await drain(self.entry)
         if self.http_server is not None:
-            # Connections that wait to be accepted are reset when the port closes, so the loop,
-            # which may have stood still for long, accepts them first.
+            # Connections in the backlog are reset when the port closes.  The event loop, which may
+            # have stalled for long, first gets time to accept them.
             await asyncio.sleep(POLL_S)
             self.http_server.stop()
         try:
@@ -147,14 +149,14 @@
         await self.stop()
 
     async def _wait_for_requests(self) -> None:
-        """Wait until no request is under way, nor was for as long as one may take to be read."""
-        quiet_s = 0.0
-        while quiet_s < READ_S:
+        """Wait until no request has been active for `REQUEST_READ_S`."""
+        idle_s = 0.0
+        while idle_s < REQUEST_READ_S:
             await asyncio.sleep(POLL_S)
-            quiet_s = 0.0 if self.entry.active_requests else quiet_s + POLL_S
+            idle_s = 0.0 if self.entry.active_requests else idle_s + POLL_S
 
     async def stop(self) -> None:
-        """Close everything at once."""
+        """Close everything immediately, without a drain."""
         entry = self.entry
         if self.http_server is not None:
             self.http_server.stop()
--- a/waxwingglade/process/drain.py
+++ b/waxwingglade/process/drain.py
@@ -1,8 +1,8 @@
-"""Leaving without cutting off a request.
+"""Drains an entry without interrupting a request.
 
-A leaving entry tells its peers, takes no new programs, lets the calls under way finish, hands each
-log to a peer as soon as no call of it runs, waits until other entries' logs no longer rely on
-its copies, and closes when its callers have their answers.
+A draining entry notifies its peers, accepts no new programs and lets running calls finish.  It
+hands each log over to a peer as soon as no call of the log runs.  Then it waits until the logs of
+other entries no longer depend on its copies, and closes when its callers have their answers.
 """
 
 import asyncio
@@ -24,49 +24,51 @@
 from waxwingglade.process.placement import rank
 
 POLL_S = 0.05
-"""Seconds between looks whether calls have ended and copies are needed no more."""
+"""Seconds between checks whether calls have ended and copies are still needed."""
 
 TAKE_TIMEOUT_S = 10.0
-"""Seconds for a peer to take a log over."""
+"""Seconds after which a request to a peer to take a log over times out."""
 
 RETRY_AFTER_S = 1.0
 
 
 async def drain(entry: Entry) -> None:
-    """Give away everything that others rely on, for as long as the settings allow.
+    """Hand over everything that others depend on, within `drain_timeout_s`.
 
-    Callers are still answered while this runs, and passed on to the new owners.
+    Meanwhile callers still get answers; their requests are forwarded to the new owners.
     """
     entry.members.state = EntryState.DRAINING
     try:
         async with asyncio.timeout(entry.settings.drain_timeout_s):
-            await _tell_peers(entry)
-            await _give_all_away(entry)
+            await _notify_peers(entry)
+            await _hand_over_all(entry)
             await _wait_for_copies(entry)
     except TimeoutError:
-        left = [log for log, owned in entry.owned.items() if not owned.fenced]
-        logger.warning("left with {} logs and {} copies", len(left), len(entry.copies.logs))
+        remaining = [log for log, owned in entry.owned.items() if not owned.fenced]
+        logger.warning(
+            "drain timed out with {} logs and {} copies", len(remaining), len(entry.copies.logs)
+        )
 
 
-async def _tell_peers(entry: Entry) -> None:
+async def _notify_peers(entry: Entry) -> None:
     if entry.heartbeats is not None:
         await entry.heartbeats.send_to_all()
 
 
-async def _give_all_away(entry: Entry) -> None:
-    """Hand over every log, those included whose takeover was under way when the leaving began."""
+async def _hand_over_all(entry: Entry) -> None:
+    """Hand over every log, including those whose takeover was running when the drain began."""
     tried: set[LogId] = set()
     while True:
         logs = [owned for log, owned in entry.owned.items() if log not in tried]
         if not logs and not entry.taking_over:
             return
         tried.update(owned.log for owned in logs)
-        await asyncio.gather(*(_give_away(entry, owned) for owned in logs))
+        await asyncio.gather(*(_hand_over(entry, owned) for owned in logs))
         await asyncio.sleep(0 if logs else POLL_S)
 
 
-async def _give_away(entry: Entry, owned: OwnedLog) -> None:
-    """Hand a log to the first peer that takes it, once no call of it runs."""
+async def _hand_over(entry: Entry, owned: OwnedLog) -> None:
+    """Hand a log over to the first peer that accepts it, once no call of the log runs."""
     owned.handing_over = True
     while not owned.fenced:
         if _calls_running(entry, owned):
@@ -74,7 +76,7 @@
             continue
         if not owned.programs and not entry.members.usable():
             return
-        for peer in _takers(entry, owned):
+        for peer in _handover_candidates(entry, owned):
             link = entry.links.to(peer.peer_address, peer.incarnation)
             answer = await link.request(TakeLog(owned.log), TAKE_TIMEOUT_S)
             if answer.is_ok() and isinstance(answer.ok_value, LogTaken):
@@ -82,8 +84,8 @@
         await asyncio.sleep(POLL_S)
 
 
-def _takers(entry: Entry, owned: OwnedLog) -> list[EntryRef]:
-    """Return the peers to ask: those that hold a copy already come first."""
+def _handover_candidates(entry: Entry, owned: OwnedLog) -> list[EntryRef]:
+    """Return the peers to ask, in order: those that already hold a copy come first."""
     holders = {ref.incarnation for ref in owned.copies}
     ranked = rank(owned.log, entry.members.usable())
     at_home = [ref for ref in ranked if ref.zone == entry.own.zone]
@@ -103,8 +105,8 @@
 async def _wait_for_copies(entry: Entry) -> None:
     """Wait until the owners of other logs have replaced this entry as a holder.
 
-    A log that has just lost its owner is waited for as well: whoever takes it over needs most
-    copies.  So are peers that are silent: on a busy machine all of them may be for a moment.
+    It also waits for a log that has just lost its owner, because the takeover needs a majority of
+    the copies, and for unresponsive peers, because on a busy machine all may be so for a moment.
     """
     while any(_is_needed(entry, copy) for copy in entry.copies.logs.values()):
         await asyncio.sleep(POLL_S)
@@ -117,7 +119,9 @@
 
 
 async def take_over_on_request(entry: Entry, body: TakeLog) -> PeerBody:
-    """Take over a log on request of its owner, or of a leaving holder if the owner is gone."""
+    """Take a log over on request of its draining owner, or of a draining holder of a copy if the
+    owner is unreachable.
+    """
     if entry.members.state is EntryState.DRAINING:
         text = "this entry cannot take the log now"
         return Refused(Failure(Verdict.NOT_RUN, ErrorCode.UNAVAILABLE, text, RETRY_AFTER_S))
--- a/waxwingglade/process/entry.py
+++ b/waxwingglade/process/entry.py
@@ -1,4 +1,4 @@
-"""What one entry process knows: state only, shared by the modules that act on it."""
+"""The state of an entry process, shared by the modules that act on it."""
 
 import asyncio
 import itertools
@@ -53,14 +53,14 @@
 
 
 class ResolvedPolicy(msgspec.Struct, frozen=True):
-    """A resolved policy, and the version of the configuration that it comes from."""
+    """The policy of a program, and the version of the configuration that it comes from."""
 
     policy: ProgramPolicy
     version: ConfigVersion
 
 
 class RunningProgram(msgspec.Struct):
-    """What a program needs in the process that owns it, beyond its records.
+    """State of a program in the process that owns it, beyond its records.
 
     `created_at_estimate` is the program's creation on this process's monotonic clock, in seconds,
     derived from its age when this process first saw it; `blocks` is the hash chain of the last
@@ -85,7 +85,7 @@
     policy_for : callable, optional
         Returns the policy of a program; by default that of the configuration in force.
     clock, wall_clock : Clock
-        Monotonic and calendar time in seconds.
+        Monotonic time, and time since 1970, in seconds.
     """
 
     def __init__(
@@ -153,9 +153,9 @@
         return answer
 
     def demote(self, owned: OwnedLog) -> None:
-        """Keep a log that was taken over as a mere copy, until its new owner replaces it.
+        """Turn a log that was taken over into a copy, until its new owner replaces it.
 
-        The new owner may fail before it has made copies of its own, and may need this one.
+        The new owner may fail before it has made its own copies, and this one may then be needed.
         """
         if self.owned.get(owned.log) is not owned or owned.fenced_by is None:
             return
@@ -169,24 +169,25 @@
                 task.cancel()
 
     def is_orphan(self, copy: LogCopy) -> bool:
-        """Return whether nobody seems to look after the log of a copy.
+        """Return whether the log of a copy seems to have no live owner.
 
-        Its owner is gone, or it was sealed long ago by an entry that never came to own it.
+        Its owner is unreachable, or an entry sealed it longer than `suspect_after_s` ago and never
+        came to own it.
         """
         if copy.owner is None or self.members.is_unreachable(copy.owner):
             return True
         if copy.owner.incarnation == self.incarnation and copy.promised == copy.epoch:
-            # This process failed half-way through taking the log over.
+            # A takeover of the log by this process failed before its end.
             return True
-        patience_s = self.settings.durability.suspect_after_s
-        return copy.promised > copy.epoch and self.clock() - copy.sealed_at > patience_s
+        timeout_s = self.settings.durability.suspect_after_s
+        return copy.promised > copy.epoch and self.clock() - copy.sealed_at > timeout_s
 
     def _policy_in_force(self, path: PolicyPath) -> ResolvedPolicy:
         current = self.config.current
         return ResolvedPolicy(current.resolve(path), current.version)
 
     def answers_to(self, name: str) -> bool:
-        """Return whether messages meant for `name` are meant for this entry."""
+        """Return whether messages addressed to `name` are for this entry."""
         return self.own.answers_to(name)
 
     def log_partners(self) -> list[EntryRef]:
@@ -197,19 +198,19 @@
         return list({ref.entry: ref for ref in partners}.values())
 
     def stop_using_disk(self) -> None:
-        """Stop to hold copies under the data folder's name: the folder has failed."""
+        """Stop holding copies under the name of the data folder, which has failed."""
         self.own = msgspec.structs.replace(self.own, disk="")
         self.members.own = self.own
 
     def set_addresses(self, peer_address: str, http_address: str) -> None:
-        """Fill in the addresses that were taken when the sockets were opened."""
+        """Set the addresses that were bound when the sockets were opened."""
         self.own = msgspec.structs.replace(
             self.own, peer_address=peer_address, http_address=http_address
         )
         self.members.own = self.own
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Run a coroutine as a task that ends with the process at the latest."""
+        """Run a coroutine as a task that is cancelled when the process stops."""
         task = start_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -222,7 +223,7 @@
         return None if owned is None or owned.fenced else owned
 
     def running_program(self, state: ProgramState) -> RunningProgram:
-        """Return what a program needs while this process owns it."""
+        """Return the state of a program that this process owns, creating it where needed."""
         running = self.running.get(state.program)
         if running is None:
             age_s = max(0.0, self.wall_clock() - state.created.created_at)
--- a/waxwingglade/process/listing.py
+++ b/waxwingglade/process/listing.py
@@ -1,4 +1,4 @@
-"""Programs of all entries in one list."""
+"""Lists the programs of all entries."""
 
 import asyncio
 import heapq
@@ -17,20 +17,20 @@
 from waxwingglade.program import ProgramState
 
 ANSWER_TIMEOUT_S = 2.0
-"""Seconds for a peer to list its programs."""
+"""Seconds after which a request to a peer for its programs times out."""
 
-SILENCE_NAMED_S = 60.0
-"""Seconds for which an entry that fell silent is named as one that did not answer."""
+REPORT_UNRESPONSIVE_S = 60.0
+"""Seconds since the last contact for which an unresponsive entry is listed as unanswered."""
 
 
-async def list_programs(entry: Entry, request: ListPrograms, passed_on: bool) -> ProgramListing:
-    """List programs of this entry and, unless the request was passed on, of all peers.
+async def list_programs(entry: Entry, request: ListPrograms, forwarded: bool) -> ProgramListing:
+    """List programs of this entry and, unless the request was forwarded, of all peers.
 
-    A program that changes hands at this moment may be missing, or named by two entries; it is
-    listed once.
+    A program whose log is being handed over may be missing.  One that two entries report is listed
+    once.
     """
     own = own_programs(entry, request)
-    if passed_on:
+    if forwarded:
         return ProgramListing(own)
     peers = [peer.ref for peer in entry.members.peers.values() if entry.members.alive(peer.ref)]
     answers = await asyncio.gather(*(_ask(entry, peer, request) for peer in peers))
@@ -40,22 +40,22 @@
         found.update({each.program: each for each in answer or []})
     programs = [found[name] for name in sorted(found)][: request.limit]
     next_after = programs[-1].program if len(programs) == request.limit else ""
-    return ProgramListing(programs, sorted(unanswered | _lately_silent(entry)), next_after)
+    return ProgramListing(programs, sorted(unanswered | _recently_unresponsive(entry)), next_after)
 
 
 def own_programs(entry: Entry, request: ListPrograms) -> list[ProgramSummary]:
-    """Return the programs of this entry that a request asks for, in the order of their ids."""
-    wanted = (
+    """Return the programs of this entry that match a request, ordered by id."""
+    matching = (
         _summary(entry, owned, state)
         for owned in entry.owned.values()
         if not owned.fenced
         for state in owned.programs.values()
-        if _is_wanted(state, request)
+        if _matches(state, request)
     )
-    return heapq.nsmallest(request.limit, wanted, key=lambda each: each.program)
+    return heapq.nsmallest(request.limit, matching, key=lambda each: each.program)
 
 
-def _is_wanted(state: ProgramState, request: ListPrograms) -> bool:
+def _matches(state: ProgramState, request: ListPrograms) -> bool:
     if request.tenant is not None and state.created.tenant != request.tenant:
         return False
     if state.program <= request.after:
@@ -87,12 +87,12 @@
     return listing.programs if isinstance(listing, ProgramListing) else None
 
 
-def _lately_silent(entry: Entry) -> set[str]:
-    """Return the entries that are known and fell silent a short time ago."""
+def _recently_unresponsive(entry: Entry) -> set[str]:
+    """Return the known entries that became unresponsive within `REPORT_UNRESPONSIVE_S`."""
     members = entry.members
     now = members.clock()
     return {
         peer.ref.entry
         for peer in members.peers.values()
-        if not members.alive(peer.ref) and now - peer.last_heard < SILENCE_NAMED_S
+        if not members.alive(peer.ref) and now - peer.last_heard < REPORT_UNRESPONSIVE_S
     }
--- a/waxwingglade/process/metrics.py
+++ b/waxwingglade/process/metrics.py
@@ -1,4 +1,4 @@
-"""What an entry counts and times, for Prometheus."""
+"""Counters and histograms of an entry, for Prometheus."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,8 @@
 PREFIX = "waxwingglade_"
 OTHER_CLASS = "other"
 MAX_CLASSES = 50
-"""Program classes of a tenant with series of their own; bounded, as callers name classes."""
+"""Program classes of a tenant that get their own series.  Limited because callers choose the
+names of classes."""
 
 TOKEN_BUCKETS_S = (0.005, 0.01, 0.02, 0.028, 0.05, 0.1, 0.2, 0.41, 1.0, 2.0, 5.0, float("inf"))
 CALL_BUCKETS_S = (0.01, 0.03, 0.1, 0.2, 0.41, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0, float("inf"))
@@ -29,7 +30,8 @@
     3600.0,
     float("inf"),
 )
-"""Upper bounds in seconds; among them the aims, 0.41 s to the first token and 28 ms between."""
+"""Upper bounds in seconds.  They include the goals of 0.41 s to the first token and 28 ms between
+tokens."""
 
 Labels = dict[str, str]
 
@@ -46,7 +48,7 @@
     def __init__(self, clock: Clock = monotonic) -> None:
         self.clock = clock
         self.registry = Registry()
-        self.known: dict[TenantId, dict[ClassName, Labels]] = {}
+        self.labels_by_class: dict[TenantId, dict[ClassName, Labels]] = {}
         self.first_token = self._histogram(
             "first_token_seconds", "From the arrival of a model call to its text.", TOKEN_BUCKETS_S
         )
@@ -73,45 +75,45 @@
     # --- observing ----------------------------------------------------------------------------
 
     def observe_queue_wait(self, created: Created, seconds: float) -> None:
-        """Note how long a call waited for a target."""
+        """Record how long a call waited for a target."""
         self.queue_wait.observe(self.labels(created), seconds)
 
     def text_timer(self, created: Created) -> Callable[[], None]:
-        """Return a function to be called at each piece of text of a call that begins now."""
+        """Return a function to call at each piece of text of a call that begins now."""
         labels = self.labels(created)
         last_at = self.clock()
         histogram = self.first_token
 
-        def note_text() -> None:
+        def observe_text() -> None:
             nonlocal last_at, histogram
             now = self.clock()
             histogram.observe(labels, now - last_at)
             last_at = now
             histogram = self.between_tokens
 
-        return note_text
+        return observe_text
 
     def observe_call(self, created: Created, seconds: float) -> None:
-        """Note the time that a call took."""
+        """Record the duration of a call."""
         self.call.observe(self.labels(created), seconds)
 
     def observe_program(self, created: Created, ended_at: float) -> None:
-        """Note the time that a program took; `ended_at` is in seconds since 1970."""
+        """Record the duration of a program; `ended_at` is in seconds since 1970."""
         self.program.observe(self.labels(created), max(0.0, ended_at - created.created_at))
 
     def count_refusal(self, failure: Failure) -> None:
-        """Count a failure that was answered."""
+        """Count a failure that was sent as an answer."""
         self.refusals.inc({"code": failure.code.value, "verdict": failure.verdict.value})
 
     # --- reading ------------------------------------------------------------------------------
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics and the headers in the format that an Accept header asks for."""
+        """Return the metrics in the format that an Accept header requests, and the headers."""
         return render(self.registry, [accept])
 
     def labels(self, created: Created) -> Labels:
         """Return the labels of a program."""
-        classes = self.known.setdefault(created.tenant, {})
+        classes = self.labels_by_class.setdefault(created.tenant, {})
         name = created.program_class
         if name not in classes and len(classes) >= MAX_CLASSES:
             name = ClassName(OTHER_CLASS)
--- a/waxwingglade/process/operating.py
+++ b/waxwingglade/process/operating.py
@@ -1,4 +1,4 @@
-"""What operators can do with an entry: the functions behind their HTTP interface."""
+"""The HTTP interface for operators of an entry."""
 
 import functools
 from collections.abc import Callable
@@ -37,8 +37,8 @@
     nested_tree,
 )
 
-LARGEST_HISTORY = 1000
-HISTORY_SIZE = 20
+MAX_HISTORY = 1000
+DEFAULT_HISTORY = 20
 
 
 def operating_application(
@@ -53,9 +53,9 @@
     configuration : Configuration
         The version in force and the operations on it.
     serve : Serve
-        Serves requests on programs.
+        Handles requests on programs.
     on_drain : callable
-        Called when an operator asks the entry to leave.
+        Called when an operator asks the entry to drain.
     """
 
     async def status(handler: ApiHandler) -> None:
@@ -76,7 +76,7 @@
 
 
 def config_routes(configuration: Configuration) -> list[Route]:
-    """Return the addresses of the configuration."""
+    """Return the routes of the configuration."""
 
     def bound(endpoint: Callable, least: Role) -> Callable:
         return needs(least, functools.partial(endpoint, configuration))
@@ -134,9 +134,9 @@
 
 
 async def _history(configuration: Configuration, handler: ApiHandler) -> None:
-    limit = query(handler.request, "limit", str(HISTORY_SIZE))
-    if not is_number(limit) or not 1 <= int(limit) <= LARGEST_HISTORY:
-        handler.fail(bad_request(f"limit is not a number from 1 to {LARGEST_HISTORY}"))
+    limit = query(handler.request, "limit", str(DEFAULT_HISTORY))
+    if not is_number(limit) or not 1 <= int(limit) <= MAX_HISTORY:
+        handler.fail(bad_request(f"limit is not a number from 1 to {MAX_HISTORY}"))
         return
     handler.finish_outcome((await configuration.service.history(int(limit))).map(VersionList))
 
@@ -173,7 +173,7 @@
 
 
 async def _approve(configuration: Configuration, handler: ApiHandler, name: str) -> None:
-    """Approve, and put the change in force where nothing more is missing."""
+    """Approve a proposal, and accept it if no other approval is missing."""
     body = handler.read_or_fail(ApproveBody)
     if body is None:
         return
--- a/waxwingglade/process/peers.py
+++ b/waxwingglade/process/peers.py
@@ -1,4 +1,4 @@
-"""Answers to what peers ask of this entry."""
+"""Handles requests of peers."""
 
 import asyncio
 import contextlib
@@ -28,14 +28,15 @@
 from waxwingglade.process.sweep import releasable_here
 from waxwingglade.program import Delta, Reset
 
-SIGN_OF_LIFE_S = 1.0
-"""Seconds of silence after which the entry that passed a request on is told that it goes on."""
+KEEPALIVE_INTERVAL_S = 1.0
+"""Seconds between messages to the entry that forwarded a request, which show that the request is
+still running."""
 
 
 async def answer_peer(entry: Entry, body: PeerBody, reply: Reply) -> None:
-    """Act on one request of a peer and send the replies to it."""
+    """Handle one request of a peer and send the replies to it."""
     if isinstance(body, PassedOn):
-        await _serve_passed_on(entry, body, reply)
+        await _serve_forwarded(entry, body, reply)
         return
     if isinstance(body, TakeLog):
         await reply(await take_over_on_request(entry, body), True)
@@ -59,10 +60,10 @@
     return await answer_log_request(entry, body)
 
 
-async def _serve_passed_on(entry: Entry, body: PassedOn, reply: Reply) -> None:
-    signs = start_task(_send_signs_of_life(reply))
+async def _serve_forwarded(entry: Entry, body: PassedOn, reply: Reply) -> None:
+    keepalives = start_task(_send_keepalives(reply))
     try:
-        events = serve_counted(entry, body.request, passed_on=True)
+        events = serve_counted(entry, body.request, forwarded=True)
         async with contextlib.aclosing(events):
             async for event in events:
                 last = not isinstance(event, Delta | Reset)
@@ -70,11 +71,12 @@
                 if last:
                     return
     finally:
-        signs.cancel()
+        keepalives.cancel()
 
 
-async def _send_signs_of_life(reply: Reply) -> None:
-    # One task for the whole answer: waiting for each event with a timeout needs one for each.
+async def _send_keepalives(reply: Reply) -> None:
+    # One task serves the whole answer.  A timeout on the wait for each event would need a task for
+    # each event.
     while True:
-        await asyncio.sleep(SIGN_OF_LIFE_S)
+        await asyncio.sleep(KEEPALIVE_INTERVAL_S)
         await reply(StillRunning(), False)
--- a/waxwingglade/process/placement.py
+++ b/waxwingglade/process/placement.py
@@ -1,4 +1,4 @@
-"""Which entries hold the copies of a log."""
+"""Chooses the entries that hold the copies of a log."""
 
 from collections.abc import Sequence
 
@@ -9,7 +9,7 @@
 
 
 def rank(log: LogId, refs: Sequence[EntryRef]) -> list[EntryRef]:
-    """Return entries in the order in which they are preferred for a log (rendezvous hashing)."""
+    """Return entries in their order of preference for a log, by rendezvous hashing."""
 
     def score(ref: EntryRef) -> int:
         return xxhash.xxh64_intdigest(f"{log}|{ref.entry}|{ref.incarnation}".encode())
@@ -24,7 +24,7 @@
     copies: int,
     holding: frozenset[Incarnation] = frozenset(),
 ) -> list[EntryRef]:
-    """Return the entries that should hold a log, the owner first.
+    """Return the entries that should hold the copies of a log, the owner first.
 
     Parameters
     ----------
@@ -33,19 +33,20 @@
     owner : EntryRef
         Its owner.
     usable : sequence of EntryRef
-        Peers that are alive and take new work.
+        Peers that are alive and accept new work.
     copies : int
-        Copies wanted, the owner's included.
+        Number of copies, including the owner's.
     holding : frozenset of Incarnation
-        Peers that hold the log already; they are preferred to others in the same place, but for
-        those with a data folder, which come first.
+        Peers that already hold the log.  Within their zone they are preferred to other peers, but
+        peers with a data folder come before those without one.
 
     Returns
     -------
     list of EntryRef
-        The kind of the log decides on zones: HOME keeps a majority in the owner's zone and the
-        rest elsewhere; SPREAD puts every other copy into another zone, each into a different one
-        where there are enough.  At most `copies` entries; fewer where there are not enough peers.
+        At most `copies` entries; fewer if there are not enough peers.  The kind of the log decides
+        on zones.  HOME keeps a majority in the owner's zone and the rest in other zones.  SPREAD
+        puts every copy but the owner's into another zone, and each into a different one if there
+        are enough zones.
     """
     holders = [ref.as_holder() for ref in usable]
 
@@ -64,7 +65,10 @@
 
 
 def is_spread(log: LogId, copies: Sequence[EntryRef]) -> bool:
-    """Return whether a log is to survive the loss of its owner's zone, and can: the owner first."""
+    """Return whether a log of the kind SPREAD survives the loss of its owner's zone.
+
+    `copies` lists the owner first.
+    """
     if cut_policy_of(log) is not CutPolicy.SPREAD:
         return False
     at_home = sum(ref.zone == copies[0].zone for ref in copies)
@@ -72,18 +76,18 @@
 
 
 def cut_policy_of(log: LogId) -> CutPolicy:
-    """Return which side of a cut zone goes on with the programs of a log."""
+    """Return which side of a network partition continues with the programs of a log."""
     return CutPolicy(kind_of(log))
 
 
 def _alternate_zones(refs: Sequence[EntryRef]) -> list[EntryRef]:
-    """Return entries so that neighbours are in different zones, each zone's order kept."""
+    """Return entries with the zones in rotation; the order within each zone stays."""
     by_zone: dict[str, list[EntryRef]] = {}
     for ref in refs:
         by_zone.setdefault(ref.zone, []).append(ref)
     result: list[EntryRef] = []
     while any(by_zone.values()):
-        for waiting in by_zone.values():
-            if waiting:
-                result.append(waiting.pop(0))
+        for zone_refs in by_zone.values():
+            if zone_refs:
+                result.append(zone_refs.pop(0))
     return result
--- a/waxwingglade/process/programs.py
+++ b/waxwingglade/process/programs.py
@@ -1,4 +1,4 @@
-"""Creating, reading and ending the programs that this process owns."""
+"""Creates, reads and ends programs that this process owns."""
 
 import asyncio
 
@@ -24,12 +24,12 @@
 
 
 def unknown_program(program: str) -> Failure:
-    """Return the answer for a program that does not exist, or is another tenant's."""
+    """Return the failure for a program that does not exist or belongs to another tenant."""
     return Failure(Verdict.NOT_RUN, ErrorCode.NOT_FOUND, f"no program {program}")
 
 
 async def create_program(entry: Entry, request: CreateProgram) -> ProgramView | Failure:
-    """Create a program, or return the one that the same request created here before."""
+    """Create a program, or return the one that the same request already created here."""
     known = entry.programs_by_request.get((request.tenant, request.request))
     owned = entry.log_for(known) if known else None
     if known and owned and known in owned.programs:
@@ -37,7 +37,7 @@
     if entry.members.state is EntryState.DRAINING:
         text = "this entry is leaving; ask another"
         return Failure(Verdict.NOT_RUN, ErrorCode.DRAINING, text, RETRY_AFTER_S)
-    created = _first_record(entry, request)
+    created = _created_record(entry, request)
     owned = log_for_new_program(entry, created.policy.cut_policy)
     if owned is None:
         text = "no log of this entry has enough copies"
@@ -52,8 +52,8 @@
     return await read_program(owned, owned.programs[program])
 
 
-def _first_record(entry: Entry, request: CreateProgram) -> Created:
-    """Return the record that begins a program, under the configuration in force."""
+def _created_record(entry: Entry, request: CreateProgram) -> Created:
+    """Return the first record of a program, under the configuration in force."""
     path = PolicyPath(entry.own.zone, request.tenant, request.program_class, request.name)
     in_force = entry.policy_for(path)
     policy = in_force.policy
@@ -73,13 +73,13 @@
 
 
 def smaller_budget(configured: Budget, asked: Budget) -> Budget:
-    """Return the smaller of two budgets, field by field: a caller can only lower its limits."""
+    """Return the minimum of two budgets for each field: a caller can only lower its limits."""
     names = Budget.__struct_fields__
     return Budget(*(min(getattr(configured, name), getattr(asked, name)) for name in names))
 
 
 async def read_program(owned: OwnedLog, state: ProgramState) -> ProgramView | Failure:
-    """Return a program as its caller may see it: nothing that is old or could be undone."""
+    """Return a program's current, durable state: nothing outdated and nothing that may be lost."""
     confirmed = await owned.confirm_ownership()
     if confirmed.is_err():
         return confirmed.err_value
@@ -91,7 +91,7 @@
 
 
 def program_view(owned: OwnedLog, state: ProgramState) -> ProgramView:
-    """Return a program as a caller sees it."""
+    """Return the public representation of a program."""
     account = owned.programs[state.root].account
     calls = [
         CallSummary(call_id, _kind(call.call), call.outcome)
@@ -125,7 +125,7 @@
 async def end_program(
     entry: Entry, owned: OwnedLog, state: ProgramState, reason: str
 ) -> ProgramView | Failure:
-    """End a program and its sub-agents; calls under way are cancelled first."""
+    """End a program and its sub-agents, and cancel their running calls."""
     for child in list(state.children):
         ended = await end_program(entry, owned, owned.programs[child], reason)
         if isinstance(ended, Failure):
--- a/waxwingglade/process/release.py
+++ b/waxwingglade/process/release.py
@@ -1,4 +1,4 @@
-"""Letting targets know that a program ended, until each has confirmed."""
+"""Notifies targets that a program ended, until each has confirmed."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 async def release_ended(entry: Entry) -> None:
-    """Release the cache of ended programs until the process ends."""
+    """Release the caches of ended programs until the process stops."""
     while True:
         await asyncio.sleep(PERIOD_S)
         for owned in list(entry.owned.values()):
@@ -24,14 +24,14 @@
                 try:
                     await _release(entry, owned, state)
                 except Exception:
-                    logger.exception("release of {} failed; trying again", state.program)
+                    logger.exception("releasing the cache of {} failed; retrying", state.program)
 
 
 async def _release(entry: Entry, owned: OwnedLog, state: ProgramState) -> None:
     confirmed: list[TargetId] = []
     for target in sorted(state.cached_on):
         settings = entry.targets.get(target)
-        # A target that is gone holds nothing.
+        # A target that was removed from the settings holds no cache.
         if settings is None or (await release(entry.http, settings, state.program)).is_ok():
             confirmed.append(target)
     if confirmed:
--- a/waxwingglade/process/sampling.py
+++ b/waxwingglade/process/sampling.py
@@ -1,8 +1,8 @@
-"""Reading the load of targets, once for each zone.
+"""Reads the load of targets, once for each zone.
 
-Every target of the zone is read by the one entry that rendezvous hashing picks among the entries
-alive; it tells the others.  Nothing has to be agreed: two entries that pick differently for a
-while only read a target twice.
+Rendezvous hashing assigns each target of a zone to one of the zone's live entries.  That entry
+reads the load and sends it to the others.  No agreement is needed: if two entries see different
+members for a while, a target is only read twice.
 """
 
 import asyncio
@@ -19,13 +19,13 @@
 
 
 async def sample_loads(entry: Entry) -> None:
-    """Read and pass on loads until the process ends."""
+    """Read and distribute loads until the process stops."""
     while True:
         await asyncio.sleep(entry.settings.sampling.period_s)
         try:
             await _sample_once(entry)
         except Exception:
-            logger.exception("reading the load of targets failed; trying again")
+            logger.exception("reading the load of targets failed; retrying")
 
 
 async def _sample_once(entry: Entry) -> None:
@@ -65,7 +65,7 @@
 
 
 def apply_loads(entry: Entry, loads: list[TargetLoad]) -> None:
-    """Hand loads to the decisions."""
+    """Report loads to the dispatcher."""
     for load in loads:
         report = LoadReport(load.running, load.waiting, load.cache_used, load.age_s)
         entry.dispatcher.report_load(load.target, report)
--- a/waxwingglade/process/scrape.py
+++ b/waxwingglade/process/scrape.py
@@ -1,4 +1,4 @@
-"""Metrics that are read off the entry's state when somebody asks for them."""
+"""Metrics that are computed from the state of the entry when they are scraped."""
 
 from weakref import WeakKeyDictionary
 
@@ -11,7 +11,9 @@
 
 
 class MetricsCollector:
-    """What was read last, so that counters rise by what is new.
+    """Updates metrics when they are scraped.
+
+    It remembers the last values, so that counters grow by the difference.
 
     Parameters
     ----------
@@ -24,13 +26,13 @@
     def __init__(self, entry: Entry, server: PeerServer) -> None:
         self.entry = entry
         self.server = server
-        self.bytes_seen: WeakKeyDictionary[PeerServer | PeerLink, tuple[int, int]] = (
+        self.counted_bytes: WeakKeyDictionary[PeerServer | PeerLink, tuple[int, int]] = (
             WeakKeyDictionary()
         )
-        self.gained: set[tuple[LogId, Epoch]] = set()
+        self.counted_takeovers: set[tuple[LogId, Epoch]] = set()
 
     def refresh(self) -> None:
-        """Bring the metrics up to date."""
+        """Update the metrics from the state of the entry."""
         entry, metrics = self.entry, self.entry.metrics
         for purpose, calls in entry.store.calls_by_purpose.items():
             metrics.store_calls.set({"purpose": purpose.value}, calls)
@@ -46,27 +48,27 @@
         metrics.peers.set({}, alive)
 
     def _count_takeovers(self) -> None:
-        """Count logs whose epoch shows that another entry owned them before."""
+        """Count new logs whose epoch shows that another entry owned them before."""
         owned = {(each.log, each.epoch) for each in self.entry.owned.values()}
-        gained = {(log, epoch) for log, epoch in owned if epoch > FIRST_EPOCH}
-        self.entry.metrics.takeovers.add({}, len(gained - self.gained))
-        self.gained = gained | self.gained
+        taken_over = {(log, epoch) for log, epoch in owned if epoch > FIRST_EPOCH}
+        self.entry.metrics.takeovers.add({}, len(taken_over - self.counted_takeovers))
+        self.counted_takeovers = taken_over | self.counted_takeovers
 
     def _count_bytes(self, end: PeerServer | PeerLink) -> None:
-        sent, received = self.bytes_seen.get(end, (0, 0))
-        self.bytes_seen[end] = (end.bytes_sent, end.bytes_received)
+        sent, received = self.counted_bytes.get(end, (0, 0))
+        self.counted_bytes[end] = (end.bytes_sent, end.bytes_received)
         counter = self.entry.metrics.peer_bytes
         counter.add({"direction": "sent"}, end.bytes_sent - sent)
         counter.add({"direction": "received"}, end.bytes_received - received)
 
 
-def metrics_route(scrape: MetricsCollector) -> Route:
-    """Return ``/metrics``; it needs no key, and names tenants and classes but no program."""
+def metrics_route(collector: MetricsCollector) -> Route:
+    """Return ``/metrics``, a route that needs no key; it names tenants and classes, no programs."""
 
     async def get(handler: ApiHandler) -> None:
-        scrape.refresh()
+        collector.refresh()
         accept = handler.request.headers.get("Accept", "text/plain")
-        body, headers = scrape.entry.metrics.render(accept)
+        body, headers = collector.entry.metrics.render(accept)
         for name, value in headers.items():
             handler.set_header(name, value)
         handler.finish(body)
--- a/waxwingglade/process/serving.py
+++ b/waxwingglade/process/serving.py
@@ -1,7 +1,8 @@
-"""Callers' requests, whichever entry they reach.
+"""Serves requests of callers at any entry.
 
-The entry that owns a program serves it; any other passes the request on once.  While a program
-changes hands the request is passed on again: callers name their calls, so nothing runs twice.
+The entry that owns a program serves its requests; any other entry forwards a request once to the
+owner.  While a log is handed over, the request is retried.  Calls have ids that their callers
+choose, so nothing runs twice.
 """
 
 import asyncio
@@ -38,26 +39,26 @@
 from waxwingglade.program import Delta, ModelCall, ProgramState, Reset
 
 RETRY_AFTER_S = 1.0
-PEER_SILENCE_S = 4.0
-"""Seconds without any sign from the owner after which a request passed on is given up."""
+PEER_TIMEOUT_S = 4.0
+"""Seconds without any message from the owner after which a forwarded request times out."""
 
-AGAIN_S = 0.1
-"""Seconds between attempts to reach the owner of a program that changes hands."""
+RETRY_PAUSE_S = 0.1
+"""Mean seconds between attempts to reach the owner of a program whose log is handed over."""
 
-PATIENCE_PERIODS = 3.0
-"""Times of suspicion that a request waits for a program that changes hands."""
+WAIT_LIMIT_PERIODS = 3.0
+"""Multiple of `suspect_after_s` for which a request waits while a log is handed over."""
 
-MOVED = frozenset({ErrorCode.FENCED, ErrorCode.NOT_OWNER, ErrorCode.OWNER_UNAVAILABLE})
-"""Reasons of failure that another owner may not have."""
+MOVED_CODES = frozenset({ErrorCode.FENCED, ErrorCode.NOT_OWNER, ErrorCode.OWNER_UNAVAILABLE})
+"""Codes of failures after which the request may succeed at another owner."""
 
 
 async def serve_counted(
-    entry: Entry, request: CallerRequest, passed_on: bool = False
+    entry: Entry, request: CallerRequest, forwarded: bool = False
 ) -> AsyncIterator[CallerEvent]:
-    """Serve a request, and count it while it runs: a leaving entry waits for it."""
+    """Serve a request, and count it while it runs: a draining entry waits for it."""
     entry.active_requests += 1
     try:
-        async with contextlib.aclosing(serve(entry, request, passed_on)) as events:
+        async with contextlib.aclosing(serve(entry, request, forwarded)) as events:
             async for event in events:
                 yield event
     finally:
@@ -65,7 +66,7 @@
 
 
 async def serve(
-    entry: Entry, request: CallerRequest, passed_on: bool = False
+    entry: Entry, request: CallerRequest, forwarded: bool = False
 ) -> AsyncIterator[CallerEvent]:
     """Serve a caller's request.
 
@@ -75,8 +76,8 @@
         The process.
     request : CallerRequest
         The request; its tenant has been checked.
-    passed_on : bool
-        Whether it came from another entry; it is then not passed on again.
+    forwarded : bool
+        Whether another entry forwarded the request; it is then not forwarded again.
 
     Yields
     ------
@@ -86,8 +87,8 @@
     if isinstance(request, CreateProgram):
         yield await create_program(entry, request)
     elif isinstance(request, ListPrograms):
-        yield await list_programs(entry, request, passed_on)
-    elif passed_on:
+        yield await list_programs(entry, request, forwarded)
+    elif forwarded:
         async for event in _serve_here(entry, request):
             yield event
     else:
@@ -96,40 +97,40 @@
 
 
 async def _serve_anywhere(entry: Entry, request: CallerRequest) -> AsyncIterator[CallerEvent]:
-    """Serve a request where its program is, also if that changes meanwhile."""
-    patience_s = entry.settings.durability.suspect_after_s * PATIENCE_PERIODS
-    end_at = entry.clock() + patience_s
-    fresh = False
-    ran_perhaps = False
+    """Serve a request at the owner of its program, and follow the program to a new owner."""
+    wait_limit_s = entry.settings.durability.suspect_after_s * WAIT_LIMIT_PERIODS
+    end_at = entry.clock() + wait_limit_s
+    refresh = False
+    may_have_run = False
     while True:
         moved: Failure | None = None
-        async with contextlib.aclosing(_serve_once(entry, request, fresh)) as events:
-            async for heard in events:
-                event = _in_doubt(heard) if ran_perhaps else heard
-                ran_perhaps = ran_perhaps or _shows_a_run(event)
+        async with contextlib.aclosing(_serve_once(entry, request, refresh)) as events:
+            async for received in events:
+                event = _as_may_have_run(received) if may_have_run else received
+                may_have_run = may_have_run or _shows_execution(event)
                 if isinstance(event, Failure) and _may_have_moved(request, event):
                     moved = event
                     break
-                request = _past(request, event)
+                request = _continue_after(request, event)
                 if isinstance(event, Delta):
-                    end_at = entry.clock() + patience_s
+                    end_at = entry.clock() + wait_limit_s
                 yield event
         if moved is None:
             return
         if entry.clock() >= end_at:
             yield moved
             return
-        fresh = True
-        await asyncio.sleep(AGAIN_S * random.uniform(0.5, 1.5))
+        refresh = True
+        await asyncio.sleep(RETRY_PAUSE_S * random.uniform(0.5, 1.5))
 
 
-def _shows_a_run(event: CallerEvent) -> bool:
-    """Return whether an event says that the request has run, or may have."""
+def _shows_execution(event: CallerEvent) -> bool:
+    """Return whether an event shows that the request has run or may have run."""
     return not isinstance(event, Failure) or event.verdict is not Verdict.NOT_RUN
 
 
-def _in_doubt(event: CallerEvent) -> CallerEvent:
-    """Return an event that does not deny what an earlier attempt may have done."""
+def _as_may_have_run(event: CallerEvent) -> CallerEvent:
+    """Return an event with NOT_RUN replaced by MAY_HAVE_RUN, as an earlier attempt may have run."""
     if not isinstance(event, Failure) or event.verdict is not Verdict.NOT_RUN:
         return event
     return msgspec.structs.replace(event, verdict=Verdict.MAY_HAVE_RUN)
@@ -137,13 +138,13 @@
 
 def _may_have_moved(request: CallerRequest, failure: Failure) -> bool:
     if failure.code is ErrorCode.OWNER_LOST:
-        # The call's recorded outcome; asking again runs a model call anew.
+        # This is the recorded outcome of the call; a retry runs a model call again.
         return isinstance(request, SubmitCall) and isinstance(request.call, ModelCall)
-    return failure.code in MOVED
+    return failure.code in MOVED_CODES
 
 
-def _past(request: CallerRequest, event: CallerEvent) -> CallerRequest:
-    """Return the request for what follows `event`, should it have to be made again."""
+def _continue_after(request: CallerRequest, event: CallerEvent) -> CallerRequest:
+    """Return the request to send on a retry, which continues after `event`."""
     if not isinstance(request, SubmitCall | FollowCall):
         return request
     if isinstance(event, Delta):
@@ -155,12 +156,12 @@
 
 
 async def _serve_once(
-    entry: Entry, request: CallerRequest, fresh: bool
+    entry: Entry, request: CallerRequest, refresh: bool
 ) -> AsyncIterator[CallerEvent]:
     if entry.log_for(request.program) is not None:
         source = _serve_here(entry, request)
     else:
-        source = _pass_on(entry, request, fresh)
+        source = _forward(entry, request, refresh)
     async with contextlib.aclosing(source) as events:
         async for event in events:
             yield event
@@ -174,7 +175,8 @@
         return
     state = owned.programs.get(request.program)
     if state is None:
-        # A later owner may know a program that this process, replaced unawares, does not.
+        # This process may have been replaced without noticing it yet; the new owner may know the
+        # program.
         confirmed = await owned.confirm_ownership()
         yield confirmed.err_value if confirmed.is_err() else unknown_program(request.program)
         return
@@ -201,18 +203,20 @@
 
 
 def _as_owner_unavailable(failure: Failure) -> Failure:
-    """Tell silence of the owner from an outcome that the owner reported."""
+    """Mark a failure to reach the owner, to distinguish it from an outcome that it reported."""
     if failure.code is not ErrorCode.UNAVAILABLE:
         return failure
     return msgspec.structs.replace(failure, code=ErrorCode.OWNER_UNAVAILABLE)
 
 
-async def _pass_on(entry: Entry, request: CallerRequest, fresh: bool) -> AsyncIterator[CallerEvent]:
+async def _forward(
+    entry: Entry, request: CallerRequest, refresh: bool
+) -> AsyncIterator[CallerEvent]:
     log = log_of(request.program)
     if log is None:
         yield unknown_program(request.program)
         return
-    found: Outcome = await find_owner(entry, log, fresh)
+    found: Outcome = await find_owner(entry, log, refresh)
     if found.is_ok() and found.ok_value.incarnation == entry.incarnation:
         found = not_run(ErrorCode.OWNER_UNAVAILABLE, "the program is changing hands", RETRY_AFTER_S)
     if found.is_err():
@@ -221,7 +225,7 @@
     owner = found.ok_value
     link = entry.links.to(owner.peer_address, owner.incarnation)
     answers = link.stream(
-        PassedOn(request), PEER_SILENCE_S, lambda: not entry.members.is_unreachable(owner)
+        PassedOn(request), PEER_TIMEOUT_S, lambda: not entry.members.is_unreachable(owner)
     )
     async with contextlib.aclosing(answers):
         async for answer in answers:
--- a/waxwingglade/process/status.py
+++ b/waxwingglade/process/status.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators of itself."""
+"""The status of an entry, as operators see it."""
 
 import waxwingglade
 from waxwingglade.connection.operator_messages import (
--- a/waxwingglade/process/sweep.py
+++ b/waxwingglade/process/sweep.py
@@ -1,9 +1,9 @@
-"""Finding cache that targets hold for programs that have ended.
+"""Finds caches that targets still hold for programs that have ended.
 
-The end of a program is followed by releases until each target has confirmed
-(`waxwingglade.process.release`).  This sweep is for what that cannot reach: a call that an owner
-sent just before it was lost, or a program whose log is gone.  A program is given up only after two
-looks in a row found it done.
+After a program ends, `waxwingglade.process.release` releases its caches until each target has
+confirmed.  This sweep covers what that misses: a call that an owner sent just before the owner was
+lost, or a program whose log was removed.  A cache is released only after two sweeps in a row have
+found its program to need none.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 async def sweep_caches(entry: Entry) -> None:
-    """Look for such cache until the process ends."""
+    """Sweep the assigned targets until the process stops."""
     suspected: dict[TargetId, set[ProgramId]] = {}
     while True:
         await asyncio.sleep(entry.settings.sampling.sweep_period_s)
@@ -29,11 +29,11 @@
             try:
                 suspected[name] = await _sweep(entry, name, suspected.get(name, set()))
             except Exception:
-                logger.exception("looking for unused cache on {} failed; trying again", name)
+                logger.exception("sweeping unused caches on {} failed; retrying", name)
 
 
 async def _sweep(entry: Entry, name: TargetId, before: set[ProgramId]) -> set[ProgramId]:
-    """Release what was found done twice; return what was found done now."""
+    """Release caches that two sweeps in a row found unneeded; return the newly found programs."""
     target = entry.targets[name]
     held = await held_programs(entry.http, target)
     if held.is_err():
@@ -46,15 +46,15 @@
 
 
 async def releasable_programs(entry: Entry, programs: list[ProgramId]) -> set[ProgramId]:
-    """Return the programs that certainly need no cache any more."""
+    """Return the programs that certainly no longer need a cache."""
     by_log: dict[LogId, list[ProgramId]] = {}
     for program in programs:
         log = log_of(program)
         if log is not None:
             by_log.setdefault(log, []).append(program)
     done: set[ProgramId] = set()
-    for log, members in by_log.items():
-        done.update(await _done_in_log(entry, log, members))
+    for log, log_programs in by_log.items():
+        done.update(await _done_in_log(entry, log, log_programs))
     return done
 
 
@@ -63,7 +63,8 @@
         return releasable_here(entry, programs)
     owner: Outcome = await find_owner(entry, log)
     if owner.is_err():
-        # Nobody knows the log: its programs ended long ago.  If it only cannot be had, wait.
+        # An unknown log was removed long after its programs ended.  After any other failure, try
+        # again in the next sweep.
         return programs if owner.err_value.code is ErrorCode.NOT_FOUND else []
     link = entry.links.to(owner.ok_value.peer_address, owner.ok_value.incarnation)
     answer = await link.request(CheckPrograms(programs), ASK_TIMEOUT_S)
@@ -73,7 +74,7 @@
 
 
 def releasable_here(entry: Entry, programs: list[ProgramId]) -> list[ProgramId]:
-    """Return which programs of logs owned here have ended, or are not known in them."""
+    """Return the programs that have ended or are unknown, of those whose logs are owned here."""
     done = []
     for program in programs:
         owned = entry.log_for(program)
--- a/waxwingglade/process/tests/test_members.py
+++ b/waxwingglade/process/tests/test_members.py
@@ -154,4 +154,4 @@
         for wants, told in ((True, 3), (False, 0)):
             beat = Heartbeat(self.away[0], EntryState.ALIVE, 0, ConfigVersion(0))
             beat = msgspec.structs.replace(beat, wants_members=wants)
-            self.assertEqual(told, len(self.members.misses(beat)))
+            self.assertEqual(told, len(self.members.refs_missing_at(beat)))
--- a/waxwingglade/process/tests/test_serving.py
+++ b/waxwingglade/process/tests/test_serving.py
@@ -21,7 +21,7 @@
     """Return what a caller gets if each attempt to serve the request has the next answer."""
     left = iter(answers)
 
-    async def serve_once(_entry, _request, _fresh):
+    async def serve_once(_entry, _request, _refresh):
         yield next(left)
 
     entry = SimpleNamespace(
@@ -30,7 +30,10 @@
         clock=lambda: 0.0,
         log_for=lambda program: None,
     )
-    with patch.object(serving, "_serve_once", serve_once), patch.object(serving, "AGAIN_S", 0.0):
+    with (
+        patch.object(serving, "_serve_once", serve_once),
+        patch.object(serving, "RETRY_PAUSE_S", 0.0),
+    ):
         return [event async for event in serving.serve(entry, REQUEST)][-1]
 
 
--- a/waxwingglade/process/vms.py
+++ b/waxwingglade/process/vms.py
@@ -1,7 +1,7 @@
-"""The platform's list of live and leaving VMs: a late hint, never the truth.
+"""Polls the platform's list of live and leaving VMs, which is only a delayed hint.
 
-A target that is listed as leaving gets no new work.  One that is missing may be too new for the
-list, so that says nothing; nor does a list that cannot be had.
+A target that is listed as leaving gets no new work.  A target that is not listed may be too new for
+the list, so its absence has no effect; neither has a list that cannot be read.
 """
 
 import asyncio
@@ -17,33 +17,33 @@
 
 
 class VmState(Enum):
-    """What the platform says of a VM."""
+    """The state of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class ListedVm(msgspec.Struct, frozen=True):
-    """One VM of the list."""
+    """One VM in the platform's list."""
 
     vm: str
     state: VmState
 
 
 async def watch_vms(entry: Entry) -> None:
-    """Follow the list until the process ends."""
+    """Poll the list until the process stops."""
     if not entry.settings.platform.vms_url:
         return
     while True:
         try:
             await poll_once(entry)
         except Exception:
-            logger.exception("reading the list of VMs failed; trying again")
+            logger.exception("reading the list of VMs failed; retrying")
         await asyncio.sleep(entry.settings.platform.poll_s)
 
 
 async def poll_once(entry: Entry) -> None:
-    """Read the list and take new work from the targets that leave."""
+    """Read the list once, and stop sending new work to targets that are leaving."""
     listed = await _read(entry)
     if listed is None:
         return
--- a/waxwingglade/process/watching.py
+++ b/waxwingglade/process/watching.py
@@ -1,8 +1,8 @@
-"""Which peers an entry exchanges heartbeats with.
+"""Chooses the peers that an entry exchanges heartbeats with.
 
-In a small fleet that is all of them.  In a large one it is the entries of its own zone, those with
-which it shares a log, and a few of other zones, each from a different one, so that what an entry
-spends on heartbeats does not grow with the fleet.
+In a small fleet these are all peers.  In a large fleet they are the entries of its own zone, those
+with which it shares a log, and a few entries of other zones, each from a different zone.  So the
+cost of heartbeats for an entry does not grow with the fleet.
 """
 
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 
 class Watch(msgspec.Struct, frozen=True):
-    """The peers to exchange heartbeats with, and whether that is everybody."""
+    """The peers to exchange heartbeats with, and whether these are all known peers."""
 
     entries: frozenset[EntryId]
     everybody: bool
@@ -27,32 +27,32 @@
     partners: Sequence[EntryRef],
     settings: DurabilitySettings,
 ) -> Watch:
-    """Return the peers to watch.
+    """Return the peers to exchange heartbeats with.
 
     Parameters
     ----------
     own : EntryRef
         This entry.
     known : sequence of EntryRef
-        Every peer that it knows.
+        All peers that it knows.
     partners : sequence of EntryRef
         Entries that own or hold a log which this entry holds or owns.
     settings : DurabilitySettings
-        `watch_all_up_to` and `remote_watched`.
+        Limits `watch_all_up_to` and `remote_watched`.
     """
     if len(known) <= settings.watch_all_up_to:
         return Watch(frozenset(ref.entry for ref in known), everybody=True)
     at_home = {ref.entry for ref in known if ref.zone == own.zone}
-    remote = _one_of_each_zone(own, [ref for ref in known if ref.zone != own.zone])
+    remote = _one_per_zone(own, [ref for ref in known if ref.zone != own.zone])
     chosen = {ref.entry for ref in remote[: settings.remote_watched]}
     shared = {ref.entry for ref in partners if ref.entry != own.entry}
     return Watch(frozenset(at_home | chosen | shared), everybody=False)
 
 
-def _one_of_each_zone(own: EntryRef, refs: Sequence[EntryRef]) -> list[EntryRef]:
-    """Return one entry of every zone, entries and zones in an order of this entry's own.
+def _one_per_zone(own: EntryRef, refs: Sequence[EntryRef]) -> list[EntryRef]:
+    """Return one entry of each zone, in an order that is specific to this entry.
 
-    Entries choose differently, so that no entry is watched by all.
+    Entries choose differently, so that no entry is watched by all others.
     """
 
     def score(ref: EntryRef) -> int:
