--- a/waxwingglade/process/duties/controller.py
+++ b/waxwingglade/process/duties/controller.py
@@ -1,7 +1,7 @@
-"""Brings the model engines of a zone to the desired state, one order at a time for each.
+"""Brings the model engines of a zone to the desired state, one order at a time for each engine.
 
-Every target is compared again at a period also when it agrees.  That is what undoes an order that
-an earlier holder of the duty sent late, to an engine that ignores fencing numbers.
+Every target is compared with its desired state periodically, even after the two agree.  This undoes
+an order that an earlier holder of the duty sent late to an engine that ignores fencing numbers.
 """
 
 import asyncio
@@ -33,19 +33,19 @@
 
 
 class PendingOrder(msgspec.Struct, frozen=True):
-    """An order that was accepted at `since`, in monotonic seconds, and has to show its effect."""
+    """An order accepted at `since`, in monotonic seconds, whose effect is not yet visible."""
 
     step: Step
     since: float
 
 
 class ManagedTarget:
-    """What the holder knows of one target."""
+    """State that the controller keeps for one target."""
 
     def __init__(self, settings: TargetSettings) -> None:
         self.settings = settings
         self.name = TargetId(settings.target)
-        self.awaited: PendingOrder | None = None
+        self.pending: PendingOrder | None = None
         self.fence_raised = False
         self.seen_fencing = 0
         self.note = ""
@@ -53,16 +53,16 @@
 
 
 class OrderController:
-    """Gives the orders of a zone during one term.
+    """Gives the orders of a zone during one term of the duty's lease.
 
     Parameters
     ----------
     term : Term
-        The right to do so; it has store, settings and clock.
+        The holder's lease, with the store, the settings and the clock.
     http : HttpClient
         Client for the targets.
     reporter : Reporter
-        Told what was read back.
+        Distributes the states read from targets.
     send : callable
         Sends an order.
     """
@@ -82,21 +82,21 @@
             ManagedTarget(each) for each in models_in_zone(term.settings.targets, term.own.zone)
         ]
 
-    async def keep(self, wanted: Callable[[], bool] = lambda: True) -> None:
-        """Give orders until the term is lost, or while `wanted`."""
-        tasks = [start_task(self._follow())]
-        tasks += [start_task(self._keep_target(each)) for each in self.managed]
+    async def run(self, should_continue: Callable[[], bool] = lambda: True) -> None:
+        """Give orders until the term is lost or `should_continue` returns False."""
+        tasks = [start_task(self._follow_desired())]
+        tasks += [start_task(self._manage_target(each)) for each in self.managed]
         if any(not each.settings.honours_fencing for each in self.managed):
             tasks.append(start_task(self.term.wait_out()))
         try:
-            await self.term.keep(wanted)
+            await self.term.hold(should_continue)
         finally:
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _follow(self) -> None:
-        """Follow the desired state, and bring entries up to date that are new."""
+    async def _follow_desired(self) -> None:
+        """Poll the desired state, and send all reports to entries that are new."""
         while True:
             read = await read_desired(self.term.store, self.term.own.zone)
             if read.is_ok() and read.ok_value.version != self.version:
@@ -107,18 +107,18 @@
             await self.reporter.send_to_all()
             await self.term.sleep(self.settings.follow_s)
 
-    async def _keep_target(self, target: ManagedTarget) -> None:
-        while self.term.may_act():
+    async def _manage_target(self, target: ManagedTarget) -> None:
+        while self.term.may_send_orders():
             pause_s = self.settings.read_back_s
             try:
                 if self.version is not None:
-                    pause_s = await self._look(target)
+                    pause_s = await self._reconcile(target)
             except Exception:
-                logger.exception("giving orders to {} failed; trying again", target.name)
+                logger.exception("giving orders to {} failed; retrying", target.name)
             await self._pause(target, pause_s)
 
     async def _pause(self, target: ManagedTarget, pause_s: float) -> None:
-        """Wait, but not when the desired state has changed."""
+        """Wait until the pause is over or the desired state changes."""
         try:
             async with asyncio.timeout(pause_s):
                 await target.changed.wait()
@@ -126,8 +126,8 @@
             return
         target.changed.clear()
 
-    async def _look(self, target: ManagedTarget) -> float:
-        """Read a target's state back and give the next order; return the pause after it."""
+    async def _reconcile(self, target: ManagedTarget) -> float:
+        """Read a target's state and give its next order; return the pause until the next check."""
         desired = self.desired.get(target.name)
         if desired is None:
             self.permits.end(target.name)
@@ -142,23 +142,25 @@
         step = next_step(desired, state) or self._fence_step(target, state)
         if step is None:
             target.note = ""
-            target.awaited = None
+            target.pending = None
             self.permits.end(target.name)
-        # Entries hear what a target will serve no longer before it is told to unload it.
+        # Entries learn which models a target will no longer serve before it is ordered to unload
+        # them.
         await self._report(target, desired, state)
         if step is None:
             return self.settings.check_s
-        if self._may_give(target, step, desired, state):
-            await self._give(target, step)
+        if self._may_send(target, step, desired, state):
+            await self._send_order(target, step)
         return self.settings.read_back_s
 
     def _fence_step(self, target: ManagedTarget, state: EngineState) -> Step | None:
-        """Return an order that changes nothing but the fencing number that the target has seen.
+        """Return an order whose only effect is to raise the fencing number known to the target.
 
-        Without it, a target that agrees would still take a late order of an earlier holder.
+        Without it, a target in the desired state would still accept a late order of an earlier
+        holder.
         """
         if state.last_fencing < target.seen_fencing:
-            # The engine has started anew and forgotten the number.
+            # The engine was restarted and has lost the number.
             target.fence_raised = False
         target.seen_fencing = state.last_fencing
         if not target.settings.honours_fencing or target.fence_raised:
@@ -167,59 +169,60 @@
             return None
         return Step(OrderKind.SET_ROLE, state.role)
 
-    def _may_give(
+    def _may_send(
         self, target: ManagedTarget, step: Step, desired: DesiredTarget, state: EngineState
     ) -> bool:
-        """Return whether nothing has to be waited for; permits are taken."""
-        if self._is_under_way(target, state):
+        """Return whether the order may be sent now; take the permits that it needs."""
+        if self._is_pending(target, state):
             return False
         if not target.settings.honours_fencing and not self.term.waited_out:
             target.note = "waits for the end of the previous holder's orders"
             return False
         if step.kind is OrderKind.SET_ROLE or not lacks_weights(desired, state):
             return True
-        # One that has to make room first takes its place among those that load before it does.
+        # A target that must first unload something takes its place among the loading targets
+        # before it unloads.
         if not self.permits.begin(target.name) or (step.loads and not self.permits.take()):
             target.note = f"waits for a permit of the weight store: {step}"
             return False
         return True
 
-    def _is_under_way(self, target: ManagedTarget, state: EngineState) -> bool:
-        """Return whether an accepted order still has time to show its effect."""
-        awaited = target.awaited
-        if awaited is None:
+    def _is_pending(self, target: ManagedTarget, state: EngineState) -> bool:
+        """Return whether an accepted order has no effect yet and `effect_timeout_s` is not over."""
+        pending = target.pending
+        if pending is None:
             return False
-        if not has_effect(awaited.step, state):
-            if self.term.clock() - awaited.since < self.settings.effect_timeout_s:
+        if not has_effect(pending.step, state):
+            if self.term.clock() - pending.since < self.settings.effect_timeout_s:
                 return True
-            logger.warning("{} was not carried out by {}", awaited.step, target.name)
+            logger.warning("order without effect: {} on {}", pending.step, target.name)
             self.permits.end(target.name)
-        target.awaited = None
+        target.pending = None
         return False
 
-    async def _give(self, target: ManagedTarget, step: Step) -> None:
-        """Send one order, if this entry still holds the duty."""
+    async def _send_order(self, target: ManagedTarget, step: Step) -> None:
+        """Send one order if this entry still holds the duty."""
         if not target.settings.honours_fencing and not await self.term.renew():
             return
         order = EngineOrder(step.kind, step.value, self.term.fencing)
-        if not self.term.may_act():
+        if not self.term.may_send_orders():
             return
         sent = await self.send(self.http, target.settings, order, self.settings.order_timeout_s)
         if sent.is_ok():
-            logger.info("{} was ordered: {}", target.name, step)
+            logger.info("order sent to {}: {}", target.name, step)
             target.note = f"ordered: {step}"
-            target.awaited = PendingOrder(step, self.term.clock())
+            target.pending = PendingOrder(step, self.term.clock())
             target.fence_raised = True
             return
-        await self._note_failure(target, step, sent.err_value)
+        await self._handle_failure(target, step, sent.err_value)
 
-    async def _note_failure(self, target: ManagedTarget, step: Step, failure: Failure) -> None:
+    async def _handle_failure(self, target: ManagedTarget, step: Step, failure: Failure) -> None:
         target.note = f"{step}: {failure.message}"
         logger.warning("order to {} failed: {}", target.name, target.note)
         if step.loads and failure.verdict is Verdict.NOT_RUN:
             self.permits.give_back()
         if failure.code is ErrorCode.FENCED:
-            # The target has seen a higher number: the store says whether the duty is lost.
+            # The target has seen a higher number.  The store decides whether the duty is lost.
             await self.term.renew()
 
     async def _report(
@@ -240,7 +243,7 @@
         )
 
     async def _report_unread(self, target: ManagedTarget) -> None:
-        """Report that a target could not be read; what it serves stays as it was known."""
+        """Report that a target could not be read; the models that it serves stay as last read."""
         known = self.reporter.reports.get(target.name)
         if known is not None:
             await self.reporter.report(
--- a/waxwingglade/process/duties/desired.py
+++ b/waxwingglade/process/duties/desired.py
@@ -1,7 +1,7 @@
-"""What operators want of the model engines of a zone: models, adapters and role of each.
+"""The desired state of a zone's model engines: the models, adapters and role of each.
 
-The store has one record for each zone, which changes by compare-and-swap.  A version of a model or
-adapter is a name of its own there, as the engine names it.
+Operators set it.  The store has one record for each zone, which is changed by compare-and-swap.
+Each version of a model or adapter has its own name in the record, the same as in the engine.
 """
 
 import re
@@ -30,7 +30,7 @@
 
 
 class DesiredTarget(msgspec.Struct, frozen=True):
-    """What one target should have loaded, and its role; an empty role is left as it is."""
+    """The models and adapters that a target should load, and its role; empty keeps the role."""
 
     models: list[str]
     adapters: list[str] = []
@@ -45,13 +45,13 @@
     format : int
         Format version.
     version : int
-        Raised by every change.
+        Increased by every change.
     targets : dict
-        Targets under orders; nothing is asked of the others.
+        Targets that are under orders; all others are left unchanged.
     proposer : OperatorId
-        Who made the last change.
+        Operator who made the last change.
     changed_at : float
-        When, in seconds since 1970.
+        Time of the last change in seconds since 1970.
     """
 
     format: int
@@ -62,19 +62,19 @@
 
 
 class StoredDesired(msgspec.Struct, frozen=True):
-    """A record with the store's revision of it; revision 0 where there is none."""
+    """A record with its revision in the store; revision 0 if there is none."""
 
     zone: DesiredZone | None
     revision: int
 
     @property
     def version(self) -> int:
-        """Version of the record; 0 where there is none."""
+        """Version of the record; 0 if there is none."""
         return 0 if self.zone is None else self.zone.version
 
     @property
     def targets(self) -> dict[TargetId, DesiredTarget]:
-        """Targets under orders."""
+        """Targets that are under orders."""
         return {} if self.zone is None else self.zone.targets
 
 
@@ -83,28 +83,28 @@
 
 
 def check_target(settings: TargetSettings | None) -> Failure | None:
-    """Return why a target cannot be given orders, if so."""
+    """Return the reason why a target cannot get orders, None if it can."""
     if settings is None:
-        return _refusal(ErrorCode.NOT_FOUND, "no target of this name is in the settings")
+        return _rejection(ErrorCode.NOT_FOUND, "no target of this name is in the settings")
     if settings.kind is not TargetKind.MODEL:
-        return _refusal(ErrorCode.BAD_REQUEST, "orders are for model engines only")
+        return _rejection(ErrorCode.BAD_REQUEST, "orders are for model engines only")
     return None
 
 
 def check_desired(desired: DesiredTarget) -> Failure | None:
-    """Return what is wrong with a desired state, if anything is."""
+    """Return the error in a desired state, None if it is valid."""
     if not desired.models:
-        return _refusal(ErrorCode.BAD_REQUEST, "at least one model has to be named")
+        return _rejection(ErrorCode.BAD_REQUEST, "at least one model has to be named")
     named = [*desired.models, *desired.adapters]
     if len(set(named)) < len(named):
-        return _refusal(ErrorCode.BAD_REQUEST, "a name is given twice")
+        return _rejection(ErrorCode.BAD_REQUEST, "a name is given twice")
     for name in [*named, desired.role] if desired.role else named:
         if NAME.fullmatch(name) is None:
-            return _refusal(ErrorCode.BAD_REQUEST, f"`{name}` is not a valid name")
+            return _rejection(ErrorCode.BAD_REQUEST, f"`{name}` is not a valid name")
     return None
 
 
-def _refusal(code: ErrorCode, text: str) -> Failure:
+def _rejection(code: ErrorCode, text: str) -> Failure:
     return Failure(Verdict.NOT_RUN, code, text)
 
 
@@ -114,7 +114,7 @@
 
 
 async def read_desired(store: StoreClient, zone: ZoneId) -> Outcome[StoredDesired]:
-    """Return the record of a zone, if there is one."""
+    """Return the record of a zone, which may be absent."""
     found = await store.get(key_of(zone))
     if found.is_err():
         return found
@@ -136,26 +136,26 @@
     now: float,
     base_version: int | None = None,
 ) -> Outcome[DesiredZone]:
-    """Ask for another state of one target.
+    """Change the desired state of one target.
 
     Parameters
     ----------
     store, zone, target : StoreClient, ZoneId, TargetId
-        Where the record is, and what it is about.
+        The store with the record, the zone, and the target to change.
     desired : DesiredTarget or None
-        The new state; None to ask for nothing any more.
+        The new desired state; None to end orders to the target.
     proposer : OperatorId
-        Who asks.
+        Operator who makes the change.
     now : float
         Seconds since 1970.
     base_version : int, optional
-        Version that the operator had seen; the present one if not given.
+        Version on which the change is based; the current one if not given.
 
     Returns
     -------
     Outcome[DesiredZone]
-        The new record, or the present one if it asks for this already.  CONFLICT: somebody else
-        made a change meanwhile, and this one did not run.
+        The new record, or the current one if it already has this state.  CONFLICT: another change
+        was made meanwhile, and this one did not run.
     """
     read = await read_desired(store, zone)
     if read.is_err():
--- a/waxwingglade/process/duties/lease.py
+++ b/waxwingglade/process/duties/lease.py
@@ -1,12 +1,14 @@
-"""The right to give the zone's orders, held by one entry at a time.
+"""The lease on the duty to give a zone's orders, which one entry holds at a time.
 
-``duties/{zone}`` names the holder and ends with the holder's lease.  The store's revision of that
-write is the fencing number of all its orders: a later holder has a higher one.
+The key ``duties/{zone}`` names the holder and expires with the holder's lease.  The revision that
+the store gives to this key is the fencing number of all orders of the holder, so a later holder has
+a higher number.
 
-An engine that ignores the number is protected by time instead.  ``orders/{zone}`` says who last
-may have given orders to such engines, and for how long a successor has to wait before its own
-first one.  It is written after that wait and before the first order, so that it always names the
-last holder that matters, also when one in between gave up early.
+An engine that ignores fencing numbers is protected by time instead.  The key ``orders/{zone}``
+names the last holder that may have given orders to such engines, and how long a successor must wait
+before its own first order.  A holder writes the key after this wait and before its first order.  So
+the key always names the last holder that may have sent an order, even if a holder in between gave
+up during its wait.
 """
 
 import asyncio
@@ -33,8 +35,8 @@
 from waxwingglade.settings import ProcessSettings
 
 FORMAT_VERSION = 1
-RENEWALS = 3
-"""Renewals of a lease in the time that it lasts."""
+RENEWALS_PER_LEASE = 3
+"""Number of renewals of a lease within its time to live."""
 
 RESIGN_TIMEOUT_S = 1.0
 
@@ -43,25 +45,25 @@
 
 
 class DutyHolder(msgspec.Struct, frozen=True):
-    """Who gives the orders of a zone."""
+    """The entry that gives the orders of a zone."""
 
     format: int
     holder: EntryRef
 
 
 class LastOrders(msgspec.Struct, frozen=True):
-    """Who last may have given orders to engines that ignore fencing numbers.
+    """The last holder that may have given orders to engines that ignore fencing numbers.
 
     Parameters
     ----------
     format : int
         Format version.
     holder : EntryRef
-        That entry.
+        The entry.
     fencing : int
         Its fencing number.
     wait_out_s : float
-        Seconds, counted from a successor's acquisition, after which no order of it is under way.
+        Seconds after a successor's acquisition until none of its orders can still be in flight.
     """
 
     format: int
@@ -71,7 +73,7 @@
 
 
 def duty_key(zone: ZoneId) -> str:
-    """Return the key that names the holder of a zone's duty."""
+    """Return the key of a zone's `DutyHolder`."""
     return f"duties/{zone}"
 
 
@@ -81,22 +83,22 @@
 
 
 class Term:
-    """One holding of the duty, from its acquisition to its loss.
+    """One period for which an entry holds the duty, from its acquisition to its loss.
 
     Parameters
     ----------
     store : StoreClient
         The store.
     settings : ProcessSettings
-        Of this entry; the zone is its own.
+        Settings of this entry; the zone is its own.
     own : EntryRef
         This entry.
     lease : Lease
         Lease of the holder.
     fencing : int
-        Number of its orders.
+        Fencing number of its orders.
     clock, sleep : callable
-        Monotonic seconds, and a wait.
+        Return the monotonic time in seconds, and wait for a number of seconds.
     """
 
     def __init__(
@@ -122,42 +124,43 @@
 
     @property
     def wait_out_s(self) -> float:
-        """Seconds that a successor has to wait for this holder's last order."""
+        """Seconds that a successor must wait until this holder's last order has ended."""
         orders = self.settings.target_orders
         ttl_s = math.ceil(self.settings.store.lease_ttl_s)
         return ttl_s + orders.order_timeout_s + orders.margin_s
 
-    def may_act(self) -> bool:
-        """Return whether an order may be sent at this moment."""
+    def may_send_orders(self) -> bool:
+        """Return whether an order may be sent now."""
         margin_s = self.settings.target_orders.margin_s
         return not self.lost and self.clock() < self.lease.valid_until - margin_s
 
     async def renew(self) -> bool:
         """Extend the lease; return whether the store did so and orders may be sent.
 
-        The own clock alone would not do: it may have stood still together with the VM.
+        The local clock is not sufficient, because it may have stopped together with the VM.
         """
-        kept = await self.store.keep_alive(self.lease)
-        if kept.is_ok() and kept.ok_value.valid_until > self.lease.valid_until:
-            self.lease = kept.ok_value
-        if kept.is_err() and kept.err_value.code is ErrorCode.FENCED:
+        renewed = await self.store.keep_alive(self.lease)
+        if renewed.is_ok() and renewed.ok_value.valid_until > self.lease.valid_until:
+            self.lease = renewed.ok_value
+        if renewed.is_err() and renewed.err_value.code is ErrorCode.FENCED:
             self.lost = True
-        return kept.is_ok() and self.may_act()
+        return renewed.is_ok() and self.may_send_orders()
 
-    async def keep(self, wanted: Callable[[], bool] = lambda: True) -> None:
-        """Renew the lease until it is lost, or while `wanted`."""
-        pause_s = self.settings.store.lease_ttl_s / RENEWALS
-        while self.may_act() and wanted():
+    async def hold(self, should_continue: Callable[[], bool] = lambda: True) -> None:
+        """Renew the lease until it is lost or `should_continue` returns False."""
+        pause_s = self.settings.store.lease_ttl_s / RENEWALS_PER_LEASE
+        while self.may_send_orders() and should_continue():
             await self.sleep(pause_s)
             await self.renew()
         self.lost = True
 
     async def wait_out(self) -> None:
-        """Wait until no earlier holder has an order under way, and note that this one may.
+        """Wait until no order of an earlier holder can be in flight, and name this holder in the
+        store as the last one.
 
-        `waited_out` is set only then.
+        Only after that is `waited_out` set.
         """
-        while self.may_act() and not self.waited_out:
+        while self.may_send_orders() and not self.waited_out:
             await self._try_wait_out()
             if not self.waited_out:
                 await self.sleep(self.settings.target_orders.read_back_s)
@@ -182,11 +185,11 @@
         if written.is_ok():
             self.waited_out = True
         elif written.err_value.verdict is not Verdict.NOT_RUN or _is_conflict(written):
-            # Another holder wrote, or this write may show up later: begin again with a new term.
+            # Another holder wrote the key, or this write may still take effect: start a new term.
             self.lost = True
 
     async def resign(self) -> None:
-        """End the lease, so that another entry need not wait for its end."""
+        """Revoke the lease, so that another entry need not wait until it expires."""
         self.lost = True
         try:
             async with asyncio.timeout(RESIGN_TIMEOUT_S):
@@ -202,13 +205,13 @@
     clock: Clock = monotonic,
     sleep: Sleep = asyncio.sleep,
 ) -> Outcome[Term]:
-    """Become the holder of the own zone's duty, if nobody is.
+    """Acquire the duty of the entry's own zone, if no entry holds it.
 
     Returns
     -------
     Outcome[Term]
-        CONFLICT: somebody holds it.  After any other failure the lease is ended, and with it the
-        key that may have been written.
+        CONFLICT: another entry holds it.  After a failure to write the key the lease is revoked,
+        and with it a key that may have been written.
     """
     key = duty_key(own.zone)
     found = await store.get(key)
@@ -229,7 +232,7 @@
 
 
 async def read_holder(store: StoreClient, zone: ZoneId) -> Outcome[EntryRef | None]:
-    """Return who gives the orders of a zone."""
+    """Return the entry that gives the orders of a zone, None if there is none."""
     found = await store.get(duty_key(zone))
     try:
         return found.map(lambda item: None if item is None else _decode(item, DutyHolder).holder)
--- a/waxwingglade/process/duties/operating.py
+++ b/waxwingglade/process/duties/operating.py
@@ -1,4 +1,4 @@
-"""The operators' addresses for what they want of model engines."""
+"""HTTP routes by which operators read and set the desired state of model engines."""
 
 import functools
 
@@ -29,7 +29,7 @@
 
 
 def target_routes(entry: Entry) -> list[Route]:
-    """Return the addresses of targets under orders."""
+    """Return the routes of targets and of the orders to them."""
     target = r"/v1/targets/([^/]+)"
     return [
         Route(r"/v1/targets", {"GET": needs(Role.VIEWER, functools.partial(_list, entry))}),
@@ -68,15 +68,15 @@
         return
     body = read.ok_value
     desired = DesiredTarget(body.models, body.adapters, body.role)
-    wrong = check_desired(desired)
-    if wrong is not None:
-        handler.fail(wrong)
+    error = check_desired(desired)
+    if error is not None:
+        handler.fail(error)
         return
     await _change(entry, handler, name, desired, body.base_version)
 
 
 async def _unset(entry: Entry, handler: ApiHandler, name: str) -> None:
-    """Ask for nothing any more: the target stays as it is."""
+    """Remove the desired state of a target, which then keeps its present state."""
     base = query(handler.request, "base_version")
     if base and not is_number(base):
         handler.fail(bad_request("base_version is not a number"))
@@ -93,9 +93,9 @@
 ) -> None:
     target = TargetId(name)
     settings = entry.targets.get(target)
-    wrong = check_target(settings)
-    if wrong is not None:
-        handler.fail(wrong)
+    error = check_target(settings)
+    if error is not None:
+        handler.fail(error)
         return
     changed = await change_desired(
         entry.store,
@@ -114,9 +114,9 @@
 
 async def _answer_view(entry: Entry, handler: ApiHandler, name: str) -> None:
     settings = entry.targets.get(TargetId(name))
-    wrong = check_target(settings)
-    if wrong is not None:
-        handler.fail(wrong)
+    error = check_target(settings)
+    if error is not None:
+        handler.fail(error)
         return
     read: Outcome[StoredDesired] = await read_desired(entry.store, ZoneId(settings.zone))
     if read.is_err():
@@ -127,7 +127,7 @@
 
 
 async def _status(entry: Entry, handler: ApiHandler) -> None:
-    """Answer for the zone of this entry; entries know only the targets of their own."""
+    """Answer for the zone of this entry; an entry knows only the targets of its own zone."""
     zone = entry.own.zone
     holder = await read_holder(entry.store, zone)
     known = holder.ok_value if holder.is_ok() else None
--- a/waxwingglade/process/duties/permits.py
+++ b/waxwingglade/process/duties/permits.py
@@ -1,8 +1,8 @@
-"""Permits to load weights: a limit of targets that load at once, and a token bucket.
+"""Limits on loading weights: the number of targets that load at once, and a token bucket.
 
-The entry that gives the zone's orders holds them.  They live and end with its lease: a new holder
-starts with an empty bucket, so that two holders in a row never ask for more than the rate allows
-and one burst on top.
+The entry that gives the zone's orders holds the permits, for as long as its lease lasts.  A new
+holder starts with an empty bucket, so that two holders in a row never exceed the rate by more than
+one burst.
 """
 
 from waxwingglade.base import Clock, TargetId, monotonic
@@ -12,7 +12,7 @@
 
 
 class LoadPermits:
-    """Permits of one holder.
+    """The permits of one holder.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
         self.filled_at = clock()
 
     def begin(self, target: TargetId) -> bool:
-        """Count a target among those that load, if there is room; true if it is among them."""
+        """Count a target as loading if there is a free slot; return whether it counts."""
         if target in self.loading:
             return True
         if len(self.loading) >= self.settings.loads_at_once:
@@ -39,11 +39,11 @@
         return True
 
     def end(self, target: TargetId) -> None:
-        """Count a target no longer."""
+        """Stop counting a target as loading."""
         self.loading.discard(target)
 
     def take(self) -> bool:
-        """Take a token for one order to load, if there is one."""
+        """Take a token for one order to load; return whether there was one."""
         self._refill()
         if self.tokens < 1.0:
             return False
@@ -51,7 +51,7 @@
         return True
 
     def give_back(self) -> None:
-        """Return the token of an order that was not run."""
+        """Return the token of an order that did not run."""
         self.tokens = min(self.tokens + 1.0, float(self.settings.loads_at_once))
 
     def _refill(self) -> None:
--- a/waxwingglade/process/duties/reconcile.py
+++ b/waxwingglade/process/duties/reconcile.py
@@ -1,4 +1,4 @@
-"""The next order that brings a model engine from its state to the desired one."""
+"""Computes the next order that brings a model engine closer to its desired state."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """An order that has no fencing number yet."""
+    """An order without its fencing number."""
 
     kind: OrderKind
     value: str
@@ -24,9 +24,9 @@
 
 
 def next_step(desired: DesiredTarget, state: EngineState) -> Step | None:
-    """Return the next order; None where the state is the desired one.
+    """Return the next order, None if the state is the desired one.
 
-    What is not wanted goes before what is wanted comes, since the memory may not hold both.
+    Unwanted weights are unloaded before wanted ones are loaded, since the memory may not hold both.
     """
     if desired.role and state.role != desired.role:
         return Step(OrderKind.SET_ROLE, desired.role)
@@ -42,13 +42,13 @@
 
 
 def lacks_weights(desired: DesiredTarget, state: EngineState) -> bool:
-    """Return whether something is still to be loaded."""
+    """Return whether a desired model or adapter is not loaded yet."""
     missing = _without(desired.models, state.models) or _without(desired.adapters, state.adapters)
     return bool(missing)
 
 
 def has_effect(step: Step, state: EngineState) -> bool:
-    """Return whether an order shows in the state."""
+    """Return whether the state shows the effect of an order."""
     if step.kind is OrderKind.SET_ROLE:
         return state.role == step.value
     if step.kind is OrderKind.LOAD_MODEL:
@@ -61,7 +61,7 @@
 
 
 def serving(desired: DesiredTarget, state: EngineState) -> list[str]:
-    """Return the models and adapters that may get calls: loaded, and to stay so."""
+    """Return the models and adapters that may get calls: those loaded and desired."""
     wanted = {*desired.models, *desired.adapters}
     return [name for name in [*state.models, *state.adapters] if name in wanted]
 
--- a/waxwingglade/process/duties/reports.py
+++ b/waxwingglade/process/duties/reports.py
@@ -1,7 +1,7 @@
-"""Telling the zone's entries what their targets have loaded.
+"""Reports to the zone's entries which models and adapters their targets have loaded.
 
-The entry that gives the orders sends what changed, and everything to an entry that is new to it.
-An entry keeps what it was told last, also while nobody gives orders.
+The entry that gives the orders sends changed reports, and all reports to an entry that is new to
+it.  An entry retains the last reports that it received, even while no entry gives orders.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 if TYPE_CHECKING:
     from waxwingglade.process.entry import Entry
 
-TELL_TIMEOUT_S = 1.0
+SEND_TIMEOUT_S = 1.0
 
 
 def apply_reports(entry: Entry, reports: list[TargetReport]) -> None:
-    """Take in reports that are newer than those known, and route by them."""
+    """Store reports that are newer than the known ones, and use them for routing."""
     for report in reports:
         known = entry.target_reports.get(report.target)
         if report.target not in entry.targets or not _is_newer(report, known):
@@ -37,14 +37,14 @@
 
 
 def _is_newer(report: TargetReport, known: TargetReport | None) -> bool:
-    """Return whether a report came after another: messages can overtake each other."""
+    """Return whether a report is newer than another, since messages can arrive out of order."""
     if known is None:
         return True
     return (report.fencing, report.number) > (known.fencing, known.number)
 
 
 class Reporter:
-    """Reports of one holder of the duty.
+    """Distributes the reports of one holder of the duty.
 
     Parameters
     ----------
@@ -52,8 +52,8 @@
         Fencing number of the holder.
     members, links : Members, PeerLinks
         The entries, and the connections to them.
-    take : callable
-        Takes reports in at this entry.
+    apply : callable
+        Applies reports at this entry.
     """
 
     def __init__(
@@ -61,38 +61,42 @@
         fencing: int,
         members: Members,
         links: PeerLinks,
-        take: Callable[[list[TargetReport]], None],
+        apply: Callable[[list[TargetReport]], None],
     ) -> None:
         self.fencing = fencing
         self.members = members
         self.links = links
-        self.take = take
+        self.apply = apply
         self.number = 0
         self.reports: dict[TargetId, TargetReport] = {}
-        self.told: dict[Incarnation, int] = {}
+        self.acknowledged: dict[Incarnation, int] = {}
 
     async def report(self, report: TargetReport) -> None:
-        """Tell this entry and the others of the zone, if the report says anything new."""
+        """Send a report to this entry and the others of the zone, if its content is new."""
         known = self.reports.get(report.target)
         if known is not None and known == msgspec.structs.replace(report, number=known.number):
             return
         self.number += 1
         numbered = msgspec.structs.replace(report, number=self.number)
         self.reports[report.target] = numbered
-        self.take([numbered])
+        self.apply([numbered])
         await self.send_to_all()
 
     async def send_to_all(self) -> None:
-        """Send every entry of the zone what it lacks."""
+        """Send each entry of the zone the reports that it lacks."""
         own = self.members.own
         peers = [each for each in self.members.known() if each.zone == own.zone and each != own]
-        behind = [each for each in peers if self.told.get(each.incarnation, 0) < self.number]
-        await asyncio.gather(*(self._tell(each) for each in behind))
-
-    async def _tell(self, peer: EntryRef) -> None:
-        told, number = self.told.get(peer.incarnation, 0), self.number
-        lacking = [each for each in self.reports.values() if each.number > told]
+        behind = [
+            each for each in peers if self.acknowledged.get(each.incarnation, 0) < self.number
+        ]
+        await asyncio.gather(*(self._send(each) for each in behind))
+
+    async def _send(self, peer: EntryRef) -> None:
+        acknowledged, number = self.acknowledged.get(peer.incarnation, 0), self.number
+        lacking = [each for each in self.reports.values() if each.number > acknowledged]
         link = self.links.to(peer.peer_address, peer.incarnation)
-        answer = await link.request(TargetReports(lacking), TELL_TIMEOUT_S)
+        answer = await link.request(TargetReports(lacking), SEND_TIMEOUT_S)
         if answer.is_ok() and isinstance(answer.ok_value, Noted):
-            self.told[peer.incarnation] = max(number, self.told.get(peer.incarnation, 0))
+            self.acknowledged[peer.incarnation] = max(
+                number, self.acknowledged.get(peer.incarnation, 0)
+            )
--- a/waxwingglade/process/duties/tests/builders.py
+++ b/waxwingglade/process/duties/tests/builders.py
@@ -104,7 +104,7 @@
 
     def start(self) -> None:
         """Begin to give orders."""
-        self.task = asyncio.create_task(self.controller.keep())
+        self.task = asyncio.create_task(self.controller.run())
 
     async def stop(self) -> None:
         """End."""
--- a/waxwingglade/process/duties/tests/test_controller.py
+++ b/waxwingglade/process/duties/tests/test_controller.py
@@ -77,7 +77,7 @@
         def lose_the_duty(_reports):
             holder.term.lost = True
 
-        holder.reporter.take = lose_the_duty
+        holder.reporter.apply = lose_the_duty
         holder.start()
         await until(lambda: holder.term.lost)
         await until(holder.task.done)
@@ -92,7 +92,7 @@
         holder = await self.start_holder("first")
         await until(lambda: other.orders.state().models == ["new"])
         await until(lambda: any("old fencing" in each.note for each in holder.reports))
-        self.assertTrue(holder.term.may_act())
+        self.assertTrue(holder.term.may_send_orders())
         self.assertEqual(["old"], engine.orders.state().models)
 
 
--- a/waxwingglade/process/duties/tests/test_lease.py
+++ b/waxwingglade/process/duties/tests/test_lease.py
@@ -24,7 +24,7 @@
         self.assertEqual(ErrorCode.CONFLICT, refused.unwrap_err().code)
         self.assertEqual(first.own, (await read_holder(self.client, ZONE)).unwrap())
         await first.resign()
-        self.assertFalse(first.may_act())
+        self.assertFalse(first.may_send_orders())
         second = await self.acquire("second")
         self.assertGreater(second.fencing, first.fencing)
 
@@ -66,22 +66,22 @@
         clock = ManualClock()
         term = await self.term_by(clock)
         margin_s = term.settings.target_orders.margin_s
-        self.assertTrue(term.may_act())
+        self.assertTrue(term.may_send_orders())
         clock.now = term.lease.valid_until - margin_s
-        self.assertFalse(term.may_act())
+        self.assertFalse(term.may_send_orders())
 
     async def test_the_store_says_that_it_is_lost_though_the_own_clock_stood_still(self):
         term = await self.term_by(ManualClock())
         await self.set_faults(lapse_leases=[term.lease.id])
-        self.assertTrue(term.may_act())
+        self.assertTrue(term.may_send_orders())
         self.assertFalse(await term.renew())
-        self.assertFalse(term.may_act())
+        self.assertFalse(term.may_send_orders())
 
     async def test_without_an_answer_of_the_store_nothing_may_go_to_unprotected_engines(self):
         term = await self.term_by(ManualClock())
         await self.standin.stop()
         self.assertFalse(await term.renew())
-        self.assertTrue(term.may_act())
+        self.assertTrue(term.may_send_orders())
 
     async def term_by(self, clock):
         """Return a term by the given clock."""
--- a/waxwingglade/process/duties/tests/test_two_holders.py
+++ b/waxwingglade/process/duties/tests/test_two_holders.py
@@ -52,7 +52,7 @@
         self.assertEqual([True, False], orders_of(self.engine, self.frozen.term.fencing))
         self.assertEqual(["new"], self.engine.orders.state().models)
         self.assertLess(self.frozen.term.fencing, self.successor.term.fencing)
-        await until(lambda: not self.frozen.term.may_act())
+        await until(lambda: not self.frozen.term.may_send_orders())
 
     async def test_an_engine_that_agrees_learns_the_new_number_all_the_same(self):
         self.engine = await self.start_engine()
