--- a/waxwingglade/process/configuration.py
+++ b/waxwingglade/process/configuration.py
@@ -189,7 +189,7 @@
 
     def _forget_unresponsive_peers(self) -> None:
         """Discard the reports of entries that are no longer alive."""
-        alive = {ref.entry for ref in self.entry.members.known()}
+        alive = {ref.entry for ref in self.entry.members.alive_refs()}
         for entry in self.reports.reports.keys() - alive:
             self.reports.forget(entry)
 
--- a/waxwingglade/process/duties/reports.py
+++ b/waxwingglade/process/duties/reports.py
@@ -85,7 +85,9 @@
     async def send_to_all(self) -> None:
         """Send each entry of the zone the reports that it lacks."""
         own = self.members.own
-        peers = [each for each in self.members.known() if each.zone == own.zone and each != own]
+        peers = [
+            each for each in self.members.alive_refs() if each.zone == own.zone and each != own
+        ]
         behind = [
             each for each in peers if self.acknowledged.get(each.incarnation, 0) < self.number
         ]
--- a/waxwingglade/process/locate.py
+++ b/waxwingglade/process/locate.py
@@ -69,7 +69,7 @@
 
 async def _find_at_peers(entry: Entry, log: LogId) -> Outcome[EntryRef]:
     """Ask peers for a log without a record in the store: it may be new, or retired long ago."""
-    peers = [ref for ref in entry.members.known() if ref.incarnation != entry.incarnation]
+    peers = [ref for ref in entry.members.alive_refs() if ref.incarnation != entry.incarnation]
     links = [entry.links.to(ref.peer_address, ref.incarnation) for ref in peers[:MAX_ASKED_PEERS]]
     period_s = entry.settings.durability.heartbeat_s
     answers = await asyncio.gather(*(link.request(FindLog(log), period_s) for link in links))
--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -24,7 +24,7 @@
 from waxwingglade.base.tasks import start_task
 from waxwingglade.connection.peer import PeerLinks
 from waxwingglade.connection.peer_messages import EntryState, Heartbeat, HeartbeatReply
-from waxwingglade.process.watching import Watch, choose_watched
+from waxwingglade.process.watching import WatchedPeers, choose_watched
 from waxwingglade.settings import DurabilitySettings
 from waxwingglade.version import ConfigDigest
 
@@ -75,7 +75,7 @@
         self.peers: dict[EntryId, Peer] = {}
         self.started = clock()
         self.watched_since: dict[EntryId, float] = {}
-        self.watches_everybody = True
+        self.watches_all = True
 
     def record_contact(
         self, ref: EntryRef, state: EntryState, config_version: ConfigVersion
@@ -109,12 +109,12 @@
         peer = self.peers.get(ref.entry)
         return peer is None or peer.state is EntryState.ALIVE
 
-    def set_watched(self, watch: Watch) -> None:
+    def set_watched(self, watch: WatchedPeers) -> None:
         """Record which peers heartbeats are exchanged with; only these can be found unreachable."""
         now = self.clock()
         before = self.watched_since
         self.watched_since = {entry: before.get(entry, now) for entry in watch.entries}
-        self.watches_everybody = watch.everybody
+        self.watches_all = watch.all_peers
 
     def is_unreachable(self, ref: EntryRef) -> bool:
         """Return whether this incarnation was without contact for long enough to replace it."""
@@ -124,7 +124,7 @@
         if peer is not None and not peer.ref.answers_to(ref.incarnation) and self.alive(peer.ref):
             # A later incarnation of the entry is running.
             return True
-        since = self.started if self.watches_everybody else self.watched_since.get(ref.entry)
+        since = self.started if self.watches_all else self.watched_since.get(ref.entry)
         return since is not None and self.clock() - since >= self.settings.suspect_after_s
 
     def usable(self) -> list[EntryRef]:
@@ -148,7 +148,7 @@
             return None
         return peer.ref
 
-    def known(self) -> list[EntryRef]:
+    def alive_refs(self) -> list[EntryRef]:
         """Return this entry and the peers that are alive."""
         return [self.own, *(p.ref for p in self.peers.values() if self.alive(p.ref))]
 
@@ -160,13 +160,13 @@
 
     def refs_to_share(self) -> list[EntryRef]:
         """Return the entries to report to peers: all, or those of this zone in a large fleet."""
-        if self.watches_everybody:
-            return self.known()
-        return [ref for ref in self.known() if ref.zone == self.own.zone]
+        if self.watches_all:
+            return self.alive_refs()
+        return [ref for ref in self.alive_refs() if ref.zone == self.own.zone]
 
     def refs_missing_at(self, heartbeat: Heartbeat) -> list[EntryRef]:
         """Return the entries to report to the sender of a heartbeat."""
-        if self.watches_everybody or heartbeat.sender.zone == self.own.zone:
+        if self.watches_all or heartbeat.sender.zone == self.own.zone:
             return [] if heartbeat.members_digest == self.digest() else self.refs_to_share()
         return self.refs_to_share()[:MEMBERS_PER_REMOTE_ZONE] if heartbeat.wants_members else []
 
@@ -181,7 +181,7 @@
 
     def reachable_zones(self) -> set[ZoneId]:
         """Return the availability zones with at least one live entry, the own zone included."""
-        return {ref.zone for ref in self.known()}
+        return {ref.zone for ref in self.alive_refs()}
 
 
 class Heartbeats:
--- a/waxwingglade/process/tests/test_members.py
+++ b/waxwingglade/process/tests/test_members.py
@@ -7,7 +7,7 @@
 from waxwingglade.base import ConfigVersion, EntryId, EntryRef, Incarnation, ZoneId
 from waxwingglade.connection.peer_messages import EntryState, Heartbeat
 from waxwingglade.process.members import Members
-from waxwingglade.process.watching import Watch, choose_watched
+from waxwingglade.process.watching import WatchedPeers, choose_watched
 from waxwingglade.settings import DurabilitySettings
 
 SETTINGS = DurabilitySettings(suspect_after_s=2.0, forget_after_s=100.0)
@@ -101,7 +101,7 @@
 
     def test_a_small_fleet_is_watched_whole(self):
         watch = self.choose(self.at_home)
-        self.assertTrue(watch.everybody)
+        self.assertTrue(watch.all_peers)
         self.assertEqual({peer.entry for peer in self.at_home}, watch.entries)
 
     def test_a_large_fleet_is_watched_in_part(self):
@@ -130,27 +130,27 @@
 
     def test_silence_of_one_that_is_not_watched_tells_nothing(self):
         watched, other = self.away[0], self.away[1]
-        self.members.set_watched(Watch(frozenset({watched.entry}), everybody=False))
+        self.members.set_watched(WatchedPeers(frozenset({watched.entry}), all_peers=False))
         self.now += 10.0
         self.assertTrue(self.members.is_unreachable(watched))
         self.assertFalse(self.members.is_unreachable(other))
 
     def test_one_that_was_just_chosen_has_time_to_speak(self):
         self.now += 100.0
-        self.members.set_watched(Watch(frozenset({self.away[0].entry}), everybody=False))
+        self.members.set_watched(WatchedPeers(frozenset({self.away[0].entry}), all_peers=False))
         self.assertFalse(self.members.is_unreachable(self.away[0]))
         self.now += 2.0
         self.assertTrue(self.members.is_unreachable(self.away[0]))
 
     def test_an_incarnation_that_was_replaced_is_gone_though_not_watched(self):
-        self.members.set_watched(Watch(frozenset(), everybody=False))
+        self.members.set_watched(WatchedPeers(frozenset(), all_peers=False))
         self.members.record_contact(ref("a", "2"), EntryState.ALIVE, ConfigVersion(0))
         self.assertTrue(self.members.is_unreachable(ref("a", "1")))
 
     def test_other_zones_are_told_of_few_and_only_on_request(self):
         for peer in self.at_home:
             self.members.record_contact(peer, EntryState.ALIVE, ConfigVersion(0))
-        self.members.set_watched(Watch(frozenset(), everybody=False))
+        self.members.set_watched(WatchedPeers(frozenset(), all_peers=False))
         for wants, told in ((True, 3), (False, 0)):
             beat = Heartbeat(self.away[0], EntryState.ALIVE, 0, ConfigVersion(0))
             beat = msgspec.structs.replace(beat, wants_members=wants)
--- a/waxwingglade/process/watching.py
+++ b/waxwingglade/process/watching.py
@@ -14,11 +14,11 @@
 from waxwingglade.settings import DurabilitySettings
 
 
-class Watch(msgspec.Struct, frozen=True):
+class WatchedPeers(msgspec.Struct, frozen=True):
     """The peers to exchange heartbeats with, and whether these are all known peers."""
 
     entries: frozenset[EntryId]
-    everybody: bool
+    all_peers: bool
 
 
 def choose_watched(
@@ -26,7 +26,7 @@
     known: Sequence[EntryRef],
     partners: Sequence[EntryRef],
     settings: DurabilitySettings,
-) -> Watch:
+) -> WatchedPeers:
     """Return the peers to exchange heartbeats with.
 
     Parameters
@@ -41,12 +41,12 @@
         Limits `watch_all_up_to` and `remote_watched`.
     """
     if len(known) <= settings.watch_all_up_to:
-        return Watch(frozenset(ref.entry for ref in known), everybody=True)
+        return WatchedPeers(frozenset(ref.entry for ref in known), all_peers=True)
     at_home = {ref.entry for ref in known if ref.zone == own.zone}
     remote = _one_per_zone(own, [ref for ref in known if ref.zone != own.zone])
     chosen = {ref.entry for ref in remote[: settings.remote_watched]}
     shared = {ref.entry for ref in partners if ref.entry != own.entry}
-    return Watch(frozenset(at_home | chosen | shared), everybody=False)
+    return WatchedPeers(frozenset(at_home | chosen | shared), all_peers=False)
 
 
 def _one_per_zone(own: EntryRef, refs: Sequence[EntryRef]) -> list[EntryRef]:
