--- a/waxwingglade/process/drain.py
+++ b/waxwingglade/process/drain.py
@@ -33,7 +33,7 @@
 
 
 async def drain(entry: Entry) -> None:
-    """Hand over everything that others depend on, within `drain_timeout_s`.
+    """Hand over everything that other entries depend on, within `drain_timeout_s`.
 
     Meanwhile callers still get answers; their requests are forwarded to the new owners.
     """
@@ -88,9 +88,9 @@
     """Return the peers to ask, in order: those that already hold a copy come first."""
     holders = {ref.incarnation for ref in owned.copies}
     ranked = rank(owned.log, entry.members.usable())
-    at_home = [ref for ref in ranked if ref.zone == entry.own.zone]
-    others = [ref for ref in ranked if ref.zone != entry.own.zone]
-    ordered = at_home + others
+    local = [ref for ref in ranked if ref.zone == entry.own.zone]
+    remote = [ref for ref in ranked if ref.zone != entry.own.zone]
+    ordered = local + remote
     return sorted(ordered, key=lambda ref: ref.incarnation not in holders)
 
 
--- a/waxwingglade/process/placement.py
+++ b/waxwingglade/process/placement.py
@@ -54,13 +54,15 @@
         return (not ref.disk, ref.incarnation not in holding)
 
     ranked = sorted(rank(log, holders), key=preference)
-    at_home = [ref for ref in ranked if ref.zone == owner.zone]
-    away = _alternate_zones([ref for ref in ranked if ref.zone != owner.zone])
-    wanted = copies - 1
-    wanted_away = wanted if cut_policy_of(log) is CutPolicy.SPREAD else copies - (copies // 2 + 1)
-    chosen = away[:wanted_away]
-    chosen += at_home[: wanted - len(chosen)]
-    chosen += [ref for ref in away if ref not in chosen][: wanted - len(chosen)]
+    local = [ref for ref in ranked if ref.zone == owner.zone]
+    remote = _alternate_zones([ref for ref in ranked if ref.zone != owner.zone])
+    peer_count = copies - 1
+    remote_count = (
+        peer_count if cut_policy_of(log) is CutPolicy.SPREAD else copies - (copies // 2 + 1)
+    )
+    chosen = remote[:remote_count]
+    chosen += local[: peer_count - len(chosen)]
+    chosen += [ref for ref in remote if ref not in chosen][: peer_count - len(chosen)]
     return [owner, *chosen]
 
 
@@ -71,8 +73,8 @@
     """
     if cut_policy_of(log) is not CutPolicy.SPREAD:
         return False
-    at_home = sum(ref.zone == copies[0].zone for ref in copies)
-    return at_home <= len(copies) // 2
+    local_count = sum(ref.zone == copies[0].zone for ref in copies)
+    return local_count <= len(copies) // 2
 
 
 def cut_policy_of(log: LogId) -> CutPolicy:
--- a/waxwingglade/process/watching.py
+++ b/waxwingglade/process/watching.py
@@ -42,11 +42,11 @@
     """
     if len(known) <= settings.watch_all_up_to:
         return WatchedPeers(frozenset(ref.entry for ref in known), all_peers=True)
-    at_home = {ref.entry for ref in known if ref.zone == own.zone}
+    local = {ref.entry for ref in known if ref.zone == own.zone}
     remote = _one_per_zone(own, [ref for ref in known if ref.zone != own.zone])
     chosen = {ref.entry for ref in remote[: settings.remote_watched]}
     shared = {ref.entry for ref in partners if ref.entry != own.entry}
-    return WatchedPeers(frozenset(at_home | chosen | shared), all_peers=False)
+    return WatchedPeers(frozenset(local | chosen | shared), all_peers=False)
 
 
 def _one_per_zone(own: EntryRef, refs: Sequence[EntryRef]) -> list[EntryRef]:
