--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -90,8 +90,8 @@
         for ref in refs:
             if ref.entry == self.own.entry or ref.entry in self.peers:
                 continue
-            expired = self.clock() - self.settings.suspect_after_s
-            self.peers[ref.entry] = Peer(ref, EntryState.ALIVE, expired)
+            last_seen = self.clock() - self.settings.suspect_after_s
+            self.peers[ref.entry] = Peer(ref, EntryState.ALIVE, last_seen)
 
     def alive(self, ref: EntryRef) -> bool:
         """Return whether this incarnation was in contact within `suspect_after_s`."""
@@ -110,7 +110,7 @@
         return peer is None or peer.state is EntryState.ALIVE
 
     def set_watched(self, watch: WatchedPeers) -> None:
-        """Record which peers heartbeats are exchanged with; only these can be found unreachable."""
+        """Record the peers to exchange heartbeats with; absence of others has no meaning."""
         now = self.clock()
         before = self.watched_since
         self.watched_since = {entry: before.get(entry, now) for entry in watch.entries}
--- a/waxwingglade/process/tests/fakes.py
+++ b/waxwingglade/process/tests/fakes.py
@@ -1,6 +1,6 @@
-"""A network, a store and entries in one event loop, with faults on demand.
+"""A fake network, store and entries in one event loop, with injected faults.
 
-They drive the real logs, copies, takeovers and changes of holders.
+They drive the real code of logs, copies, takeovers and changes of holders.
 """
 
 import asyncio
@@ -42,19 +42,19 @@
 from waxwingglade.settings import DurabilitySettings, ProgramPolicy
 
 SETTINGS = DurabilitySettings(append_timeout_s=0.05, suspect_after_s=0.02)
-FEWEST_COPIES = 2
+MIN_COPIES = 2
 LOG = LogId("z0.e0.i0.home0")
 
 
 class FakeStore:
-    """A store whose writes may fail, or take effect and lose their answer."""
+    """A store that can be unavailable, and whose writes may take effect but lose their answer."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.values: dict[str, tuple[bytes, int]] = {}
         self.revision = 0
         self.down = False
-        self.lost_answers = 0.0
+        self.lost_answer_rate = 0.0
 
     async def get(self, key, purpose=None):
         await asyncio.sleep(0)
@@ -74,36 +74,36 @@
             return not_run(ErrorCode.CONFLICT, "changed")
         self.revision += 1
         self.values[key] = (value, self.revision)
-        if self.chance.random() < self.lost_answers:
+        if self.rng.random() < self.lost_answer_rate:
             return may_have_run(ErrorCode.STORE_UNAVAILABLE, "answer lost")
         return Ok(self.revision)
 
 
 class Network:
-    """Delivers requests between nodes, but for those that are cut off or dead."""
+    """Delivers requests between nodes, except to and from partitioned or stopped nodes."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.nodes: dict[Incarnation, Node] = {}
-        self.cut: set[frozenset[Incarnation]] = set()
+        self.partitioned: set[frozenset[Incarnation]] = set()
         self.delay_s: dict[Incarnation, float] = {}
 
     def reachable(self, one: Incarnation, other: Incarnation) -> bool:
         """Return whether two nodes are alive and connected."""
         if not (self.nodes[one].alive and self.nodes[other].alive):
             return False
-        return frozenset((one, other)) not in self.cut
+        return frozenset((one, other)) not in self.partitioned
 
     async def deliver(self, sender: Incarnation, to: Incarnation, body, timeout_s: float):
-        """Carry a request and its answer; either may be lost."""
+        """Deliver a request and its answer; either may be lost."""
         await asyncio.sleep(self.delay_s.get(to, 0))
-        for _ in range(self.chance.randrange(4)):
+        for _ in range(self.rng.randrange(4)):
             await asyncio.sleep(0)
         if not self.reachable(sender, to):
             await asyncio.sleep(timeout_s)
-            return may_have_run(ErrorCode.UNAVAILABLE, "cut off")
+            return may_have_run(ErrorCode.UNAVAILABLE, "partitioned")
         answer = self.nodes[to].answer(body)
-        for _ in range(self.chance.randrange(4)):
+        for _ in range(self.rng.randrange(4)):
             await asyncio.sleep(0)
         if not self.reachable(sender, to):
             await asyncio.sleep(timeout_s)
@@ -114,7 +114,7 @@
 
 
 class FakeLink:
-    """What an owned log needs of a connection."""
+    """The part of a connection that an owned log uses."""
 
     def __init__(self, network: Network, sender: Incarnation, to: Incarnation) -> None:
         self.network = network
@@ -126,7 +126,7 @@
 
 
 class Node:
-    """One entry: its copies, and the log if it owns it."""
+    """One entry with its copies, and with the log if it owns it."""
 
     def __init__(self, number: int, zone: str, network: Network, store: FakeStore) -> None:
         self.ref = EntryRef(
@@ -140,11 +140,11 @@
         network.nodes[self.ref.incarnation] = self
 
     def to(self, _address: str, incarnation: Incarnation) -> FakeLink:
-        """Return the connection to a peer (the part of `PeerLinks`)."""
+        """Return the connection to a peer, as `PeerLinks` does."""
         return FakeLink(self.network, self.ref.incarnation, incarnation)
 
     def answer(self, body):
-        """Answer a peer."""
+        """Answer a request of a peer."""
         if isinstance(body, AppendRecords):
             if self.owned is not None and body.epoch > self.owned.epoch:
                 self.owned.fence(body.epoch)
@@ -174,7 +174,7 @@
         self.owned = None
 
     def build(self, log: LogId, epoch: Epoch, records: list[bytes], copies=None) -> OwnedLog:
-        """Return a started log with holders among the nodes that can be reached."""
+        """Return a started log with holders among the reachable nodes."""
         owned = OwnedLog(
             log=log,
             epoch=epoch,
@@ -189,18 +189,18 @@
         return owned
 
     def choose_copies(self) -> list[EntryRef]:
-        """Return this node and two others, drawn by lot among those in reach."""
+        """Return this node and two random reachable others."""
         own = self.ref.incarnation
         others = [
             node.ref
             for name, node in self.network.nodes.items()
             if name != own and self.network.reachable(own, name)
         ]
-        self.network.chance.shuffle(others)
+        self.network.rng.shuffle(others)
         return [self.ref, *others[:2]]
 
     async def ask(self, ref: EntryRef, message):
-        """Ask a node, this one included."""
+        """Send a request to a node, which may be this one."""
         if ref.incarnation == self.ref.incarnation:
             answer = self.answer(message)
             return not_run(ErrorCode.NOT_FOUND, "") if isinstance(answer, Refused) else Ok(answer)
@@ -210,32 +210,32 @@
 
     async def adopt(self):
         """Try to take the log over."""
-        means = TakeoverContext(
+        takeover = TakeoverContext(
             self.ref,
             Directory(self.store),
             self.ask,
             self.build,
             self.copies.retain_demoted,
-            FEWEST_COPIES,
+            MIN_COPIES,
         )
-        taken = await take_over(means, LOG, None)
+        taken = await take_over(takeover, LOG, None)
         if taken.is_ok():
             self.owned = taken.ok_value
             self.copies.logs.pop(LOG, None)
         return taken
 
     async def register(self):
-        """Name the log in the store, once its copies exist."""
+        """Register the log in the store, once its copies exist."""
         if self.owned is not None:
             await self.owned.confirm_ownership()
             return await register(self.owned, Directory(self.store))
         return None
 
     async def change_holders(self):
-        """Move the log to other holders."""
+        """Change the holders of the log."""
         if self.owned is not None and self.owned.store_revision:
             copies = self.owned.next_copies or self.choose_copies()
-            if len(copies) < FEWEST_COPIES:
+            if len(copies) < MIN_COPIES:
                 return None
             return await change_copies(self.owned, copies, Directory(self.store))
         return None
@@ -245,7 +245,7 @@
 
 
 def new_record() -> tuple[ProgramId, Created]:
-    """Return a record that can be told from every other."""
+    """Return a record that differs from all others."""
     program = ProgramId(f"{LOG}.p{next(_numbers)}")
     body = Created(
         TenantId("t"), ClassName("c"), ProgramPolicy(), ConfigVersion(1), 0.0, CallId("r")
@@ -254,6 +254,6 @@
 
 
 def programs_in(records: list[bytes]) -> list[ProgramId]:
-    """Return the programs named in records, in order."""
+    """Return the programs of records, in order."""
     decoded = (decode_record(data) for data in records)
     return [record.program for record in decoded if record.program is not None]
--- a/waxwingglade/process/tests/one_entry.py
+++ b/waxwingglade/process/tests/one_entry.py
@@ -1,4 +1,4 @@
-"""One entry with stand-ins in one event loop, for tests."""
+"""One real entry with stand-ins for its surroundings, in one event loop."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -20,7 +20,7 @@
 
 
 class OneEntry:
-    """An entry with one engine, one service, a store and a list of VMs around it.
+    """An entry with stand-ins for an engine, a service, the store and the platform's list of VMs.
 
     Parameters
     ----------
@@ -46,7 +46,7 @@
         return self.daemon.entry
 
     async def start(self) -> None:
-        """Start everything on free ports."""
+        """Start the stand-ins and the entry on free ports."""
         for standin in (self.store, self.engine, self.tool, self.platform):
             await standin.start()
         settings = parse_settings(self.settings(), ProcessSettings, "test")
@@ -82,7 +82,7 @@
         }
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the entry and the stand-ins."""
         if self.daemon is not None:
             await self.daemon.stop()
         for standin in (self.store, self.engine, self.tool, self.platform):
@@ -115,7 +115,7 @@
 async def one_entry(
     policy: ProgramPolicy | None = None, **overrides: Any
 ) -> AsyncIterator[OneEntry]:
-    """Run one entry with its surroundings for the time of a test."""
+    """Run one entry with its stand-ins during a test."""
     running = OneEntry(policy or ProgramPolicy(), overrides)
     try:
         await running.start()
--- a/waxwingglade/process/tests/test_configuration.py
+++ b/waxwingglade/process/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""How an entry catches up with its peers."""
+"""An entry catches up with the configuration of its peers and of the store."""
 
 import asyncio
 import unittest
@@ -40,19 +40,19 @@
 LONG_S = 600.0
 
 
-class Ahead:
-    """Peers that have a version more; they answer when they are let."""
+class NewerPeers:
+    """Peers with a newer configuration version; they answer once `may_answer` is set."""
 
     def __init__(self, start: Tree) -> None:
         self.active = ActiveConfig(start)
         self.active.offer_records([next_record(start, set_value(7))], Source.STORE)
         self.active.confirmed = True
         self.asked: list[ConfigVersion] = []
-        self.let = asyncio.Event()
+        self.may_answer = asyncio.Event()
 
     async def request(self, body: FetchConfig, timeout_s: float):
         self.asked.append(body.known)
-        await self.let.wait()
+        await self.may_answer.wait()
         records = self.active.records_bytes(body.known)
         return Ok(ConfigSnapshot(records or self.active.snapshot_bytes()))
 
@@ -65,29 +65,29 @@
         self.addAsyncCleanup(self.entry.http.close)
         self.entry.config = ActiveConfig(Tree(ConfigVersion(4), make_tree()))
         self.configuration = Configuration(self.entry)
-        self.ahead = Ahead(self.entry.config.current)
-        self.entry.links = mock.Mock(to=lambda *_: self.ahead)
+        self.newer_peers = NewerPeers(self.entry.config.current)
+        self.entry.links = mock.Mock(to=lambda *_: self.newer_peers)
 
-    def hear(self, peer: EntryRef) -> None:
-        digest = self.ahead.active.digest()
+    def receive_heartbeat(self, peer: EntryRef) -> None:
+        digest = self.newer_peers.active.digest()
         self.entry.members.record_contact(peer, EntryState.ALIVE, digest.version)
         self.configuration.on_peer_digest(peer, digest)
 
-    async def settle(self) -> None:
+    async def wait_for_tasks(self) -> None:
         while self.entry.tasks:
             await asyncio.sleep(0)
 
-    async def test_it_serves_nobody_before_it_has_what_a_peer_has(self):
+    async def test_it_does_not_serve_before_it_has_the_version_of_a_peer(self):
         self.configuration.store_read_attempted = True
-        self.hear(PEERS[0])
+        self.receive_heartbeat(PEERS[0])
         waiting = asyncio.create_task(self.configuration.wait_until_current())
         await asyncio.sleep(0.1)
         self.assertFalse(waiting.done())
-        self.ahead.let.set()
+        self.newer_peers.may_answer.set()
         await with_timeout(waiting)
         self.assertEqual(5, self.entry.config.current.version)
 
-    async def test_it_waits_for_the_store_unless_a_peer_has_heard_from_it(self):
+    async def test_it_waits_for_the_store_unless_a_peer_has_confirmed_the_version(self):
         waiting = asyncio.create_task(self.configuration.wait_until_current())
         await asyncio.sleep(0.1)
         self.assertFalse(waiting.done())
@@ -99,28 +99,30 @@
         self.assertTrue(self.entry.config.confirmed)
 
     async def read_store(self, *outcomes: Outcome[bool]) -> asyncio.Task:
-        """Begin to start an entry that misses a peer; return what waits until it may serve."""
+        """Start an entry with a missing peer; return the task that waits until it may serve."""
         durability = DurabilitySettings(suspect_after_s=SHORT_S)
         missing = PeerSettings(entry="peer", zone="zone-2", peer_address="tcp://peer:1")
         self.entry.settings = ProcessSettings(
             entry="own", zone="zone-1", durability=durability, peers=[missing]
         )
         patch = mock.patch(CATCH_UP, mock.AsyncMock(side_effect=outcomes))
-        self.readings = self.enterContext(patch)
-        reading = asyncio.create_task(self.configuration._do_duties())
-        self.addCleanup(reading.cancel)
+        self.reads = self.enterContext(patch)
+        read_task = asyncio.create_task(self.configuration._do_duties())
+        self.addCleanup(read_task.cancel)
         return asyncio.create_task(self.configuration.wait_until_current())
 
-    async def test_it_serves_nobody_after_a_reading_of_the_store_that_failed(self):
-        """Guards against an entry that goes back to the version of its settings by a restart."""
+    async def test_it_does_not_serve_after_a_failed_read_of_the_store(self):
+        """Guards against an entry that returns to the version in its settings after a restart,
+        which happens if it serves after a failed read of the store.
+        """
         with mock.patch.object(self.configuration, "is_watcher", return_value=False):
             waiting = await self.read_store(NOT_READ, NOT_READ, Ok(True))
             await asyncio.sleep(RETRY_S + SHORT_S)
             self.assertFalse(waiting.done())
             await with_timeout(waiting)
-        self.assertEqual(3, self.readings.await_count)
+        self.assertEqual(3, self.reads.await_count)
 
-    async def test_it_serves_in_the_end_though_nobody_answers(self):
+    async def test_it_serves_after_the_wait_limit_though_no_read_succeeds(self):
         with (
             mock.patch.object(self.configuration, "is_watcher", return_value=False),
             mock.patch("waxwingglade.process.configuration.STORE_READ_LIMIT_S", SHORT_S),
@@ -129,20 +131,20 @@
             await with_timeout(waiting)
         self.assertFalse(self.entry.config.confirmed)
 
-    async def test_one_version_from_several_peers_is_fetched_as_a_change(self):
+    async def test_a_version_of_several_peers_is_fetched_as_a_change(self):
         for peer in PEERS:
-            self.hear(peer)
+            self.receive_heartbeat(peer)
         await asyncio.sleep(0.01)
-        self.ahead.let.set()
-        await with_timeout(self.settle())
+        self.newer_peers.may_answer.set()
+        await with_timeout(self.wait_for_tasks())
         self.assertEqual(5, self.entry.config.current.version)
-        self.assertEqual([4] * MAX_FETCHES, self.ahead.asked)
+        self.assertEqual([4] * MAX_FETCHES, self.newer_peers.asked)
 
-    async def test_what_does_not_follow_from_the_version_here_is_fetched_whole(self):
+    async def test_a_version_that_does_not_follow_from_the_own_one_is_fetched_in_full(self):
         other = replay(Tree(4, make_tree()), [next_record(Tree(4, make_tree()), set_value(9))])
-        self.ahead = Ahead(Tree(ConfigVersion(4), other.tree))
-        self.ahead.let.set()
-        self.hear(PEERS[0])
-        await with_timeout(self.settle())
-        self.assertEqual([4, NO_VERSION], self.ahead.asked)
-        self.assertEqual(self.ahead.active.digest().hash, self.entry.config.digest().hash)
+        self.newer_peers = NewerPeers(Tree(ConfigVersion(4), other.tree))
+        self.newer_peers.may_answer.set()
+        self.receive_heartbeat(PEERS[0])
+        await with_timeout(self.wait_for_tasks())
+        self.assertEqual([4, NO_VERSION], self.newer_peers.asked)
+        self.assertEqual(self.newer_peers.active.digest().hash, self.entry.config.digest().hash)
--- a/waxwingglade/process/tests/test_drain.py
+++ b/waxwingglade/process/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""How long an entry that leaves waits for those that rely on its copies."""
+"""How long a draining entry waits for peers that depend on its copies."""
 
 import asyncio
 import unittest
@@ -30,25 +30,27 @@
             own=OWN, members=self.members, copies=SimpleNamespace(logs={LogId("log"): copy})
         )
 
-    def hear(self, state: EntryState) -> None:
-        """Take a sign of life of the owner."""
+    def receive_heartbeat(self, state: EntryState) -> None:
+        """Receive a heartbeat of the owner."""
         self.members.record_contact(OWNER, state, ConfigVersion(1))
 
     async def is_waiting(self) -> bool:
-        """Return whether the entry still waits after its peers count as silent."""
+        """Return whether the entry still waits once its peers count as unresponsive."""
         waiting = asyncio.create_task(_wait_for_copies(self.entry))
         await asyncio.sleep(SUSPECT_S + 2 * POLL_S)
         ended = waiting.done()
         waiting.cancel()
         return not ended
 
-    async def test_it_waits_for_an_owner_that_is_silent(self) -> None:
-        """Guards against leaving with a copy that is needed where all peers are held up."""
-        self.hear(EntryState.ALIVE)
+    async def test_it_waits_for_an_owner_that_is_unresponsive(self) -> None:
+        """Guards against stopping with a copy that is still needed, which happens when all peers
+        are stalled for a moment.
+        """
+        self.receive_heartbeat(EntryState.ALIVE)
         self.assertTrue(await self.is_waiting())
 
-    async def test_it_does_not_wait_for_peers_that_leave_as_well(self) -> None:
-        self.hear(EntryState.DRAINING)
+    async def test_it_does_not_wait_for_peers_that_drain_as_well(self) -> None:
+        self.receive_heartbeat(EntryState.DRAINING)
         self.assertFalse(await self.is_waiting())
 
     async def test_it_does_not_wait_where_there_never_was_a_peer(self) -> None:
--- a/waxwingglade/process/tests/test_limits.py
+++ b/waxwingglade/process/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Budgets, ends of programs, leaving targets and cache left behind, with one real entry."""
+"""Budgets, ends of programs, leaving targets and unused caches, with one real entry."""
 
 import asyncio
 import unittest
@@ -10,13 +10,13 @@
 from waxwingglade.settings import Budget, ProgramPolicy
 from waxwingglade.standins.platform import VM, VMState
 
-PATIENCE_S = 20.0
+WAIT_LIMIT_S = 20.0
 LONG = "a text that fills whole blocks of the prefix cache " * 20
 
 
 async def until(condition):
-    """Wait for a condition, and fail if it does not come."""
-    async with asyncio.timeout(PATIENCE_S):
+    """Wait for a condition, and fail if it is not met within `WAIT_LIMIT_S`."""
+    async with asyncio.timeout(WAIT_LIMIT_S):
         while not condition():
             await asyncio.sleep(0.02)
 
@@ -45,7 +45,7 @@
             await until(lambda: state.ended is not None)
             self.assertIn("turns", state.ended.reason)
 
-    async def test_a_hung_tool_is_ended_with_the_program_s_time(self):
+    async def test_a_hanging_tool_call_ends_with_the_wall_time_of_the_program(self):
         policy = ProgramPolicy(budget=Budget(wall_s=0.2), tool_timeout_s=60.0)
         async with one_entry(policy) as running:
             running.tool.faults = type(running.tool.faults)(hang=True)
@@ -56,7 +56,7 @@
         self.assertEqual("ended", view.state)
         self.assertIn("wall time", view.end_reason)
 
-    async def test_sub_agents_draw_on_their_root(self):
+    async def test_sub_agents_use_the_budget_of_their_root(self):
         policy = ProgramPolicy(budget=Budget(turns=4, depth=1))
         async with one_entry(policy) as running:
             program = await running.create()
@@ -71,7 +71,7 @@
 
 
 class Ends(unittest.IsolatedAsyncioTestCase):
-    async def test_engines_let_go_when_a_program_ends(self):
+    async def test_engines_release_their_cache_when_a_program_ends(self):
         async with one_entry() as running:
             program = await running.create()
             await running.model(program, "m1", LONG)
@@ -79,7 +79,7 @@
             await running.outcome(EndProgram(TENANT, program))
             await until(lambda: program not in running.engine.core.cache.held)
 
-    async def test_cache_of_a_program_that_nobody_knows_is_found(self):
+    async def test_the_cache_of_an_unknown_program_is_found(self):
         async with one_entry(sampling={"sweep_period_s": 0.05}) as running:
             cache = running.engine.core.cache
             program = await running.create()
@@ -98,8 +98,8 @@
             await running.create("r2")
             await until(lambda: log not in running.entry.owned)
             self.assertIsNone((await running.entry.directory.read(log)).ok_value.entry)
-            gone = await running.outcome(ReadProgram(TENANT, program))
-            self.assertIs(ErrorCode.NOT_FOUND, gone.code)
+            missing = await running.outcome(ReadProgram(TENANT, program))
+            self.assertIs(ErrorCode.NOT_FOUND, missing.code)
 
 
 class Leaving(unittest.IsolatedAsyncioTestCase):
--- a/waxwingglade/process/tests/test_log_safety.py
+++ b/waxwingglade/process/tests/test_log_safety.py
@@ -81,16 +81,16 @@
 
     def partition(self) -> None:
         one, other = self.chance.sample(self.nodes, 2)
-        self.network.cut.add(frozenset((one.ref.incarnation, other.ref.incarnation)))
+        self.network.partitioned.add(frozenset((one.ref.incarnation, other.ref.incarnation)))
 
     def heal(self) -> None:
-        self.network.cut.clear()
+        self.network.partitioned.clear()
 
     def toggle_store(self) -> None:
         self.store.down = not self.store.down
 
     def lose_answers(self) -> None:
-        self.store.lost_answers = self.chance.choice([0.0, 0.3])
+        self.store.lost_answer_rate = self.chance.choice([0.0, 0.3])
 
     def kill(self) -> None:
         """Kill a node permanently, at most one per run: three copies tolerate one failed node."""
@@ -98,9 +98,9 @@
             self.chance.choice(self.nodes).alive = False
 
     async def final_programs(self) -> list | None:
-        self.network.cut.clear()
+        self.network.partitioned.clear()
         self.store.down = False
-        self.store.lost_answers = 0.0
+        self.store.lost_answer_rate = 0.0
         for _ in range(20):
             for node in self.nodes:
                 if not node.alive:
@@ -149,7 +149,7 @@
     program, body = new_record()
     await owner.owned.append(program, body)
     for node in others:
-        run.network.cut.add(frozenset((owner.ref.incarnation, node.ref.incarnation)))
+        run.network.partitioned.add(frozenset((owner.ref.incarnation, node.ref.incarnation)))
     await change_copies(owner.owned, [owner.ref, *(n.ref for n in others)], Directory(run.store))
     owner.alive = False
     remaining = await run.final_programs()
--- a/waxwingglade/process/tests/test_members.py
+++ b/waxwingglade/process/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who counts as alive, gone or forgotten."""
+"""Which peers count as alive, unreachable or forgotten, and which peers get heartbeats."""
 
 import unittest
 
@@ -25,41 +25,41 @@
         self.members = Members(ref("own"), SETTINGS, lambda: self.now)
         self.now = 10.0
 
-    def hear(self, peer: EntryRef, state: EntryState = EntryState.ALIVE) -> None:
+    def receive_heartbeat(self, peer: EntryRef, state: EntryState = EntryState.ALIVE) -> None:
         self.members.record_contact(peer, state, ConfigVersion(0))
 
-    def test_a_peer_is_alive_until_it_has_been_silent(self):
-        self.hear(ref("a"))
+    def test_a_peer_is_alive_until_the_time_without_contact_is_over(self):
+        self.receive_heartbeat(ref("a"))
         self.now += 1.9
         self.assertTrue(self.members.alive(ref("a")))
         self.now += 0.2
         self.assertFalse(self.members.alive(ref("a")))
         self.assertTrue(self.members.is_unreachable(ref("a")))
 
-    def test_an_incarnation_that_was_replaced_is_gone_at_once(self):
-        self.hear(ref("a", "1"))
-        self.hear(ref("a", "2"))
+    def test_a_replaced_incarnation_is_unreachable_at_once(self):
+        self.receive_heartbeat(ref("a", "1"))
+        self.receive_heartbeat(ref("a", "2"))
         self.assertTrue(self.members.is_unreachable(ref("a", "1")))
         self.assertTrue(self.members.alive(ref("a", "2")))
 
-    def test_nobody_is_gone_before_there_was_time_to_hear_of_it(self):
+    def test_a_new_process_finds_no_entry_unreachable_before_the_time_is_over(self):
         members = Members(ref("own"), SETTINGS, lambda: self.now)
         self.assertFalse(members.is_unreachable(ref("a")))
         self.now += 2.0
         self.assertTrue(members.is_unreachable(ref("a")))
 
-    def test_what_others_tell_makes_nobody_alive(self):
+    def test_an_entry_that_peers_report_is_not_alive_yet(self):
         self.members.add_reported([ref("a")])
         self.assertFalse(self.members.alive(ref("a")))
         self.assertIn(EntryId("a"), self.members.peers)
 
-    def test_what_others_tell_does_not_replace_what_was_heard(self):
-        self.hear(ref("a", "2"))
+    def test_reports_of_peers_do_not_replace_direct_contact(self):
+        self.receive_heartbeat(ref("a", "2"))
         self.members.add_reported([ref("a", "1")])
         self.assertTrue(self.members.alive(ref("a", "2")))
 
-    def test_a_leaving_peer_is_alive_and_gets_nothing_new(self):
-        self.hear(ref("a"), EntryState.DRAINING)
+    def test_a_draining_peer_is_alive_and_gets_no_new_work(self):
+        self.receive_heartbeat(ref("a"), EntryState.DRAINING)
         self.assertTrue(self.members.alive(ref("a")))
         self.assertFalse(self.members.is_active(ref("a")))
         self.assertEqual([], self.members.usable())
@@ -67,12 +67,12 @@
     def test_entries_that_know_the_same_have_the_same_digest(self):
         other = Members(ref("a"), SETTINGS, lambda: self.now)
         self.assertNotEqual(self.members.digest(), other.digest())
-        self.hear(ref("a"))
+        self.receive_heartbeat(ref("a"))
         other.record_contact(ref("own"), EntryState.ALIVE, ConfigVersion(0))
         self.assertEqual(self.members.digest(), other.digest())
 
-    def test_a_peer_is_forgotten_only_after_a_long_silence(self):
-        self.hear(ref("a"))
+    def test_a_peer_is_forgotten_only_after_a_long_time_without_contact(self):
+        self.receive_heartbeat(ref("a"))
         self.now += 99.0
         self.members.forget_unresponsive()
         self.assertIn(EntryId("a"), self.members.peers)
@@ -82,15 +82,15 @@
 
 
 class Watching(unittest.TestCase):
-    """A fleet too large for everybody to watch everybody."""
+    """A fleet in which each entry exchanges heartbeats with some of the others only."""
 
     def setUp(self):
         self.now = 0.0
         settings = DurabilitySettings(suspect_after_s=2.0, watch_all_up_to=5, remote_watched=2)
         self.settings = settings
         self.members = Members(ref("own"), settings, lambda: self.now)
-        self.at_home = [ref(f"home-{number}") for number in range(4)]
-        self.away = [
+        self.local = [ref(f"home-{number}") for number in range(4)]
+        self.remote = [
             ref(f"away-{number}-{zone}", zone=f"zone-{zone}")
             for zone in range(2, 6)
             for number in range(3)
@@ -99,59 +99,61 @@
     def choose(self, known, partners=()):
         return choose_watched(ref("own"), known, list(partners), self.settings)
 
-    def test_a_small_fleet_is_watched_whole(self):
-        watch = self.choose(self.at_home)
+    def test_in_a_small_fleet_all_peers_are_watched(self):
+        watch = self.choose(self.local)
         self.assertTrue(watch.all_peers)
-        self.assertEqual({peer.entry for peer in self.at_home}, watch.entries)
-
-    def test_a_large_fleet_is_watched_in_part(self):
-        watch = self.choose(self.at_home + self.away, [self.away[0]])
-        home = {peer.entry for peer in self.at_home}
-        self.assertLessEqual(home, watch.entries)
-        self.assertIn(self.away[0].entry, watch.entries)
-        remote = [peer for peer in self.away if peer.entry in watch.entries - {self.away[0].entry}]
-        self.assertLessEqual(len(remote), 2)
-        self.assertEqual(len(remote), len({peer.zone for peer in remote}))
-
-    def test_those_watched_elsewhere_are_each_of_another_zone(self):
+        self.assertEqual({peer.entry for peer in self.local}, watch.entries)
+
+    def test_in_a_large_fleet_some_peers_are_watched(self):
+        watch = self.choose(self.local + self.remote, [self.remote[0]])
+        local = {peer.entry for peer in self.local}
+        self.assertLessEqual(local, watch.entries)
+        self.assertIn(self.remote[0].entry, watch.entries)
+        watched = [
+            peer for peer in self.remote if peer.entry in watch.entries - {self.remote[0].entry}
+        ]
+        self.assertLessEqual(len(watched), 2)
+        self.assertEqual(len(watched), len({peer.zone for peer in watched}))
+
+    def test_watched_peers_of_other_zones_are_in_different_zones(self):
         for number in range(10):
             own = ref(f"own-{number}")
-            watch = choose_watched(own, self.at_home + self.away, [], self.settings)
-            zones = [peer.zone for peer in self.away if peer.entry in watch.entries]
+            watch = choose_watched(own, self.local + self.remote, [], self.settings)
+            zones = [peer.zone for peer in self.remote if peer.entry in watch.entries]
             self.assertEqual(2, len(set(zones)))
 
-    def test_what_is_watched_does_not_grow_with_the_fleet(self):
+    def test_the_number_of_watched_peers_does_not_grow_with_the_fleet(self):
         many = [
             ref(f"away-{number}-{zone}", zone=f"zone-{zone}")
             for zone in range(2, 22)
             for number in range(18)
         ]
-        self.assertEqual(len(self.at_home) + 2, len(self.choose(self.at_home + many).entries))
+        self.assertEqual(len(self.local) + 2, len(self.choose(self.local + many).entries))
 
-    def test_silence_of_one_that_is_not_watched_tells_nothing(self):
-        watched, other = self.away[0], self.away[1]
+    def test_a_peer_that_is_not_watched_is_never_found_unreachable(self):
+        watched, other = self.remote[0], self.remote[1]
         self.members.set_watched(WatchedPeers(frozenset({watched.entry}), all_peers=False))
         self.now += 10.0
         self.assertTrue(self.members.is_unreachable(watched))
         self.assertFalse(self.members.is_unreachable(other))
 
-    def test_one_that_was_just_chosen_has_time_to_speak(self):
+    def test_a_newly_watched_peer_has_time_to_answer(self):
         self.now += 100.0
-        self.members.set_watched(WatchedPeers(frozenset({self.away[0].entry}), all_peers=False))
-        self.assertFalse(self.members.is_unreachable(self.away[0]))
+        self.members.set_watched(WatchedPeers(frozenset({self.remote[0].entry}), all_peers=False))
+        self.assertFalse(self.members.is_unreachable(self.remote[0]))
         self.now += 2.0
-        self.assertTrue(self.members.is_unreachable(self.away[0]))
+        self.assertTrue(self.members.is_unreachable(self.remote[0]))
 
-    def test_an_incarnation_that_was_replaced_is_gone_though_not_watched(self):
+    def test_a_replaced_incarnation_is_unreachable_though_not_watched(self):
         self.members.set_watched(WatchedPeers(frozenset(), all_peers=False))
         self.members.record_contact(ref("a", "2"), EntryState.ALIVE, ConfigVersion(0))
         self.assertTrue(self.members.is_unreachable(ref("a", "1")))
 
-    def test_other_zones_are_told_of_few_and_only_on_request(self):
-        for peer in self.at_home:
+    def test_other_zones_get_few_members_and_only_on_request(self):
+        for peer in self.local:
             self.members.record_contact(peer, EntryState.ALIVE, ConfigVersion(0))
         self.members.set_watched(WatchedPeers(frozenset(), all_peers=False))
-        for wants, told in ((True, 3), (False, 0)):
-            beat = Heartbeat(self.away[0], EntryState.ALIVE, 0, ConfigVersion(0))
-            beat = msgspec.structs.replace(beat, wants_members=wants)
-            self.assertEqual(told, len(self.members.refs_missing_at(beat)))
+        for wants, count in ((True, 3), (False, 0)):
+            heartbeat = Heartbeat(self.remote[0], EntryState.ALIVE, 0, ConfigVersion(0))
+            heartbeat = msgspec.structs.replace(heartbeat, wants_members=wants)
+            self.assertEqual(count, len(self.members.refs_missing_at(heartbeat)))
--- a/waxwingglade/process/tests/test_observing.py
+++ b/waxwingglade/process/tests/test_observing.py
@@ -1,4 +1,4 @@
-"""What operators see of an entry: metrics and logs."""
+"""The metrics and logs of an entry."""
 
 import io
 import json
@@ -34,7 +34,7 @@
 
 
 class MetricsOfAnEntry(unittest.IsolatedAsyncioTestCase):
-    async def test_programs_calls_tokens_and_refusals_are_seen(self):
+    async def test_metrics_count_programs_calls_tokens_and_refusals(self):
         async with system(zones=2) as (running, http):
             caller = client(running, http)
             program = await create(caller)
@@ -50,21 +50,21 @@
             logs = running.daemons[0].entry.owned.values()
             await wait_until(lambda: any(owned.store_revision for owned in logs))
             found = await samples(running, http)
-            whose = ("appointment", "kettu")
+            labels = ("appointment", "kettu")
             name = "waxwingglade_{}_count".format
-            self.assertEqual(2, found[(name("call_seconds"), *whose)])
-            self.assertEqual(2, found[(name("queue_wait_seconds"), *whose)])
-            self.assertEqual(1, found[(name("first_token_seconds"), *whose)])
-            pieces = found[(name("between_tokens_seconds"), *whose)] + 1
+            self.assertEqual(2, found[(name("call_seconds"), *labels)])
+            self.assertEqual(2, found[(name("queue_wait_seconds"), *labels)])
+            self.assertEqual(1, found[(name("first_token_seconds"), *labels)])
+            pieces = found[(name("between_tokens_seconds"), *labels)] + 1
             self.assertLessEqual(pieces, done["usage"]["output_tokens"])
-            self.assertEqual(1, found[(name("program_seconds"), *whose)])
+            self.assertEqual(1, found[(name("program_seconds"), *labels)])
             self.assertEqual(1, found[("waxwingglade_refusals_total", "not_found", "not_run")])
             self.assertEqual(1, found[("waxwingglade_programs", "ended")])
             self.assertGreater(found[("waxwingglade_store_calls_total", "ownership")], 0)
             self.assertGreater(found[("waxwingglade_peer_bytes_total", "sent")], 0)
             self.assertEqual(1, found[("waxwingglade_peers_alive",)])
 
-    def test_callers_cannot_add_series_without_end(self):
+    def test_callers_cannot_add_an_unlimited_number_of_series(self):
         metrics = Metrics()
         for number in range(MAX_CLASSES + 10):
             created = Created("kettu", f"class-{number}", ProgramPolicy(), 0, 0.0, "r")
@@ -102,18 +102,18 @@
             caller = client(running, http)
             for faults in (ToolFaults(), ToolFaults(garbage=True), ToolFaults(cut_after=True)):
                 running.services[0].faults = faults
-                await self.speak(caller)
+                await self.send_secret(caller)
             running.engines[0].faults = EngineFaults(cut_after_tokens=2)
             running.engines[1].faults = EngineFaults(refuse=True)
-            await self.speak(caller)
+            await self.send_secret(caller)
             tokens = list(running.tokens.values())
             await caller.send("GET", "/v1/programs/%ff", headers={"X-Text": SECRET})
         for secret in (SECRET, *tokens):
             self.assertNotIn(secret, self.stream.getvalue())
         self.assertRegex(self.stream.getvalue(), "call failed")
 
-    async def speak(self, caller):
-        """Say the secret in every place where a caller may say something."""
+    async def send_secret(self, caller):
+        """Send the secret in every place of a request where a caller may put text."""
         program = await create(caller)
         path = f"/v1/programs/{program}/calls"
         await caller.json("POST", path, model_call("m1", SECRET))
@@ -121,7 +121,7 @@
         await caller.json("POST", path, call)
         await caller.send("POST", path, b'{"type": "' + SECRET.encode() + b'"}')
 
-    def test_of_an_exception_only_type_and_place_are_kept(self):
+    def test_only_type_and_location_of_an_exception_are_logged(self):
         try:
             raise ValueError(SECRET)
         except ValueError:
--- a/waxwingglade/process/tests/test_operating.py
+++ b/waxwingglade/process/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""The operators' interface and the way of a configuration to all entries."""
+"""The HTTP interface for operators, and the distribution of a configuration to all entries."""
 
 import contextlib
 import tempfile
@@ -16,13 +16,13 @@
     "amos": Role.APPROVER,
     "adam": Role.ADMIN,
 }
-NOWHERE = StoreSettings(urls=["http://127.0.0.1:9"], calls_per_second=50.0, timeout_s=0.2)
+UNREACHABLE_STORE = StoreSettings(urls=["http://127.0.0.1:9"], calls_per_second=50.0, timeout_s=0.2)
 CHANGE = {"changes": [{"level": "tenant:kettu", "setting": "deadline_s", "value": 42.0}]}
 
 
 @contextlib.asynccontextmanager
 async def system(*zones, **overrides):
-    """Run an embedded system with operators, and a function that returns a client for each."""
+    """Run an embedded system with operators; yield it with a factory of clients for operators."""
     settings = EmbeddedSettings(zones or ("helsinki-1",), operators=OPERATORS)
     http = HttpClient()
 
@@ -47,13 +47,13 @@
 
 
 async def wait_for_store(operator):
-    """Wait until the first tree is in the store, and in force at the first entry."""
+    """Wait until the first tree is stored and in force at the first entry."""
     while (await operator("vera").json("GET", "/v1/config"))["version"] == 0:
         pass
 
 
 class Roles(unittest.IsolatedAsyncioTestCase):
-    async def test_each_role_may_do_what_it_should(self):
+    async def test_each_role_has_exactly_its_permissions(self):
         program = "/v1/programs/a.b.c.1.d"
         proposal = "/v1/config/proposals/p"
         cases = [
@@ -98,7 +98,7 @@
 
 
 class Programs(unittest.IsolatedAsyncioTestCase):
-    async def test_programs_of_all_tenants_are_seen_without_what_was_said(self):
+    async def test_operators_see_programs_of_all_tenants_without_their_messages(self):
         async with system("helsinki-1", "helsinki-2") as (running, http, operator):
             caller = client(running, http)
             program = await create(caller)
@@ -155,27 +155,31 @@
             status = await operator("vera", 2).json("GET", "/v1/config/status")
             self.assertEqual([], status["behind"] + status["ahead"] + status["differing"])
 
-    async def test_entries_that_cannot_reach_the_store_learn_from_peers(self):
+    async def test_entries_that_cannot_reach_the_store_get_versions_from_peers(self):
         async with system("z-1") as (running, _, operator):
             for number, zone in ((1, "z-2"), (2, "z-2")):
                 running.settings = EmbeddedSettings(("z-1", zone, zone), operators=OPERATORS)
-                await running.start_entry(number, store=NOWHERE)
+                await running.start_entry(number, store=UNREACHABLE_STORE)
             await change_configuration(operator)
             await wait_until(lambda: versions(running) == {2})
             sources = [each.entry.config.source.value for each in running.daemons]
             self.assertEqual(["store", "peer", "peer"], sources)
 
-    async def test_an_entry_alone_starts_from_its_copy(self):
+    async def test_an_isolated_entry_starts_from_its_saved_copy(self):
         with tempfile.TemporaryDirectory() as folder:
             async with system(data_folder=folder) as (running, _, operator):
                 await change_configuration(operator)
                 saved = running.daemons[0].entry.settings
-            async with system(store=NOWHERE, data_folder=saved.data_folder) as (running, _, _):
+            async with system(store=UNREACHABLE_STORE, data_folder=saved.data_folder) as (
+                running,
+                _,
+                _,
+            ):
                 config = running.daemons[0].entry.config
                 self.assertEqual((2, "copy"), (config.current.version, config.source.value))
                 self.assertFalse(config.confirmed)
 
-    async def test_a_proposer_cannot_approve_and_a_stale_text_is_refused(self):
+    async def test_a_proposer_cannot_approve_and_a_stale_digest_is_refused(self):
         async with system() as (_, _, operator):
             await wait_for_store(operator)
             proposed = await operator("amos").json("POST", "/v1/config/proposals", CHANGE)
--- a/waxwingglade/process/tests/test_owned_log.py
+++ b/waxwingglade/process/tests/test_owned_log.py
@@ -29,7 +29,7 @@
     def partition(self, one: int, other: int) -> None:
         """Partition two nodes from each other."""
         pair = (self.nodes[one].ref.incarnation, self.nodes[other].ref.incarnation)
-        self.network.cut.add(frozenset(pair))
+        self.network.partitioned.add(frozenset(pair))
 
     def seal(self, number: int, epoch: int):
         """Seal one node's copy."""
--- a/waxwingglade/process/tests/test_placement.py
+++ b/waxwingglade/process/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Which entries hold the copies of a log."""
+"""The choice of the entries that hold the copies of a log."""
 
 import unittest
 
@@ -35,28 +35,28 @@
             ref("d", zone="zone-3"),
         ]
 
-    def test_home_keeps_a_majority_at_home(self):
+    def test_home_places_a_majority_in_the_owners_zone(self):
         chosen = zones(choose_copies(HOME, OWNER, self.usable, 3))
         self.assertEqual(2, chosen.count("zone-1"))
 
-    def test_spread_puts_every_other_copy_elsewhere_and_apart(self):
+    def test_spread_places_every_other_copy_in_a_different_zone(self):
         chosen = zones(choose_copies(SPREAD, OWNER, self.usable, 3))
         self.assertEqual(["zone-1", "zone-2", "zone-3"], sorted(chosen))
 
-    def test_home_without_other_zones_stays_at_home(self):
+    def test_home_without_other_zones_uses_the_owners_zone_only(self):
         chosen = zones(choose_copies(HOME, OWNER, self.usable[:2], 3))
         self.assertEqual(["zone-1"] * 3, chosen)
 
-    def test_an_entry_alone_in_its_zone_uses_the_others(self):
+    def test_an_entry_alone_in_its_zone_uses_the_other_zones(self):
         self.assertEqual(3, len(choose_copies(HOME, OWNER, self.usable[2:], 3)))
 
-    def test_a_spread_log_is_known_by_its_majority_elsewhere(self):
-        elsewhere = choose_copies(SPREAD, OWNER, self.usable, 3)
-        self.assertTrue(is_spread(SPREAD, elsewhere))
+    def test_a_log_is_spread_if_its_majority_is_in_other_zones(self):
+        spread = choose_copies(SPREAD, OWNER, self.usable, 3)
+        self.assertTrue(is_spread(SPREAD, spread))
         self.assertFalse(is_spread(SPREAD, [OWNER, *self.usable[:2]]))
-        self.assertFalse(is_spread(HOME, elsewhere))
+        self.assertFalse(is_spread(HOME, spread))
 
-    def test_present_holders_stay(self):
+    def test_current_holders_are_preferred(self):
         for holder in self.usable[:2]:
             chosen = choose_copies(HOME, OWNER, self.usable, 3, frozenset({holder.incarnation}))
             self.assertIn(holder, chosen)
--- a/waxwingglade/process/tests/test_serving.py
+++ b/waxwingglade/process/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""A request that is made again after its program changed hands."""
+"""A request is retried after the log of its program was handed over."""
 
 import unittest
 from types import SimpleNamespace
@@ -18,11 +18,11 @@
 
 
 async def outcome(*answers) -> object:
-    """Return what a caller gets if each attempt to serve the request has the next answer."""
-    left = iter(answers)
+    """Return what a caller gets if each attempt to serve the request gets the next answer."""
+    remaining = iter(answers)
 
     async def serve_once(_entry, _request, _refresh):
-        yield next(left)
+        yield next(remaining)
 
     entry = SimpleNamespace(
         own=SimpleNamespace(entry="e"),
@@ -37,7 +37,7 @@
         return [event async for event in serving.serve(entry, REQUEST)][-1]
 
 
-class ServedAgain(unittest.IsolatedAsyncioTestCase):
+class RetriedRequest(unittest.IsolatedAsyncioTestCase):
     async def test_a_refusal_does_not_hide_an_earlier_attempt_that_may_have_run(self):
         answer = await outcome(UNSURE, REFUSED)
         self.assertIs(Verdict.MAY_HAVE_RUN, answer.verdict)
@@ -48,5 +48,5 @@
         moved = Failure(Verdict.NOT_RUN, ErrorCode.NOT_OWNER, "not here")
         self.assertEqual(REFUSED, await outcome(moved, REFUSED))
 
-    async def test_an_answer_after_doubt_is_the_answer(self):
+    async def test_an_answer_after_an_unsure_attempt_is_final(self):
         self.assertEqual(Done("text"), await outcome(UNSURE, Done("text")))
--- a/waxwingglade/process/tests/virtual_time.py
+++ b/waxwingglade/process/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer, so that runs are fast and repeat exactly."""
+"""An event loop whose clock jumps to the next timer, so that runs are fast and deterministic."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,7 +6,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """A loop that never waits: when nothing is ready, its time moves on to the next timer."""
+    """A loop that never waits: when nothing is ready, its time advances to the next timer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -15,7 +15,7 @@
 
         def jump(timeout: float | None):
             if timeout is None:
-                raise RuntimeError("nothing is left that could ever happen")
+                raise RuntimeError("deadlock in virtual time: no task is ready and no timer is set")
             self.now += timeout
             return select(0)
 
@@ -27,6 +27,6 @@
 
 
 def run_in_virtual_time(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine to its end in virtual time and return its result."""
+    """Run a coroutine to its end in virtual time, and return its result."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(coroutine)
