--- a/waxwingglade/process/duties/tests/builders.py
+++ b/waxwingglade/process/duties/tests/builders.py
@@ -1,4 +1,4 @@
-"""A store, an engine and holders of the duty that can be frozen, in one event loop."""
+"""A store, engines, and holders of the duty that can be paused, in one event loop."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 ZONE = ZoneId("zone-a")
 ENGINE = TargetId("engine-1")
 OPERATOR = OperatorId("petra")
-PATIENCE_S = 20.0
+WAIT_LIMIT_S = 20.0
 QUICK = TargetOrderSettings(
     follow_s=0.02,
     check_s=0.05,
@@ -52,31 +52,31 @@
 
 
 class Gate:
-    """A place at which a holder stops while it is frozen."""
+    """A point in the code at which a holder waits while it is paused."""
 
     def __init__(self) -> None:
         self.open = asyncio.Event()
         self.open.set()
         self.reached = asyncio.Event()
 
-    def freeze(self) -> None:
-        """Stop whoever comes by from now on."""
+    def pause(self) -> None:
+        """Make later callers of `pass_through` wait."""
         self.reached.clear()
         self.open.clear()
 
-    def thaw(self) -> None:
-        """Let them go on."""
+    def resume(self) -> None:
+        """Let all waiting callers continue."""
         self.open.set()
 
     async def pass_through(self) -> None:
-        """Wait while frozen."""
+        """Wait while the gate is closed."""
         if not self.open.is_set():
             self.reached.set()
         await self.open.wait()
 
 
 class Holder:
-    """One entry's holding of the duty, which stops between its last check and the send."""
+    """An entry that holds the duty; it can be paused between its last check and the send."""
 
     def __init__(self, term: Term, http: HttpClient) -> None:
         self.term = term
@@ -91,8 +91,8 @@
     async def send(
         self, http: HttpClient, target: TargetSettings, order: EngineOrder, timeout_s: float
     ) -> Any:
-        """Send an order once the holder is not frozen."""
-        # What has passed the last check leaves, whatever the holder finds out meanwhile.
+        """Send an order once the holder is not paused."""
+        # Shielded: an order that passed the last check is sent even if the holder is cancelled.
         return await asyncio.shield(self._send(http, target, order, timeout_s))
 
     async def _send(
@@ -107,7 +107,7 @@
         self.task = asyncio.create_task(self.controller.run())
 
     async def stop(self) -> None:
-        """End."""
+        """Cancel the task of the holder."""
         if self.task is not None:
             self.task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -115,7 +115,7 @@
 
 
 class OrdersTestCase(StoreTestCase):
-    """Has a store, one engine or several, and holders."""
+    """Provides a store, engines and holders of the duty."""
 
     honours_fencing = False
 
@@ -148,26 +148,26 @@
             **{"store": store, "target_orders": QUICK, "weight_store": PERMITS, **values},
         )
 
-    async def ask_for(
+    async def set_desired(
         self, *models: str, target: TargetId = ENGINE, role: str = "", adapters: tuple = ()
     ) -> None:
-        """Ask for a state of a target."""
+        """Set the desired state of a target."""
         desired = DesiredTarget(list(models), list(adapters), role)
         changed = await change_desired(self.client, ZONE, target, desired, OPERATOR, 0.0)
         changed.unwrap()
 
     async def acquire(self, name: str, **values: Any) -> Term:
-        """Take the duty once it is free."""
+        """Acquire the duty once it is free."""
         settings = self.settings(name, **values)
         store = StoreClient(settings.store)
         self.addAsyncCleanup(store.close)
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_LIMIT_S):
             while (acquired := await acquire(store, settings, entry_ref(name))).is_err():
                 await asyncio.sleep(0.01)
         return acquired.ok_value
 
     async def start_holder(self, name: str, **values: Any) -> Holder:
-        """Take the duty and give orders."""
+        """Acquire the duty and give orders."""
         holder = Holder(await self.acquire(name, **values), self.http)
         self.addAsyncCleanup(holder.stop)
         holder.start()
@@ -175,7 +175,7 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition, and fail the test if it does not come."""
-    async with asyncio.timeout(PATIENCE_S):
+    """Wait for a condition, and fail the test if it is not met within `WAIT_LIMIT_S`."""
+    async with asyncio.timeout(WAIT_LIMIT_S):
         while not condition():
             await asyncio.sleep(0.01)
--- a/waxwingglade/process/duties/tests/test_desired.py
+++ b/waxwingglade/process/duties/tests/test_desired.py
@@ -1,4 +1,4 @@
-"""What operators want of targets: validation, races and unknown formats."""
+"""The desired state of targets: validation, concurrent changes and unknown formats."""
 
 import msgspec
 
@@ -21,7 +21,7 @@
 
 
 class Validation(StoreTestCase):
-    def test_a_state_that_makes_no_sense_is_refused(self):
+    def test_an_invalid_desired_state_is_rejected(self):
         self.assertIsNone(check_desired(STATE))
         for wrong in (
             DesiredTarget([]),
@@ -35,7 +35,7 @@
             with self.subTest(wrong):
                 self.assertEqual(ErrorCode.BAD_REQUEST, check_desired(wrong).code)
 
-    def test_only_engines_of_the_settings_get_orders(self):
+    def test_only_engines_in_the_settings_get_orders(self):
         engine = engine_settings("engine-1", "http://127.0.0.1:9")
         service = msgspec.structs.replace(engine, kind=TargetKind.SERVICE)
         self.assertIsNone(check_target(engine))
@@ -47,7 +47,7 @@
     def change(self, target, desired, base=None):
         return change_desired(self.client, ZONE, target, desired, OPERATOR, 1.0, base)
 
-    async def test_changes_raise_the_version_and_keep_the_other_targets(self):
+    async def test_a_change_increases_the_version_and_leaves_other_targets(self):
         await self.change(ENGINE, STATE)
         await self.change(OTHER, STATE, 1)
         again = (await self.change(OTHER, STATE)).unwrap()
@@ -57,7 +57,7 @@
         self.assertEqual((3, {OTHER: STATE}), (stored.version, stored.targets))
         self.assertEqual(OPERATOR, stored.zone.proposer)
 
-    async def test_of_two_operators_who_race_one_is_refused(self):
+    async def test_one_of_two_concurrent_changes_is_rejected(self):
         await self.change(ENGINE, STATE)
         stale = await refusal(self.change(ENGINE, DesiredTarget(["base"]), 0))
         self.assertEqual(ErrorCode.CONFLICT, stale[1])
@@ -75,7 +75,7 @@
         stored = (await read_desired(self.client, ZONE)).unwrap()
         self.assertEqual({ENGINE: STATE, OTHER: STATE}, stored.targets)
 
-    async def test_what_cannot_be_read_is_left_as_it_is(self):
+    async def test_an_unreadable_record_is_not_overwritten(self):
         newer = msgspec.json.encode(DesiredZone(99, 1, {}, OPERATOR, 0.0))
         for data in (b"{no json", newer):
             write_directly(self.standin, key_of(ZONE), data)
--- a/waxwingglade/process/duties/tests/test_lease.py
+++ b/waxwingglade/process/duties/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The duty's lease: acquisition with lost answers, lapse, and the wait for an earlier holder."""
+"""The duty's lease: acquisition with lost answers, expiry, and the wait for an earlier holder."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
 )
 from waxwingglade.standins import StoreLimits, StoreStandin
 
-PLENTY = 1e6
+HIGH_LIMIT = 1e6
 
 
 class Acquisition(OrdersTestCase):
-    async def test_there_is_one_holder_and_numbers_grow(self):
+    async def test_there_is_one_holder_and_fencing_numbers_increase(self):
         first = await self.acquire("first")
         settings = self.settings("second")
         refused = await acquire(self.client, settings, entry_ref("second"))
@@ -28,7 +28,7 @@
         second = await self.acquire("second")
         self.assertGreater(second.fencing, first.fencing)
 
-    async def test_a_lost_answer_leaves_one_holder_who_knows_it(self):
+    async def test_after_a_lost_answer_the_holder_knows_that_it_holds_the_duty(self):
         for lost in range(1, 5):
             with self.subTest(lost):
                 await self.set_faults(lost_answers=lost)
@@ -39,7 +39,7 @@
                 self.assertEqual((term.fencing, term.lease.id), (item.mod_revision, item.lease))
                 await term.resign()
 
-    async def test_a_write_of_which_nothing_is_known_leaves_no_holder(self):
+    async def test_a_write_with_unknown_outcome_leaves_no_holder(self):
         store = StoreClient(store_settings(self.standin.url, timeout_s=0.05))
         self.addAsyncCleanup(store.close)
         (await store.ensure_marker_lease()).unwrap()
@@ -48,7 +48,7 @@
         def run_and_cut_off(path, body):
             reply = run(path, body)
             if path.endswith("txn"):
-                # The write takes effect, its answer is lost, and the store is away for a while.
+                # The write takes effect, but its answer and those of the next calls are lost.
                 self.standin.plan.answers_to_lose = 1_000
             return reply
 
@@ -61,30 +61,30 @@
         self.assertIsNone((await self.client.get(duty_key(ZONE))).unwrap())
 
 
-class Lapse(OrdersTestCase):
-    async def test_a_holder_stops_a_margin_before_the_end(self):
+class Expiry(OrdersTestCase):
+    async def test_a_holder_stops_a_margin_before_its_lease_expires(self):
         clock = ManualClock()
-        term = await self.term_by(clock)
+        term = await self.term_with(clock)
         margin_s = term.settings.target_orders.margin_s
         self.assertTrue(term.may_send_orders())
         clock.now = term.lease.valid_until - margin_s
         self.assertFalse(term.may_send_orders())
 
-    async def test_the_store_says_that_it_is_lost_though_the_own_clock_stood_still(self):
-        term = await self.term_by(ManualClock())
+    async def test_the_store_reports_the_loss_though_the_local_clock_stopped(self):
+        term = await self.term_with(ManualClock())
         await self.set_faults(lapse_leases=[term.lease.id])
         self.assertTrue(term.may_send_orders())
         self.assertFalse(await term.renew())
         self.assertFalse(term.may_send_orders())
 
-    async def test_without_an_answer_of_the_store_nothing_may_go_to_unprotected_engines(self):
-        term = await self.term_by(ManualClock())
+    async def test_without_an_answer_of_the_store_the_lease_is_not_renewed(self):
+        term = await self.term_with(ManualClock())
         await self.standin.stop()
         self.assertFalse(await term.renew())
         self.assertTrue(term.may_send_orders())
 
-    async def term_by(self, clock):
-        """Return a term by the given clock."""
+    async def term_with(self, clock):
+        """Return a term that uses the given clock."""
         store = StoreClient(store_settings(self.standin.url, timeout_s=0.2), clock)
         self.addAsyncCleanup(store.close)
         settings = self.settings("first", store=store_settings("", lease_ttl_s=60.0))
@@ -92,45 +92,45 @@
 
 
 class WaitOut(OrdersTestCase):
-    """Everything by one clock that moves only when somebody sleeps."""
+    """Terms that share one clock, which advances only when a term sleeps."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.clock = ManualClock()
 
     async def start_standin(self, limits=None):
-        standin = StoreStandin(StoreLimits(PLENTY, PLENTY))
+        standin = StoreStandin(StoreLimits(HIGH_LIMIT, HIGH_LIMIT))
         await standin.start()
         self.addAsyncCleanup(standin.stop)
         return standin
 
     async def sleep(self, seconds):
-        """Let the clock move on."""
+        """Advance the clock."""
         self.clock.now += seconds
         await asyncio.sleep(0)
 
     async def new_term(self, name, ttl_s) -> Term:
-        """Return a term of a holder with a lease of its own length."""
+        """Return a term of a holder whose lease has the given time to live."""
         store = StoreClient(store_settings(self.standin.url), self.clock)
         self.addAsyncCleanup(store.close)
         settings = self.settings(name, store=store_settings("", lease_ttl_s=ttl_s))
         own = entry_ref(name)
         return (await acquire(store, settings, own, self.clock, self.sleep)).unwrap()
 
-    async def lapse(self, term):
-        """End a lease."""
+    async def expire(self, term):
+        """Let the lease of a term expire."""
         await self.set_faults(lapse_leases=[term.lease.id])
 
-    async def test_the_first_holder_ever_need_not_wait(self):
+    async def test_the_first_holder_does_not_wait(self):
         term = await self.new_term("first", 60.0)
         await term.wait_out()
         self.assertTrue(term.waited_out)
         self.assertEqual(term.acquired_at, self.clock.now)
 
-    async def test_a_successor_waits_for_as_long_as_its_predecessor_said(self):
+    async def test_a_successor_waits_for_the_time_that_its_predecessor_stored(self):
         first = await self.new_term("first", 60.0)
         await first.wait_out()
-        await self.lapse(first)
+        await self.expire(first)
         second = await self.new_term("second", 100.0)
         await second.wait_out()
         self.assertTrue(second.waited_out)
@@ -140,7 +140,7 @@
     async def test_a_holder_that_gives_up_while_it_waits_changes_nothing(self):
         first = await self.new_term("first", 60.0)
         await first.wait_out()
-        await self.lapse(first)
+        await self.expire(first)
         second = await self.new_term("second", 2.0)
         await second.wait_out()
         self.assertFalse(second.waited_out)
@@ -151,7 +151,7 @@
 
     async def test_a_holder_that_was_replaced_while_it_waited_gives_up(self):
         first = await self.new_term("first", 60.0)
-        await self.lapse(first)
+        await self.expire(first)
         replaced = []
 
         async def renew_just_before_it_is_replaced():
@@ -164,19 +164,19 @@
         await first.wait_out()
         self.assertEqual(([True], False, True), (replaced, first.waited_out, first.lost))
 
-    async def test_a_holder_that_reads_of_its_successor_gives_up(self):
+    async def test_a_holder_that_finds_its_successor_in_the_store_gives_up(self):
         first = await self.new_term("first", 60.0)
-        await self.lapse(first)
+        await self.expire(first)
         await (await self.new_term("second", 60.0)).wait_out()
 
-        async def believe():
+        async def claim_renewed():
             return True
 
-        first.renew = believe
+        first.renew = claim_renewed
         await first.wait_out()
         self.assertEqual((False, True), (first.waited_out, first.lost))
 
-    async def test_a_write_that_comes_between_ends_the_term(self):
+    async def test_a_concurrent_write_ends_the_term(self):
         first = await self.new_term("first", 60.0)
         get = first.store.get
 
--- a/waxwingglade/process/duties/tests/test_permits.py
+++ b/waxwingglade/process/duties/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits are never exceeded, and orders lead to the desired state, whatever it is."""
+"""Permits are never exceeded, and orders lead to any desired state."""
 
 import unittest
 
@@ -48,7 +48,7 @@
                 permits.end(target)
                 running.discard(target)
             elif event == "take":
-                # As many as there are, and what there may never be.
+                # Take all tokens, and try to take more than there can ever be.
                 got = sum(permits.take() for _ in range(2 * at_once))
                 taken += [clock.now] * got
             elif event == "give_back" and taken:
@@ -58,7 +58,7 @@
         self.check_rate(taken, at_once, per_minute)
 
     def check_rate(self, taken, burst, per_minute):
-        """In no interval may there be more than its share and one burst."""
+        """Check that no interval has more tokens than the rate allows plus one burst."""
         for first, start in enumerate(taken):
             for last in range(first, len(taken)):
                 allowed = (taken[last] - start) * per_minute / MINUTE_S + burst
@@ -94,7 +94,7 @@
         self.assertEqual(desired.role or role, state.role)
         self.assertEqual(len(set(given_orders)), len(given_orders))
 
-    def test_room_is_made_first_and_what_goes_gets_no_calls(self):
+    def test_unloading_comes_first_and_an_undesired_model_gets_no_calls(self):
         desired = DesiredTarget(["new"], ["tone"])
         state = EngineState(["old"], ["tone"])
         self.assertEqual(OrderKind.UNLOAD_MODEL, next_step(desired, state).kind)
--- a/waxwingglade/process/duties/tests/test_reports.py
+++ b/waxwingglade/process/duties/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""From an operator's wish to the calls that targets get, over whole entries."""
+"""From a desired state set by an operator to the calls that targets get, with real entries."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 SHORT_LEASE = {"target_orders": QUICK, "weight_store": PERMITS}
 
 
-class WholePath(unittest.IsolatedAsyncioTestCase):
+class EndToEnd(unittest.IsolatedAsyncioTestCase):
     async def test_every_entry_sends_calls_only_where_the_model_is_loaded(self):
         zones = ("helsinki-1", "helsinki-1", "helsinki-1")
         async with system(*zones, **SHORT_LEASE) as (running, http, operator):
@@ -36,7 +36,7 @@
             self.assertIn(status["holder"], {"entry-1", "entry-2", "entry-3"})
             self.assertEqual([True, True], [each["agrees"] for each in status["targets"]])
 
-    async def test_an_entry_that_comes_later_is_told_everything(self):
+    async def test_an_entry_that_starts_later_gets_all_reports(self):
         zones = ("helsinki-1", "helsinki-1")
         async with system("helsinki-1", **SHORT_LEASE) as (running, _, operator):
             await operator("petra").send("PUT", "/v1/targets/engine-1", {"models": ["base@2"]})
@@ -45,7 +45,7 @@
             late = await running.start_entry(1, **SHORT_LEASE)
             await until(lambda: serves(late).get("base@2") == ["engine-1"])
 
-    async def test_a_wish_can_be_taken_back(self):
+    async def test_a_desired_state_can_be_removed(self):
         async with system("helsinki-1", **SHORT_LEASE) as (running, _, operator):
             petra = operator("petra")
             await petra.send("PUT", "/v1/targets/engine-1", {"models": ["base@2"]})
@@ -56,14 +56,14 @@
             self.assertEqual((None, 2, "petra"), (view["desired"], view["version"], "petra"))
             listed = await petra.json("GET", "/v1/targets")
             self.assertEqual(2, len(listed["targets"]))
-            stale = await petra.send("PUT", "/v1/targets/engine-1", {**WISH, "base_version": 1})
+            stale = await petra.send("PUT", "/v1/targets/engine-1", {**DESIRED, "base_version": 1})
             wrong = await petra.send("PUT", "/v1/targets/engine-1", {"models": []})
-            unknown = await petra.send("PUT", "/v1/targets/engine-9", WISH)
+            unknown = await petra.send("PUT", "/v1/targets/engine-9", DESIRED)
             self.assertEqual([409, 400, 404], [stale.status, wrong.status, unknown.status])
 
 
-class Overtaken(unittest.IsolatedAsyncioTestCase):
-    async def test_a_report_that_was_overtaken_changes_nothing(self):
+class OutOfOrder(unittest.IsolatedAsyncioTestCase):
+    async def test_a_report_that_arrives_late_changes_nothing(self):
         async with embedded() as running:
             entry = running.daemons[0].entry
 
@@ -77,11 +77,11 @@
             self.assertEqual([], report(3, 1, "newest")["new"])
 
 
-WISH = {"models": ["base"]}
+DESIRED = {"models": ["base"]}
 PLACED = {"base": ["engine-1"], "base@2": ["engine-2"]}
 
 
 def serves(daemon):
-    """Return which engines an entry may send calls of each model to."""
+    """Return, for each model, the engines to which an entry may send calls."""
     pools = daemon.entry.table.pools
     return {pool: sorted(views) for pool, views in pools.items() if pool.startswith(("base", "n"))}
--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -110,7 +110,10 @@
         return peer is None or peer.state is EntryState.ALIVE
 
     def set_watched(self, watch: WatchedPeers) -> None:
-        """Record the peers to exchange heartbeats with; absence of others has no meaning."""
+        """Record the peers to exchange heartbeats with.
+
+        Lack of contact with any other peer does not show that it is unreachable.
+        """
         now = self.clock()
         before = self.watched_since
         self.watched_since = {entry: before.get(entry, now) for entry in watch.entries}
