--- a/waxwingglade/process/tests/test_late_adoption.py
+++ b/waxwingglade/process/tests/test_late_adoption.py
@@ -24,6 +24,6 @@
                 handed_over.append(owned.log)
                 owned.fence(Epoch(owned.epoch + 1))
 
-            with patch.object(draining, "_give_away", hand_over):
+            with patch.object(draining, "_hand_over", hand_over):
                 await draining.drain(entry)
         self.assertIn(TAKEN_OVER, handed_over)
--- a/waxwingglade/process/tests/test_leaving_copies.py
+++ b/waxwingglade/process/tests/test_leaving_copies.py
@@ -67,7 +67,7 @@
     async def drain(self) -> None:
         """Drain the entry as if it owned no logs."""
         with (
-            mock.patch.object(draining, "_give_all_away", mock.AsyncMock()),
+            mock.patch.object(draining, "_hand_over_all", mock.AsyncMock()),
             mock.patch.object(self.entry, "is_orphan", return_value=True),
         ):
             await draining.drain(self.entry)
