--- a/waxwingglade/process/configuration.py
+++ b/waxwingglade/process/configuration.py
@@ -135,8 +135,8 @@
         data = reply.ok_value.data
         if not data:
             return True
-        taken = self.active.offer_bytes(data, Source.PEER)
-        return taken.is_ok() and taken.ok_value
+        accepted = self.active.offer_bytes(data, Source.PEER)
+        return accepted.is_ok() and accepted.ok_value
 
     def answer(self, request: FetchConfig) -> ConfigSnapshot:
         """Return the versions that a peer lacks."""
--- a/waxwingglade/process/drain.py
+++ b/waxwingglade/process/drain.py
@@ -119,9 +119,7 @@
 
 
 async def take_over_on_request(entry: Entry, body: TakeLog) -> PeerBody:
-    """Take a log over on request of its draining owner, or of a draining holder of a copy if the
-    owner is unreachable.
-    """
+    """Take a log over for a draining peer: its owner, or a holder if the owner is unreachable."""
     if entry.members.state is EntryState.DRAINING:
         text = "this entry cannot take the log now"
         return Refused(Failure(Verdict.NOT_RUN, ErrorCode.UNAVAILABLE, text, RETRY_AFTER_S))
--- a/waxwingglade/process/duties/lease.py
+++ b/waxwingglade/process/duties/lease.py
@@ -155,10 +155,9 @@
         self.lost = True
 
     async def wait_out(self) -> None:
-        """Wait until no order of an earlier holder can be in flight, and name this holder in the
-        store as the last one.
+        """Wait until no order of an earlier holder can be in flight, then record this holder.
 
-        Only after that is `waited_out` set.
+        `waited_out` is set only once the store names this holder as the last one.
         """
         while self.may_send_orders() and not self.waited_out:
             await self._try_wait_out()
--- a/waxwingglade/process/sweep.py
+++ b/waxwingglade/process/sweep.py
@@ -3,7 +3,7 @@
 After a program ends, `waxwingglade.process.release` releases its caches until each target has
 confirmed.  This sweep covers what that misses: a call that an owner sent just before the owner was
 lost, or a program whose log was removed.  A cache is released only after two sweeps in a row have
-found its program to need none.
+found that its program no longer needs it.
 """
 
 import asyncio
