--- a/waxwingglade/ingress/attempt.py
+++ b/waxwingglade/ingress/attempt.py
@@ -16,8 +16,8 @@
     HttpRequest,
     HttpResponse,
     NotConnected,
-    Patience,
-    Silent,
+    Unresponsive,
+    WaitLimits,
 )
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
@@ -208,7 +208,7 @@
             await self._refused(head)
         return head
 
-    def _wait_limits(self, choice: Choice) -> Patience:
+    def _wait_limits(self, choice: Choice) -> WaitLimits:
         """Return how long the connection of an attempt may be unresponsive.
 
         A call that may be sent again is resent early enough to be answered within its latency
@@ -225,8 +225,8 @@
             )
         suspect_s = max(suspect_s, MIN_RESPONSE_TIMEOUT_S)
         if not route.idempotent or (self.saw_unresponsive and not may_retry):
-            return Patience(suspect_s, None)
-        return Patience(
+            return WaitLimits(suspect_s, None)
+        return WaitLimits(
             suspect_s, suspect_s if may_retry else max(suspect_s, LAST_RESPONSE_TIMEOUT_S)
         )
 
@@ -263,7 +263,7 @@
 
     def _record_failure(self, choice: Choice, error: Exception) -> None:
         """Record that a target failed a call, unless only the connection may have failed."""
-        if isinstance(error, Silent):
+        if isinstance(error, Unresponsive):
             self.saw_unresponsive = True
         else:
             self.balancer.record_failure(choice.target)
--- a/waxwingglade/ingress/tests/test_patience.py
+++ b/waxwingglade/ingress/tests/test_patience.py
@@ -7,7 +7,7 @@
 
 from waxwingglade.follow.model import CallKind
 from waxwingglade.ingress.attempt import Attempts, MayHaveRun
-from waxwingglade.transport import Broken, Patience, Silent
+from waxwingglade.transport import Broken, Unresponsive, WaitLimits
 
 
 class FailingPool:
@@ -21,13 +21,13 @@
 
     def __init__(self, errors: list[Broken]) -> None:
         self.errors = errors
-        self.wait_limits: list[Patience] = []
+        self.wait_limits: list[WaitLimits] = []
 
     async def take(self, _address: str) -> Any:
         """Return a connection whose request fails with the next error."""
         return mock.Mock(read_head=mock.AsyncMock(side_effect=self.errors.pop(0)))
 
-    def watch(self, _connection: Any, patience: Patience) -> None:
+    def watch(self, _connection: Any, patience: WaitLimits) -> None:
         """Record how long a connection may be unresponsive."""
         self.wait_limits.append(patience)
 
@@ -58,14 +58,14 @@
 
     async def test_the_last_attempt_after_an_unresponsive_one_has_no_limit(self) -> None:
         """Guards against a 502 for a slow target while the caller has time left."""
-        errors = [Silent("silent", sent=True), Broken("ends the test", sent=True)]
+        errors = [Unresponsive("silent", sent=True), Broken("ends the test", sent=True)]
         self.assertEqual([True, False], await self.ends(errors, 2))
 
     async def test_an_only_attempt_has_a_limit(self) -> None:
-        self.assertEqual([True], await self.ends([Silent("silent", sent=True)], 1))
+        self.assertEqual([True], await self.ends([Unresponsive("silent", sent=True)], 1))
 
     async def test_the_last_attempt_after_another_failure_has_a_limit(self) -> None:
-        errors = [Broken("reset", sent=True), Silent("silent", sent=True)]
+        errors = [Broken("reset", sent=True), Unresponsive("silent", sent=True)]
         self.assertEqual([True, True], await self.ends(errors, 2))
 
     async def test_an_attempt_that_may_not_run_twice_has_no_limit(self) -> None:
--- a/waxwingglade/transport/__init__.py
+++ b/waxwingglade/transport/__init__.py
@@ -4,12 +4,12 @@
     Broken,
     Http1Connection,
     NotConnected,
-    Silent,
+    Unresponsive,
     open_connection,
 )
+from waxwingglade.transport.liveness import WaitLimits
 from waxwingglade.transport.messages import HttpRequest, HttpResponse
 from waxwingglade.transport.pool import ConnectionPool
-from waxwingglade.transport.silence import Patience
 
 __all__ = [
     "Broken",
@@ -18,7 +18,7 @@
     "HttpRequest",
     "HttpResponse",
     "NotConnected",
-    "Patience",
-    "Silent",
+    "Unresponsive",
+    "WaitLimits",
     "open_connection",
 ]
--- a/waxwingglade/transport/http1.py
+++ b/waxwingglade/transport/http1.py
@@ -49,7 +49,7 @@
         self.sent = sent
 
 
-class Silent(Broken):
+class Unresponsive(Broken):
     """A connection was given up because it had fallen silent; its target may well be sound."""
 
 
@@ -64,7 +64,7 @@
         Whether bytes came that belong to no request; the connection is not used again.
     idle_since : float
         When the connection was last given back, in monotonic seconds.
-    opened_at, heard_at, sent_at : float
+    opened_at, last_received_at, sent_at : float
         When it was opened, when something last came on it, and when its present request was sent,
         in monotonic seconds.  An event loop's own clock may stand still for a whole turn of it, and
         then does not tell what came first.
@@ -85,7 +85,7 @@
         self.dirty = False
         self.idle_since = 0.0
         self.opened_at = 0.0
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self.sent_at = 0.0
         self.request: HttpRequest | None = None
         self.close_after = False
@@ -96,7 +96,7 @@
         """Keep the transport, and bound how long a dead peer stays unnoticed."""
         # Not checked by its class: a transport of another event loop has none of asyncio's.
         self.transport = cast(asyncio.Transport, transport)
-        self.opened_at = self.heard_at = monotonic()
+        self.opened_at = self.last_received_at = monotonic()
         own_socket = transport.get_extra_info("socket")
         own_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S)
@@ -109,7 +109,7 @@
             self.dirty = True
             self.close()
             return
-        self.heard_at = monotonic()
+        self.last_received_at = monotonic()
         self.chunks.append(data)
         self.waiting_bytes += len(data)
         if self.waiting_bytes > READ_HIGH_WATER_BYTES and not self.paused and self.transport:
@@ -155,7 +155,7 @@
 
     def fail(self, reason: str) -> None:
         """Close at once; whoever reads from it learns that it was silent."""
-        self.error = Silent(reason, self.sent)
+        self.error = Unresponsive(reason, self.sent)
         self.close()
         self._wake()
 
@@ -240,7 +240,7 @@
     async def _feed(self) -> None:
         """Give the parser more bytes, or the end of the connection."""
         while not self.chunks:
-            if isinstance(self.error, Silent):
+            if isinstance(self.error, Unresponsive):
                 raise self.error
             if self.error is not None:
                 raise Broken(f"reset: {self.error}", self.sent)
@@ -301,6 +301,6 @@
     "Broken",
     "Http1Connection",
     "NotConnected",
-    "Silent",
+    "Unresponsive",
     "open_connection",
 ]
--- a/waxwingglade/transport/silence.py
+++ b/waxwingglade/transport/liveness.py
@@ -17,14 +17,14 @@
 from waxwingglade.base import monotonic
 
 
-class Life(Protocol):
+class ConnectionTimes(Protocol):
     """When a connection was opened and when something last came on it, in seconds."""
 
     opened_at: float
-    heard_at: float
+    last_received_at: float
 
 
-class Waiting(Life, Protocol):
+class WaitingConnection(ConnectionTimes, Protocol):
     """A connection on which an answer, or its next bytes, are awaited."""
 
     sent_at: float
@@ -35,7 +35,7 @@
         """End it, so that whoever reads from it learns why."""
 
 
-class Patience(msgspec.Struct, frozen=True):
+class WaitLimits(msgspec.Struct, frozen=True):
     """How long a silence may last.
 
     Parameters
@@ -51,30 +51,30 @@
     end_s: float | None
 
 
-def silent_since(waiting: Life, connections: Iterable[Life]) -> float:
+def unresponsive_since(waiting: ConnectionTimes, connections: Iterable[ConnectionTimes]) -> float:
     """Return the earliest moment at which all connections may have fallen silent.
 
     Nothing came on `waiting` after it, nor on any connection that was open at it.
     """
-    lives = [each for each in connections if each.heard_at > waiting.heard_at]
-    moment = waiting.heard_at
-    for life in sorted(lives, key=lambda each: each.heard_at):
-        if not any(each.opened_at < moment < each.heard_at for each in lives):
+    lives = [each for each in connections if each.last_received_at > waiting.last_received_at]
+    moment = waiting.last_received_at
+    for life in sorted(lives, key=lambda each: each.last_received_at):
+        if not any(each.opened_at < moment < each.last_received_at for each in lives):
             break
-        moment = life.heard_at
+        moment = life.last_received_at
     return moment
 
 
-class SilenceWatch:
+class LivenessWatch:
     """Looks after a request whether its connection has fallen silent, until it is stopped.
 
     Parameters
     ----------
-    waiting : Waiting
+    waiting : WaitingConnection
         The request's connection.
     connections : callable
         All connections of the process, this one among them.
-    patience : Patience
+    patience : WaitLimits
         How long to wait.
     suspected : callable
         Called with the moment of a silence that is taken to have happened.
@@ -82,9 +82,9 @@
 
     def __init__(
         self,
-        waiting: Waiting,
-        connections: Callable[[], Iterable[Life]],
-        patience: Patience,
+        waiting: WaitingConnection,
+        connections: Callable[[], Iterable[ConnectionTimes]],
+        patience: WaitLimits,
         suspected: Callable[[float], None],
     ) -> None:
         self.waiting = waiting
@@ -104,7 +104,7 @@
         now = monotonic()
         suspect_s = self.patience.suspect_s
         # Where the connection itself was heard lately, as in a stream, the others need no look.
-        quiet_from = max(self.waiting.heard_at, self.waiting.sent_at)
+        quiet_from = max(self.waiting.last_received_at, self.waiting.sent_at)
         if now < quiet_from + suspect_s:
             self._look_at(quiet_from + suspect_s)
             return
@@ -128,12 +128,12 @@
         A new connection has just shown that it works, and one whose bytes are not taken at present
         can't be heard.
         """
-        if self.waiting.paused or self.waiting.heard_at == self.waiting.opened_at:
+        if self.waiting.paused or self.waiting.last_received_at == self.waiting.opened_at:
             return now
-        return silent_since(self.waiting, self.connections())
+        return unresponsive_since(self.waiting, self.connections())
 
     def _look_at(self, when: float) -> None:
         self.timer = self.loop.call_later(when - monotonic(), self._look)
 
 
-__all__ = ["Patience", "SilenceWatch", "silent_since"]
+__all__ = ["LivenessWatch", "WaitLimits", "unresponsive_since"]
--- a/waxwingglade/transport/pool.py
+++ b/waxwingglade/transport/pool.py
@@ -7,8 +7,8 @@
 
 from waxwingglade.base import monotonic
 from waxwingglade.transport.http1 import Http1Connection, open_connection
+from waxwingglade.transport.liveness import LivenessWatch, WaitLimits
 from waxwingglade.transport.messages import HttpResponse
-from waxwingglade.transport.silence import Patience, SilenceWatch
 
 DEFAULT_IDLE_S = 2.0
 """Seconds for which an idle connection is trusted where the target does not state its timeout."""
@@ -40,7 +40,7 @@
         self.idle_limits_s: dict[str, float] = {}
         self.opened = 0
         self.known: weakref.WeakSet[Http1Connection] = weakref.WeakSet()
-        self.watches: dict[Http1Connection, SilenceWatch] = {}
+        self.watches: dict[Http1Connection, LivenessWatch] = {}
 
     async def take(self, address: str) -> Http1Connection:
         """Return a kept connection, or a new one; `NotConnected` if none can be opened."""
@@ -76,13 +76,13 @@
             if name.lower() == "timeout" and value.isdigit():
                 self.idle_limits_s[address] = max(0.0, int(value) - IDLE_MARGIN_S)
 
-    def watch(self, connection: Http1Connection, patience: Patience) -> None:
+    def watch(self, connection: Http1Connection, patience: WaitLimits) -> None:
         """Look until a connection is given back whether it has fallen silent.
 
-        If so, idle connections that were open then are closed, and this one ends as `Silent` where
-        the patience has an end.
+        If so, idle connections that were open then are closed, and this one ends as `Unresponsive`
+        where the patience has an end.
         """
-        self.watches[connection] = SilenceWatch(
+        self.watches[connection] = LivenessWatch(
             connection, lambda: self.known, patience, self._drop_silent
         )
 
@@ -92,7 +92,7 @@
         for address, connections in list(self.idle.items()):
             kept = []
             for connection in connections:
-                if connection.opened_at < moment and connection.heard_at <= moment:
+                if connection.opened_at < moment and connection.last_received_at <= moment:
                     connection.close()
                     dropped += 1
                 else:
--- a/waxwingglade/transport/tests/test_silence.py
+++ b/waxwingglade/transport/tests/test_liveness.py
@@ -7,43 +7,43 @@
 import msgspec
 
 from waxwingglade.base.tests.loops import OnDaemonLoop
-from waxwingglade.transport import ConnectionPool, HttpRequest, Patience, Silent
-from waxwingglade.transport.silence import silent_since
+from waxwingglade.transport import ConnectionPool, HttpRequest, Unresponsive, WaitLimits
+from waxwingglade.transport.liveness import unresponsive_since
 
 REQUEST = HttpRequest("GET", "/", [("Host", "h")])
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 SHORT_S = 0.15
 
 
-class Life(msgspec.Struct):
+class ConnectionTimes(msgspec.Struct):
     """A connection's opening, and when something last came on it."""
 
     opened_at: float
-    heard_at: float
+    last_received_at: float
 
 
 class SilentSinceTest(unittest.TestCase):
     """A request waits on a connection that was opened at 1 and last heard at 5."""
 
-    def since(self, *others: Life) -> float:
+    def since(self, *others: ConnectionTimes) -> float:
         """Return the moment of the silence."""
-        waiting = Life(1.0, 5.0)
-        return silent_since(waiting, [waiting, *others])
+        waiting = ConnectionTimes(1.0, 5.0)
+        return unresponsive_since(waiting, [waiting, *others])
 
     def test_it_is_as_old_as_the_last_sign_if_there_is_no_other(self) -> None:
         self.assertEqual(self.since(), 5.0)
-        self.assertEqual(self.since(Life(0.0, 4.0)), 5.0)
+        self.assertEqual(self.since(ConnectionTimes(0.0, 4.0)), 5.0)
 
     def test_a_later_sign_on_a_connection_that_was_open_rules_it_out_till_then(self) -> None:
-        self.assertEqual(self.since(Life(0.0, 7.0)), 7.0)
-        self.assertEqual(self.since(Life(4.0, 7.0)), 7.0, "though it was opened later")
+        self.assertEqual(self.since(ConnectionTimes(0.0, 7.0)), 7.0)
+        self.assertEqual(self.since(ConnectionTimes(4.0, 7.0)), 7.0, "though it was opened later")
 
     def test_a_sign_on_a_connection_that_was_opened_since_does_not(self) -> None:
-        self.assertEqual(self.since(Life(6.0, 9.0)), 5.0)
+        self.assertEqual(self.since(ConnectionTimes(6.0, 9.0)), 5.0)
 
     def test_connections_that_overlap_rule_it_out_together(self) -> None:
-        self.assertEqual(self.since(Life(4.0, 7.0), Life(6.0, 9.0)), 9.0)
-        self.assertEqual(self.since(Life(4.0, 7.0), Life(8.0, 9.0)), 7.0)
+        self.assertEqual(self.since(ConnectionTimes(4.0, 7.0), ConnectionTimes(6.0, 9.0)), 9.0)
+        self.assertEqual(self.since(ConnectionTimes(4.0, 7.0), ConnectionTimes(8.0, 9.0)), 7.0)
 
 
 class PoolSilenceTest(unittest.IsolatedAsyncioTestCase):
@@ -71,9 +71,9 @@
     async def test_a_silent_connection_ends_and_idle_ones_are_dropped(self) -> None:
         self.pool.give_back(self.address, self.two)
         self.one.send(REQUEST)
-        self.pool.watch(self.one, Patience(SHORT_S, 2 * SHORT_S))
+        self.pool.watch(self.one, WaitLimits(SHORT_S, 2 * SHORT_S))
         began_at = time.monotonic()
-        with self.assertRaises(Silent):
+        with self.assertRaises(Unresponsive):
             await self.one.read_head(lambda _: True)
         self.assertGreaterEqual(time.monotonic() - began_at, 2 * SHORT_S)
         self.assertFalse(self.two.usable)
@@ -86,14 +86,14 @@
             connection.close()
         new = await self.pool.take(self.address)
         new.send(REQUEST)
-        self.pool.watch(new, Patience(SHORT_S, SHORT_S))
+        self.pool.watch(new, WaitLimits(SHORT_S, SHORT_S))
         await asyncio.sleep(2 * SHORT_S)
         self.assertTrue(new.usable)
         self.pool.give_back(self.address, new)
 
     async def test_what_came_while_the_process_stood_still_is_read_first(self) -> None:
         self.one.send(REQUEST)
-        self.pool.watch(self.one, Patience(SHORT_S, SHORT_S))
+        self.pool.watch(self.one, WaitLimits(SHORT_S, SHORT_S))
         reading = asyncio.create_task(self.one.read_head(lambda _: True))
         await asyncio.sleep(SHORT_S / 2)
         self.writers[0].write(ANSWER)
@@ -102,7 +102,7 @@
 
     async def test_a_connection_that_was_given_back_is_not_watched(self) -> None:
         self.one.send(REQUEST)
-        self.pool.watch(self.one, Patience(SHORT_S, SHORT_S))
+        self.pool.watch(self.one, WaitLimits(SHORT_S, SHORT_S))
         self.writers[0].write(ANSWER)
         await self.one.read_head(lambda _: True)
         await self.one.read_body(10)
