--- a/waxwingglade/ingress/attempt.py
+++ b/waxwingglade/ingress/attempt.py
@@ -199,7 +199,7 @@
                 # target.
                 record.verdict = Verdict.MAY_HAVE_RUN
             raise
-        self.pool.note_timeout(target.address, response)
+        self.pool.record_idle_timeout(target.address, response)
         facts = self.dialect.read_answer(response)
         record.status = response.status
         self.balancer.record_load(target, facts.load)
@@ -232,7 +232,7 @@
 
     async def _connect(self, choice: Choice, record: AttemptRecord) -> Http1Connection:
         try:
-            return await self.pool.take(choice.target.address)
+            return await self.pool.acquire(choice.target.address)
         except NotConnected as error:
             self.unreachable += 1
             record.verdict = Verdict.NOT_RUN
@@ -291,7 +291,7 @@
 
     def close(self, choice: Choice, connection: Http1Connection) -> None:
         """Return a connection to the pool, and record the end of the request at its target."""
-        self.pool.give_back(choice.target.address, connection)
+        self.pool.release(choice.target.address, connection)
         self.balancer.record_end(choice.target)
 
 
--- a/waxwingglade/ingress/entry.py
+++ b/waxwingglade/ingress/entry.py
@@ -225,7 +225,7 @@
             self.table = RouteTable(view.configuration)
             self._use_limits(view.configuration.limits)
         for target in self.balancer.update(view.targets):
-            self.pool.forget(target.address)
+            self.pool.close_idle(target.address)
 
     def _limits(self) -> ClientLimits:
         """Return the limits in force for callers."""
@@ -257,7 +257,7 @@
         while True:
             await self.loop_delay.sleep(CHECK_INTERVAL_S)
             self._check_quorum()
-            self.pool.sweep()
+            self.pool.close_expired()
             self.close_idle()
             self.links.keep_only(
                 {member.address for member in self.cached_view.view.replicas.members}, LINK_IDLE_S
--- a/waxwingglade/ingress/tests/test_patience.py
+++ b/waxwingglade/ingress/tests/test_patience.py
@@ -23,7 +23,7 @@
         self.errors = errors
         self.wait_limits: list[WaitLimits] = []
 
-    async def take(self, _address: str) -> Any:
+    async def acquire(self, _address: str) -> Any:
         """Return a connection whose request fails with the next error."""
         return mock.Mock(read_head=mock.AsyncMock(side_effect=self.errors.pop(0)))
 
@@ -31,7 +31,7 @@
         """Record how long a connection may be unresponsive."""
         self.wait_limits.append(patience)
 
-    def give_back(self, *_: Any) -> None:
+    def release(self, *_: Any) -> None:
         """Accept a returned connection."""
 
 
--- a/waxwingglade/platform/store.py
+++ b/waxwingglade/platform/store.py
@@ -187,7 +187,7 @@
         end_at = asyncio.get_running_loop().time() + timeout_s
         try:
             async with asyncio.timeout_at(end_at):
-                connection = await self.pool.take(self.address)
+                connection = await self.pool.acquire(self.address)
         except (NotConnected, TimeoutError) as error:
             raise StoreUnavailable(str(error) or "no connection", may_have_run=False) from error
         try:
@@ -198,10 +198,10 @@
         except (Broken, TimeoutError) as error:
             # Other pooled connections may have become unresponsive together with this one, and each
             # would cost a timeout.
-            self.pool.forget(self.address)
+            self.pool.close_idle(self.address)
             raise StoreUnavailable(str(error) or "no answer", may_have_run=True) from error
         finally:
-            self.pool.give_back(self.address, connection)
+            self.pool.release(self.address, connection)
         if response.status in _DECIDED:
             return response
         done = response.status not in _NOTHING_DONE
--- a/waxwingglade/platform/tests/unresponsive_store.py
+++ b/waxwingglade/platform/tests/unresponsive_store.py
@@ -122,16 +122,16 @@
         self.store = store
         self.idle: list[UnresponsiveConnection] = []
 
-    async def take(self, address: str) -> UnresponsiveConnection:
+    async def acquire(self, address: str) -> UnresponsiveConnection:
         """Return an idle connection or a new one."""
         return self.idle.pop() if self.idle else UnresponsiveConnection(self.store)
 
-    def give_back(self, address: str, connection: UnresponsiveConnection) -> None:
+    def release(self, address: str, connection: UnresponsiveConnection) -> None:
         """Retain a connection as idle once its answer was read."""
         if connection.usable:
             self.idle.append(connection)
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections."""
         self.idle.clear()
 
--- a/waxwingglade/transport/pool.py
+++ b/waxwingglade/transport/pool.py
@@ -30,7 +30,7 @@
     ----------
     opened : int
         Connections opened since the start.
-    known : WeakSet of Http1Connection
+    connections : WeakSet of Http1Connection
         All connections, idle and in use.
     """
 
@@ -39,10 +39,10 @@
         self.idle: defaultdict[str, list[Http1Connection]] = defaultdict(list)
         self.idle_limits_s: dict[str, float] = {}
         self.opened = 0
-        self.known: weakref.WeakSet[Http1Connection] = weakref.WeakSet()
+        self.connections: weakref.WeakSet[Http1Connection] = weakref.WeakSet()
         self.watches: dict[Http1Connection, LivenessWatch] = {}
 
-    async def take(self, address: str) -> Http1Connection:
+    async def acquire(self, address: str) -> Http1Connection:
         """Return a kept connection, or a new one; `NotConnected` if none can be opened."""
         connections = self.idle[address]
         limit_s = self.idle_limits_s.get(address, DEFAULT_IDLE_S)
@@ -54,10 +54,10 @@
             connection.close()
         self.opened += 1
         connection = await open_connection(address, self.connect_timeout_s)
-        self.known.add(connection)
+        self.connections.add(connection)
         return connection
 
-    def give_back(self, address: str, connection: Http1Connection) -> None:
+    def release(self, address: str, connection: Http1Connection) -> None:
         """Keep a connection whose response was read to its end; close any other."""
         if watch := self.watches.pop(connection, None):
             watch.stop()
@@ -66,7 +66,7 @@
             return
         self.idle[address].append(connection)
 
-    def note_timeout(self, address: str, head: HttpResponse) -> None:
+    def record_idle_timeout(self, address: str, head: HttpResponse) -> None:
         """Learn how long the target keeps idle connections, if it says so."""
         stated = head.header("Keep-Alive")
         if stated is None:
@@ -83,7 +83,7 @@
         where the patience has an end.
         """
         self.watches[connection] = LivenessWatch(
-            connection, lambda: self.known, patience, self._drop_silent
+            connection, lambda: self.connections, patience, self._drop_silent
         )
 
     def _drop_silent(self, moment: float) -> None:
@@ -104,7 +104,7 @@
                 "idle connections dropped"
             )
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that have been idle for too long."""
         now = monotonic()
         for address, connections in list(self.idle.items()):
@@ -120,7 +120,7 @@
             else:
                 del self.idle[address]
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address."""
         for connection in self.idle.pop(address, []):
             connection.close()
@@ -128,7 +128,7 @@
     def close(self) -> None:
         """Close every idle connection."""
         for address in list(self.idle):
-            self.forget(address)
+            self.close_idle(address)
 
 
 __all__ = ["ConnectionPool"]
--- a/waxwingglade/transport/tests/test_http1.py
+++ b/waxwingglade/transport/tests/test_http1.py
@@ -105,15 +105,15 @@
 
     async def test_the_pool_keeps_usable_connections_and_states_of_time(self) -> None:
         pool = ConnectionPool(5.0)
-        first = await pool.take(self.address)
+        first = await pool.acquire(self.address)
         first.in_use = False
         first.idle_since = asyncio.get_running_loop().time()
-        pool.give_back(self.address, first)
-        self.assertIs(await pool.take(self.address), first)
-        pool.note_timeout(self.address, HttpResponse(200, [("Keep-Alive", "timeout=1")]))
+        pool.release(self.address, first)
+        self.assertIs(await pool.acquire(self.address), first)
+        pool.record_idle_timeout(self.address, HttpResponse(200, [("Keep-Alive", "timeout=1")]))
         first.idle_since -= 0.6
-        pool.give_back(self.address, first)
-        second = await pool.take(self.address)
+        pool.release(self.address, first)
+        second = await pool.acquire(self.address)
         self.assertIsNot(second, first)
         second.close()
         pool.close()
--- a/waxwingglade/transport/tests/test_liveness.py
+++ b/waxwingglade/transport/tests/test_liveness.py
@@ -58,8 +58,8 @@
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         self.pool = ConnectionPool(5.0)
         self.addCleanup(self.pool.close)
-        self.one = await self.pool.take(self.address)
-        self.two = await self.pool.take(self.address)
+        self.one = await self.pool.acquire(self.address)
+        self.two = await self.pool.acquire(self.address)
         while len(self.writers) < 2:
             await asyncio.sleep(0)
         for connection, writer in zip((self.one, self.two), self.writers, strict=True):
@@ -69,7 +69,7 @@
             await connection.read_body(10)
 
     async def test_a_silent_connection_ends_and_idle_ones_are_dropped(self) -> None:
-        self.pool.give_back(self.address, self.two)
+        self.pool.release(self.address, self.two)
         self.one.send(REQUEST)
         self.pool.watch(self.one, WaitLimits(SHORT_S, 2 * SHORT_S))
         began_at = time.monotonic()
@@ -80,16 +80,16 @@
         self.assertFalse(any(self.pool.idle.values()))
 
     async def test_a_new_connection_is_not_suspected_by_itself(self) -> None:
-        self.pool.give_back(self.address, self.one)
-        self.pool.give_back(self.address, self.two)
+        self.pool.release(self.address, self.one)
+        self.pool.release(self.address, self.two)
         for connection in (self.one, self.two):
             connection.close()
-        new = await self.pool.take(self.address)
+        new = await self.pool.acquire(self.address)
         new.send(REQUEST)
         self.pool.watch(new, WaitLimits(SHORT_S, SHORT_S))
         await asyncio.sleep(2 * SHORT_S)
         self.assertTrue(new.usable)
-        self.pool.give_back(self.address, new)
+        self.pool.release(self.address, new)
 
     async def test_what_came_while_the_process_stood_still_is_read_first(self) -> None:
         self.one.send(REQUEST)
@@ -106,7 +106,7 @@
         self.writers[0].write(ANSWER)
         await self.one.read_head(lambda _: True)
         await self.one.read_body(10)
-        self.pool.give_back(self.address, self.one)
+        self.pool.release(self.address, self.one)
         self.assertEqual(self.pool.watches, {})
         await asyncio.sleep(2 * SHORT_S)
         self.assertTrue(self.one.usable)
