--- a/tests/test_silent_targets.py
+++ b/tests/test_silent_targets.py
@@ -19,7 +19,7 @@
     EntryUnderTest,
     FakeTarget,
 )
-from waxwingglade.transport import Broken
+from waxwingglade.transport import ConnectionBroken
 
 OBJECTIVE_S = 0.4
 TIMEOUT_S = 1.0
@@ -118,7 +118,7 @@
                 await connection.read_head(lambda _: True)
                 self.relays.silence()
                 began_at = time.monotonic()
-                with self.assertRaises(Broken):
+                with self.assertRaises(ConnectionBroken):
                     await connection.read_body(1_000)
                 seconds = time.monotonic() - began_at
                 self.assertGreater(seconds, shortest_s)
--- a/waxwingglade/ingress/attempt.py
+++ b/waxwingglade/ingress/attempt.py
@@ -10,7 +10,7 @@
 from waxwingglade.ingress.balance import Balancer, Choice, History
 from waxwingglade.ingress.dialect import AnswerFacts, Call, Dialect, Send
 from waxwingglade.transport import (
-    Broken,
+    ConnectionBroken,
     ConnectionPool,
     Http1Connection,
     HttpRequest,
@@ -185,7 +185,7 @@
             connection.send(request)
             self.pool.watch(connection, self._wait_limits(choice))
             response = await connection.read_head(self._answers_this_call)
-        except Broken as error:
+        except ConnectionBroken as error:
             self.close(choice, connection)
             self._broken(choice, record, error)
             raise MayHaveRun(str(error)) from error
@@ -250,13 +250,13 @@
         head.record.reason = "refused"
         try:
             await head.connection.read_body(MAX_ANSWER_BYTES)
-        except Broken:
+        except ConnectionBroken:
             head.record.reason = "refused, then broken off"
         finally:
             self.close(head.choice, head.connection)
         raise NotRun(f"status {head.response.status}")
 
-    def _broken(self, choice: Choice, record: AttemptRecord, error: Broken) -> None:
+    def _broken(self, choice: Choice, record: AttemptRecord, error: ConnectionBroken) -> None:
         record.verdict = Verdict.MAY_HAVE_RUN
         record.reason = str(error)
         self._record_failure(choice, error)
--- a/waxwingglade/ingress/serving.py
+++ b/waxwingglade/ingress/serving.py
@@ -30,7 +30,7 @@
 )
 from waxwingglade.ingress.routes import RouteTable
 from waxwingglade.ledger.messages import TurnId
-from waxwingglade.transport import Broken
+from waxwingglade.transport import ConnectionBroken
 
 AUTHORIZATION = "Authorization"
 MIN_SEND_S = 0.01
@@ -184,7 +184,7 @@
         head = await open_answer(serving, attempts, serving.call.body, priority)
         try:
             body = await head.connection.read_body(MAX_ANSWER_BYTES)
-        except Broken as error:
+        except ConnectionBroken as error:
             attempts.record_break(head, error)
             raise_unless_retryable(serving, attempts, error)
             continue
--- a/waxwingglade/ingress/streaming.py
+++ b/waxwingglade/ingress/streaming.py
@@ -45,7 +45,7 @@
     TurnBegun,
     Unavailable,
 )
-from waxwingglade.transport import Broken
+from waxwingglade.transport import ConnectionBroken
 
 OK = 200
 BEGIN_WITHOUT_QUORUM_S = 0.1
@@ -354,7 +354,7 @@
         head = await open_answer(serving, attempts, prompt, priority, relay.last_event)
         try:
             await _relay_answer(serving, attempts, head, relay)
-        except (Broken, StreamError) as error:
+        except (ConnectionBroken, StreamError) as error:
             attempts.record_break(head, error)
             raise_unless_retryable(serving, attempts, error)
             continue
@@ -375,7 +375,7 @@
         attempts.record_error(head)
         check_status(response.status, head.facts.certified)
         if serving.exchange.answered:
-            raise Broken(f"status {response.status} within a stream", sent=True)
+            raise ConnectionBroken(f"status {response.status} within a stream", sent=True)
         await serving.exchange.answer(response.status, response.headers, body)
         return
     check_status(response.status, head.facts.certified)
@@ -384,9 +384,9 @@
         for event in splitter.feed(piece):
             await _relay_event(serving, head, event, relay)
     if splitter.rest:
-        raise Broken("the stream ended within an event", sent=True)
+        raise ConnectionBroken("the stream ended within an event", sent=True)
     if not serving.exchange.answered:
-        raise Broken("a stream without an event", sent=True)
+        raise ConnectionBroken("a stream without an event", sent=True)
 
 
 async def _relay_event(serving: Serving, head: Head, event: Event, relay: Relay) -> None:
--- a/waxwingglade/ingress/tests/test_drain.py
+++ b/waxwingglade/ingress/tests/test_drain.py
@@ -15,7 +15,7 @@
     FakeTarget,
     until,
 )
-from waxwingglade.transport import Broken, HttpRequest
+from waxwingglade.transport import ConnectionBroken, HttpRequest
 from waxwingglade.transport.http1 import Http1Connection, open_connection
 
 WAIT_S = 0.2
@@ -53,7 +53,7 @@
     async def ask_again(self, connection: Http1Connection) -> None:
         """Send another request on a connection, and check that it is closed without an answer."""
         headers = [("Host", HOST), ("X-Waxwingglade-Request-Id", "r2")]
-        with self.assertRaises((Broken, OSError)):
+        with self.assertRaises((ConnectionBroken, OSError)):
             connection.send(HttpRequest("POST", PLAIN, headers, b"body"))
             async with asyncio.timeout(WAIT_LIMIT_S):
                 await connection.read_head(lambda _: True)
--- a/waxwingglade/ingress/tests/test_late_keeping.py
+++ b/waxwingglade/ingress/tests/test_late_keeping.py
@@ -10,7 +10,7 @@
 from waxwingglade.ingress.tests.entry_builders import TURNS, Behaviour, EntryUnderTest, FakeTarget
 from waxwingglade.ledger.client import LedgerClient
 from waxwingglade.ledger.messages import BeginTurn, EndTurn, TurnBegun, TurnEnded
-from waxwingglade.transport import Broken
+from waxwingglade.transport import ConnectionBroken
 from waxwingglade.transport.links import LinkFailed
 
 ROUTE_S = 4.0
@@ -75,7 +75,7 @@
 
     async def test_an_answer_whose_turn_is_not_stored_in_time_is_truncated(self) -> None:
         began_at = time.monotonic()
-        with self.assertRaises(Broken):
+        with self.assertRaises(ConnectionBroken):
             await self.call(2 * ROUTE_S)
         self.assertLess(time.monotonic() - began_at, ROUTE_S + 0.5)
 
--- a/waxwingglade/ingress/tests/test_partition.py
+++ b/waxwingglade/ingress/tests/test_partition.py
@@ -28,7 +28,7 @@
     FakeTarget,
     until,
 )
-from waxwingglade.transport import Broken
+from waxwingglade.transport import ConnectionBroken
 
 ROUTE_S = 3.0
 SLACK_S = 0.4
@@ -134,7 +134,7 @@
         call = asyncio.create_task(self.entry.call(TURNS, "r1"))
         self.assertTrue(await until(lambda: self.entry.ledger.ended, 1.0))
         self.partition()
-        with self.assertRaises(Broken):
+        with self.assertRaises(ConnectionBroken):
             await call
         self.assertLess(time.monotonic() - began_at, STORE_WITHOUT_QUORUM_S + SLACK_S)
         self.assertTrue(self.entry.ledger.settled)
--- a/waxwingglade/ingress/tests/test_patience.py
+++ b/waxwingglade/ingress/tests/test_patience.py
@@ -7,7 +7,7 @@
 
 from waxwingglade.follow.model import CallKind
 from waxwingglade.ingress.attempt import Attempts, MayHaveRun
-from waxwingglade.transport import Broken, Unresponsive, WaitLimits
+from waxwingglade.transport import ConnectionBroken, Unresponsive, WaitLimits
 
 
 class FailingPool:
@@ -15,11 +15,11 @@
 
     Parameters
     ----------
-    errors : list of Broken
+    errors : list of ConnectionBroken
         Errors of the attempts, in order.
     """
 
-    def __init__(self, errors: list[Broken]) -> None:
+    def __init__(self, errors: list[ConnectionBroken]) -> None:
         self.errors = errors
         self.wait_limits: list[WaitLimits] = []
 
@@ -36,7 +36,9 @@
 
 
 class WaitLimitTest(unittest.IsolatedAsyncioTestCase):
-    async def ends(self, errors: list[Broken], most: int, idempotent: bool = True) -> list[bool]:
+    async def ends(
+        self, errors: list[ConnectionBroken], most: int, idempotent: bool = True
+    ) -> list[bool]:
         """Send a call until all errors are used; return whether each attempt has a time limit."""
         route: Any = SimpleNamespace(
             idempotent=idempotent,
@@ -58,18 +60,18 @@
 
     async def test_the_last_attempt_after_an_unresponsive_one_has_no_limit(self) -> None:
         """Guards against a 502 for a slow target while the caller has time left."""
-        errors = [Unresponsive("silent", sent=True), Broken("ends the test", sent=True)]
+        errors = [Unresponsive("silent", sent=True), ConnectionBroken("ends the test", sent=True)]
         self.assertEqual([True, False], await self.ends(errors, 2))
 
     async def test_an_only_attempt_has_a_limit(self) -> None:
         self.assertEqual([True], await self.ends([Unresponsive("silent", sent=True)], 1))
 
     async def test_the_last_attempt_after_another_failure_has_a_limit(self) -> None:
-        errors = [Broken("reset", sent=True), Unresponsive("silent", sent=True)]
+        errors = [ConnectionBroken("reset", sent=True), Unresponsive("silent", sent=True)]
         self.assertEqual([True, True], await self.ends(errors, 2))
 
     async def test_an_attempt_that_may_not_run_twice_has_no_limit(self) -> None:
-        errors = [Broken("reset", sent=True)]
+        errors = [ConnectionBroken("reset", sent=True)]
         self.assertEqual([False], await self.ends(errors, 1, idempotent=False))
 
 
--- a/waxwingglade/platform/store.py
+++ b/waxwingglade/platform/store.py
@@ -18,7 +18,7 @@
     StoreUnavailable,
 )
 from waxwingglade.transport import (
-    Broken,
+    ConnectionBroken,
     ConnectionPool,
     HttpRequest,
     HttpResponse,
@@ -195,7 +195,7 @@
                 connection.send(request)
                 response = await connection.read_head(lambda _: True)
                 response.body = await connection.read_body(MAX_BODY_BYTES)
-        except (Broken, TimeoutError) as error:
+        except (ConnectionBroken, TimeoutError) as error:
             # Other pooled connections may have become unresponsive together with this one, and each
             # would cost a timeout.
             self.pool.close_idle(self.address)
--- a/waxwingglade/transport/__init__.py
+++ b/waxwingglade/transport/__init__.py
@@ -1,7 +1,7 @@
 """Connections: HTTP/1.1 towards targets and the store, ZeroMQ between processes."""
 
 from waxwingglade.transport.http1 import (
-    Broken,
+    ConnectionBroken,
     Http1Connection,
     NotConnected,
     Unresponsive,
@@ -12,7 +12,7 @@
 from waxwingglade.transport.pool import ConnectionPool
 
 __all__ = [
-    "Broken",
+    "ConnectionBroken",
     "ConnectionPool",
     "Http1Connection",
     "HttpRequest",
--- a/waxwingglade/transport/http1.py
+++ b/waxwingglade/transport/http1.py
@@ -33,7 +33,7 @@
     """No connection could be opened, so no byte of a request has left."""
 
 
-class Broken(WaxwinggladeError):
+class ConnectionBroken(WaxwinggladeError):
     """A connection ended, or carried bytes that are no HTTP, before its response was complete.
 
     Parameters
@@ -49,7 +49,7 @@
         self.sent = sent
 
 
-class Unresponsive(Broken):
+class Unresponsive(ConnectionBroken):
     """A connection was given up because it had fallen silent; its target may well be sound."""
 
 
@@ -162,7 +162,7 @@
     def send(self, request: HttpRequest) -> None:
         """Write a whole request."""
         if not self.usable:
-            raise Broken("the connection has ended", sent=False)
+            raise ConnectionBroken("the connection has ended", sent=False)
         assert self.transport is not None
         data = request.encode()
         self.in_use = True
@@ -182,13 +182,13 @@
 
         Raises
         ------
-        Broken
+        ConnectionBroken
             If the connection ends first, or the bytes are not HTTP.
         """
         while True:
             head = await self._next_event()
             if not isinstance(head, HttpResponse):
-                raise Broken("a body or an end instead of a response", self.sent)
+                raise ConnectionBroken("a body or an end instead of a response", self.sent)
             if is_ours(head):
                 self.close_after = self.close_after or _says_close(head)
                 return head
@@ -199,7 +199,7 @@
 
         Raises
         ------
-        Broken
+        ConnectionBroken
             If the connection ends before the body does, or the bytes are not HTTP.
         """
         if self._has_no_body():
@@ -212,16 +212,16 @@
         if isinstance(event, End):
             self._finish(event)
             return None
-        raise Broken("a response within a body", self.sent)
+        raise ConnectionBroken("a response within a body", self.sent)
 
     async def read_body(self, limit: int) -> bytes:
-        """Return the whole rest of the body; `Broken` if it ends early or exceeds `limit` bytes."""
+        """Return the whole rest of the body; `ConnectionBroken` if it ends early or exceeds `limit` bytes."""
         pieces = []
         size = 0
         while (piece := await self.read_piece()) is not None:
             size += len(piece)
             if size > limit:
-                raise Broken(f"a body of more than {limit} bytes", self.sent)
+                raise ConnectionBroken(f"a body of more than {limit} bytes", self.sent)
             pieces.append(piece)
         return b"".join(pieces)
 
@@ -232,7 +232,7 @@
             try:
                 event = self.parser.take()
             except NotHttp as error:
-                raise Broken(str(error), self.sent) from error
+                raise ConnectionBroken(str(error), self.sent) from error
             if event is not None:
                 return event
             await self._feed()
@@ -243,7 +243,7 @@
             if isinstance(self.error, Unresponsive):
                 raise self.error
             if self.error is not None:
-                raise Broken(f"reset: {self.error}", self.sent)
+                raise ConnectionBroken(f"reset: {self.error}", self.sent)
             if self.ended:
                 self.parser.end()
                 return
@@ -263,7 +263,7 @@
         while not isinstance(event := await self._next_event(), End):
             pass
         if event is End.CLOSING:
-            raise Broken("closed after a response to another request", self.sent)
+            raise ConnectionBroken("closed after a response to another request", self.sent)
 
     def _has_no_body(self) -> bool:
         return self.request is not None and self.request.method.upper() == "HEAD"
@@ -298,7 +298,7 @@
 
 
 __all__ = [
-    "Broken",
+    "ConnectionBroken",
     "Http1Connection",
     "NotConnected",
     "Unresponsive",
--- a/waxwingglade/transport/tests/test_http1.py
+++ b/waxwingglade/transport/tests/test_http1.py
@@ -6,7 +6,7 @@
 import unittest
 
 from waxwingglade.transport import (
-    Broken,
+    ConnectionBroken,
     ConnectionPool,
     HttpRequest,
     HttpResponse,
@@ -76,7 +76,7 @@
             await asyncio.sleep(0.01)
 
     async def test_an_answer_that_ends_early_is_broken(self) -> None:
-        with self.assertRaises(Broken) as caught:
+        with self.assertRaises(ConnectionBroken) as caught:
             await self.exchange(answer()[:-2], end=True)
         self.assertTrue(caught.exception.sent)
 
@@ -92,11 +92,11 @@
         own = self.writer.get_extra_info("socket")
         own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
-        with self.assertRaises(Broken):
+        with self.assertRaises(ConnectionBroken):
             await self.connection.read_piece()
 
     async def test_bytes_that_are_not_http_are_broken(self) -> None:
-        with self.assertRaises(Broken):
+        with self.assertRaises(ConnectionBroken):
             await self.exchange(b"\0\1\2 nonsense\r\n\r\n")
 
     async def test_close_is_announced(self) -> None:
