--- a/waxwingglade/transport/__init__.py
+++ b/waxwingglade/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Connections: HTTP/1.1 towards targets and the store, ZeroMQ between processes."""
+"""Connections: HTTP/1.1 to targets and the store, ZeroMQ between processes."""
 
 from waxwingglade.transport.http1 import (
     ConnectionBroken,
--- a/waxwingglade/transport/http1.py
+++ b/waxwingglade/transport/http1.py
@@ -1,8 +1,8 @@
-"""One HTTP/1.1 connection of a client, which knows whether a byte of a request has left.
+"""One HTTP/1.1 connection of a client, which records whether a byte of a request was sent.
 
-Beyond an ordinary client it tells what a scheduler must know:
-whether a failed request may have reached the other side, whether a response that ends with its
-connection was cut off, and whether bytes arrived that belong to no request.
+Unlike an ordinary client it reports what a scheduler needs: whether a failed request may have
+reached the server, whether a response that ends with its connection was truncated, and whether
+bytes arrived that belong to no request.
 """
 
 import asyncio
@@ -13,35 +13,35 @@
 
 from waxwingglade.base import WaxwinggladeError, monotonic
 from waxwingglade.transport.messages import HttpRequest, HttpResponse
-from waxwingglade.transport.parser import End, Event, NotHttp, ResponseParser
+from waxwingglade.transport.parser import Event, InvalidResponse, ResponseEnd, ResponseParser
 
 USER_TIMEOUT_MS = 700
-"""Milliseconds for which sent bytes may stay unacknowledged; many round trips of some 3 ms with
-retransmits, and short against the deadlines of requests, so that there is time to try again when a
-peer lost power or was cut off."""
+"""Milliseconds for which sent bytes may stay unacknowledged.  This allows for many round trips of
+about 3 ms with retransmissions.  It is short compared with the deadlines of requests, so that there
+is time for a retry after a peer lost power or was partitioned."""
 
 KEEPALIVE_S = 1
-"""Seconds after which a silent connection is probed, and between probes: a peer that is gone while
-an answer is awaited is noticed after some two seconds, and one that is only slow is not
-disturbed."""
+"""Seconds after which an idle connection is probed, and between probes.  A peer that becomes
+unreachable while an answer is awaited is detected after about two seconds; a peer that is only slow
+is not affected."""
 
 READ_HIGH_WATER_BYTES = 256 * 1024
-"""Received bytes that wait for their reader before the connection stops reading."""
+"""Received bytes that are buffered for the reader before the connection stops reading."""
 
 
 class NotConnected(WaxwinggladeError):
-    """No connection could be opened, so no byte of a request has left."""
+    """No connection could be opened, so no byte of a request was sent."""
 
 
 class ConnectionBroken(WaxwinggladeError):
-    """A connection ended, or carried bytes that are no HTTP, before its response was complete.
+    """A connection ended, or carried bytes that are not HTTP, before its response was complete.
 
     Parameters
     ----------
     message : str
         What happened.
     sent : bool
-        Whether bytes of the request may have left.
+        Whether bytes of the request may have been sent.
     """
 
     def __init__(self, message: str, sent: bool) -> None:
@@ -50,7 +50,7 @@
 
 
 class Unresponsive(ConnectionBroken):
-    """A connection was given up because it had fallen silent; its target may well be sound."""
+    """A connection was closed because it was unresponsive; its target may be healthy."""
 
 
 class Http1Connection(asyncio.Protocol):
@@ -59,15 +59,15 @@
     Attributes
     ----------
     sent : bool
-        Whether bytes of the present request were handed to the kernel.
-    dirty : bool
-        Whether bytes came that belong to no request; the connection is not used again.
+        Whether bytes of the current request were passed to the kernel.
+    has_stray_bytes : bool
+        Whether bytes arrived that belong to no request; the connection is not used again.
     idle_since : float
-        When the connection was last given back, in monotonic seconds.
+        When the last response was read to its end, in monotonic seconds.
     opened_at, last_received_at, sent_at : float
-        When it was opened, when something last came on it, and when its present request was sent,
-        in monotonic seconds.  An event loop's own clock may stand still for a whole turn of it, and
-        then does not tell what came first.
+        When it was opened, when bytes last arrived on it, and when its current request was sent,
+        in monotonic seconds.  The clock of an event loop may stay the same for a whole iteration,
+        and then does not show which event came first.
     """
 
     def __init__(self) -> None:
@@ -75,26 +75,26 @@
         self.parser = ResponseParser()
         self.transport: asyncio.Transport | None = None
         self.chunks: deque[bytes] = deque()
-        self.waiting_bytes = 0
+        self.buffered_bytes = 0
         self.paused = False
         self.ended = False
         self.error: Exception | None = None
-        self.wake: asyncio.Future[None] | None = None
+        self.read_waiter: asyncio.Future[None] | None = None
         self.in_use = False
         self.sent = False
-        self.dirty = False
+        self.has_stray_bytes = False
         self.idle_since = 0.0
         self.opened_at = 0.0
         self.last_received_at = 0.0
         self.sent_at = 0.0
         self.request: HttpRequest | None = None
-        self.close_after = False
+        self.close_after_response = False
 
     # Callbacks of the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and bound how long a dead peer stays unnoticed."""
-        # Not checked by its class: a transport of another event loop has none of asyncio's.
+        """Store the transport, and limit how long a dead peer stays undetected."""
+        # The class is not checked: transports of other event loops do not derive from asyncio's.
         self.transport = cast(asyncio.Transport, transport)
         self.opened_at = self.last_received_at = monotonic()
         own_socket = transport.get_extra_info("socket")
@@ -104,63 +104,63 @@
         own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Keep received bytes for the reader; bytes on an idle connection spoil it."""
+        """Buffer received bytes for the reader; bytes without a request close the connection."""
         if not self.in_use:
-            self.dirty = True
+            self.has_stray_bytes = True
             self.close()
             return
         self.last_received_at = monotonic()
         self.chunks.append(data)
-        self.waiting_bytes += len(data)
-        if self.waiting_bytes > READ_HIGH_WATER_BYTES and not self.paused and self.transport:
+        self.buffered_bytes += len(data)
+        if self.buffered_bytes > READ_HIGH_WATER_BYTES and not self.paused and self.transport:
             self.paused = True
             self.transport.pause_reading()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
-        """Note the orderly end of the other side; the transport closes itself."""
+        """Record that the peer closed its side in order; the transport closes itself."""
         self.ended = True
-        self._wake()
+        self._wake_reader()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end of the connection; an exception means that it was reset."""
+        """Record the end of the connection; an exception means that it was reset."""
         if not self.ended and exc is not None:
             self.error = exc
         self.ended = True
-        self._wake()
+        self._wake_reader()
 
-    def _wake(self) -> None:
-        if self.wake is not None and not self.wake.done():
-            self.wake.set_result(None)
+    def _wake_reader(self) -> None:
+        if self.read_waiter is not None and not self.read_waiter.done():
+            self.read_waiter.set_result(None)
 
-    # For the user
+    # Interface for users
 
     @property
     def usable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether another request may be sent on this connection."""
         return (
             not self.ended
-            and not self.dirty
-            and not self.close_after
+            and not self.has_stray_bytes
+            and not self.close_after_response
             and self.transport is not None
             and not self.transport.is_closing()
         )
 
     def close(self) -> None:
-        """Close at once; bytes that were not sent yet are dropped."""
+        """Close immediately; bytes that were not sent yet are discarded."""
         if self.transport is not None:
             self.transport.abort()
         self.ended = True
 
     def fail(self, reason: str) -> None:
-        """Close at once; whoever reads from it learns that it was silent."""
+        """Close immediately; the reader gets `Unresponsive` with the reason."""
         self.error = Unresponsive(reason, self.sent)
         self.close()
-        self._wake()
+        self._wake_reader()
 
     def send(self, request: HttpRequest) -> None:
-        """Write a whole request."""
+        """Write a complete request."""
         if not self.usable:
             raise ConnectionBroken("the connection has ended", sent=False)
         assert self.transport is not None
@@ -171,14 +171,15 @@
         self.request = request
         self.transport.write(data)
 
-    async def read_head(self, is_ours: Callable[[HttpResponse], bool]) -> HttpResponse:
+    async def read_head(self, is_expected: Callable[[HttpResponse], bool]) -> HttpResponse:
         """Return the head of the response.
 
         Parameters
         ----------
-        is_ours : callable
-            Whether a response answers the present request.  A response that does not is a late or
-            doubled one of an earlier request: it is skipped, and the connection is not kept.
+        is_expected : callable
+            Whether a response answers the current request.  A response that does not is a late or
+            duplicate response to an earlier request: it is skipped, and the connection is not
+            reused.
 
         Raises
         ------
@@ -189,8 +190,8 @@
             head = await self._next_event()
             if not isinstance(head, HttpResponse):
                 raise ConnectionBroken("a body or an end instead of a response", self.sent)
-            if is_ours(head):
-                self.close_after = self.close_after or _says_close(head)
+            if is_expected(head):
+                self.close_after_response = self.close_after_response or _announces_close(head)
                 return head
             await self._skip_response()
 
@@ -203,19 +204,25 @@
             If the connection ends before the body does, or the bytes are not HTTP.
         """
         if self._has_no_body():
-            # The parser can't be told, so nothing else is read on this connection.
-            self._finish(End.CLOSING)
+            # The parser expects a body and cannot be told otherwise, so this connection ends here.
+            self._finish_response(ResponseEnd.CLOSING)
             return None
         event = await self._next_event()
         if isinstance(event, bytes):
             return event
-        if isinstance(event, End):
-            self._finish(event)
+        if isinstance(event, ResponseEnd):
+            self._finish_response(event)
             return None
         raise ConnectionBroken("a response within a body", self.sent)
 
     async def read_body(self, limit: int) -> bytes:
-        """Return the whole rest of the body; `ConnectionBroken` if it ends early or exceeds `limit` bytes."""
+        """Return the rest of the body.
+
+        Raises
+        ------
+        ConnectionBroken
+            If the body is truncated or exceeds `limit` bytes.
+        """
         pieces = []
         size = 0
         while (piece := await self.read_piece()) is not None:
@@ -225,20 +232,20 @@
             pieces.append(piece)
         return b"".join(pieces)
 
-    # Inside
+    # Implementation
 
     async def _next_event(self) -> Event:
         while True:
             try:
                 event = self.parser.take()
-            except NotHttp as error:
+            except InvalidResponse as error:
                 raise ConnectionBroken(str(error), self.sent) from error
             if event is not None:
                 return event
             await self._feed()
 
     async def _feed(self) -> None:
-        """Give the parser more bytes, or the end of the connection."""
+        """Pass further bytes, or the end of the connection, to the parser."""
         while not self.chunks:
             if isinstance(self.error, Unresponsive):
                 raise self.error
@@ -247,46 +254,54 @@
             if self.ended:
                 self.parser.end()
                 return
-            self.wake = self.loop.create_future()
-            await self.wake
+            self.read_waiter = self.loop.create_future()
+            await self.read_waiter
         data = b"".join(self.chunks)
         self.chunks.clear()
-        self.waiting_bytes = 0
+        self.buffered_bytes = 0
         if self.paused and self.transport is not None and not self.transport.is_closing():
             self.paused = False
             self.transport.resume_reading()
         self.parser.feed(data)
 
     async def _skip_response(self) -> None:
-        """Read over a response of an earlier request, and wait for the one that is due."""
-        self.close_after = True
-        while not isinstance(event := await self._next_event(), End):
+        """Skip a response to an earlier request; the expected one may follow."""
+        self.close_after_response = True
+        while not isinstance(event := await self._next_event(), ResponseEnd):
             pass
-        if event is End.CLOSING:
+        if event is ResponseEnd.CLOSING:
             raise ConnectionBroken("closed after a response to another request", self.sent)
 
     def _has_no_body(self) -> bool:
         return self.request is not None and self.request.method.upper() == "HEAD"
 
-    def _finish(self, end: End) -> None:
-        """Make ready for another request, if the connection can take one."""
+    def _finish_response(self, end: ResponseEnd) -> None:
+        """Prepare for another request, if the connection can be reused."""
         self.in_use = False
         self.sent = False
         self.idle_since = monotonic()
         unsent = self.transport is not None and self.transport.get_write_buffer_size() > 0
         more = self.parser.has_more or self.chunks
-        # Bytes after a whole response belong to no request; and a target that answers before
-        # it has read the body must not find another request where the rest is due.
-        self.dirty = bool(more or unsent or self.close_after or end is End.CLOSING)
+        # Bytes after a complete response belong to no request.  A target that answers before it has
+        # read the request's body must not find another request in place of the rest.
+        self.has_stray_bytes = bool(
+            more or unsent or self.close_after_response or end is ResponseEnd.CLOSING
+        )
 
 
-def _says_close(head: HttpResponse) -> bool:
+def _announces_close(head: HttpResponse) -> bool:
     value = head.header("Connection")
     return value is not None and "close" in value.lower()
 
 
 async def open_connection(address: str, timeout_s: float) -> Http1Connection:
-    """Open a connection to ``IP:PORT``; `NotConnected` if that fails or takes too long."""
+    """Open a connection to ``IP:PORT``.
+
+    Raises
+    ------
+    NotConnected
+        If that fails or takes too long.
+    """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
     try:
--- a/waxwingglade/transport/links.py
+++ b/waxwingglade/transport/links.py
@@ -1,13 +1,13 @@
 """Requests and answers between processes over ZeroMQ.
 
-A process that answers binds one ROUTER socket; one that asks connects a DEALER socket to each peer.
-Answers are matched by number, so they may come late, twice or out of order.  A request that could
-not be sent before its time was over is dropped, instead of arriving seconds later as if it were
-new.
-
-What is to be sent in one turn of the event loop goes out as the frames of one message.  Under load
-a message then carries many requests or answers, and the cost of a message, which is mostly that of
-system calls and of waking threads, is paid once.
+A process that answers binds one ROUTER socket; one that sends requests connects a DEALER socket to
+each peer.  Answers are matched to requests by number, so they may arrive late, twice or out of
+order.  A request that cannot be sent before its timeout is discarded, so that it does not arrive
+seconds later as if it were new.
+
+All that is sent in one iteration of the event loop forms the frames of one message.  Under load a
+message then carries many requests or answers, which share the cost of a message: mostly system
+calls and waking threads.
 """
 
 import asyncio
@@ -22,7 +22,8 @@
 from waxwingglade.base import WaxwinggladeError
 from waxwingglade.base.tasks import start_task
 
-# Plain numbers, since operations on the library's enumerations cost more than what they ask for.
+# Plain integers, since operations on enumerations of the library cost more than the calls that use
+# them.
 EVENTS, RCVMORE = int(zmq.EVENTS), int(zmq.RCVMORE)
 POLLIN, POLLOUT = int(zmq.POLLIN), int(zmq.POLLOUT)
 DONTWAIT, SNDMORE = int(zmq.DONTWAIT), int(zmq.SNDMORE)
@@ -30,42 +31,43 @@
 SEND_QUEUE_MESSAGES = 2_000
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 HEARTBEAT_MS = 500
-"""Milliseconds between ZeroMQ's own heartbeats.  They find a peer that lost power, and a connection
-that fell silent while new ones work, of which the kernel tells nothing."""
+"""Milliseconds between heartbeats of ZeroMQ.  They detect a peer that lost power, and a connection
+that became unresponsive while new ones work, which the kernel does not report."""
 
 HEARTBEAT_TIMEOUT_MS = 600
-"""Milliseconds after a heartbeat within which something has to come.  A silent connection is given
-up after 1.1 s at most, less than half of the three seconds after which all has to work again; a
-round trip takes some 3 ms, and a thread that does nothing else answers."""
+"""Milliseconds after a heartbeat within which bytes have to arrive.  An unresponsive connection is
+closed after at most 1.1 s, less than half of the three seconds within which the system has to
+recover.  A round trip takes about 3 ms, and a dedicated thread answers."""
 
 HANDSHAKE_TIMEOUT_MS = 600
-"""Milliseconds for the first exchange on a new connection, before which there are no heartbeats;
-one that fell silent then held its peers apart for 30 s, ZeroMQ's own limit."""
+"""Milliseconds for the handshake of a new connection, before which there are no heartbeats.  A
+connection that became unresponsive during it separated its peers for 30 s, the default limit of
+ZeroMQ."""
 
 RECONNECT_MS = 50
 RECONNECT_MAX_MS = 400
 CONNECT_TIMEOUT_MS = 500
-LOST_PATIENCE_S = 0.1
-"""Seconds for which a request waits for a connection that was lost: long enough for the first try
-to open it anew, and short against the time that a peer has for an answer."""
+RECONNECT_WAIT_S = 0.1
+"""Seconds for which a request waits for a lost connection.  This is long enough for the first
+attempt to reconnect, and short compared with the time that a peer has for an answer."""
 
-LAST_ANSWERS_S = 0.1
-"""Seconds that answers have to be read before the connection ends.  A peer whose connection ends
-loses what it has not read; a round trip takes some 3 ms."""
+FINAL_ANSWERS_WAIT_S = 0.1
+"""Seconds that peers have to read the last answers before the connection ends, since they lose what
+they have not read by then.  A round trip takes about 3 ms."""
 
 RETRANSMIT_TIMEOUT_MS = 1_500
 """Milliseconds for which sent bytes may stay unacknowledged before the connection is dropped."""
 
 
 class LinkFailed(WaxwinggladeError):
-    """A request got no answer.
+    """A request received no answer.
 
     Parameters
     ----------
     message : str
-        What happened.
+        Description of the failure.
     sent : bool
-        Whether the peer may have acted on it.
+        Whether the peer may have processed the request.
     """
 
     def __init__(self, message: str, sent: bool) -> None:
@@ -91,15 +93,15 @@
         return self.encoder.encode((number, body))
 
     def decode(self, frame: bytes) -> tuple[int, Any]:
-        """Return number and body; `msgspec.DecodeError` if the frame is not one of ours."""
+        """Return number and body; raises `msgspec.DecodeError` if the frame is not valid."""
         return self.decoder.decode(frame)
 
 
-class Port:
+class LinkSocket:
     """A ZeroMQ socket on the event loop.
 
-    Its descriptor tells of a change once, so whatever can be received is received after each sign
-    and after each sending.
+    The socket's descriptor is edge-triggered, so all available messages are received after each
+    event and after each send.
 
     Parameters
     ----------
@@ -110,9 +112,9 @@
     received : callable
         Called with the frames of each message.
     writable : callable
-        Called when messages may be sent that could not be sent before.
+        Called after receiving if messages can be sent.
     blocked : callable
-        Called when none may be sent.
+        Called after receiving if no message can be sent.
     """
 
     def __init__(
@@ -127,7 +129,7 @@
         self.received = received
         self.writable = writable
         self.blocked = blocked
-        self.looking = False
+        self.receive_scheduled = False
         self.socket = context.socket(kind)
         self.socket.setsockopt(zmq.LINGER, 0)
         self.socket.setsockopt(zmq.SNDHWM, SEND_QUEUE_MESSAGES)
@@ -139,17 +141,17 @@
         self.socket.setsockopt(zmq.TCP_MAXRT, RETRANSMIT_TIMEOUT_MS)
 
     def start(self) -> None:
-        """Begin to receive."""
-        self.loop.add_reader(self.socket.FD, self._look)
-        self._look_soon()
+        """Start to receive."""
+        self.loop.add_reader(self.socket.FD, self._receive_messages)
+        self._schedule_receive()
 
     def send(self, frames: list[bytes]) -> bool:
-        """Send a message; return whether that was possible.
+        """Send a message; return False if the socket cannot send at present.
 
         Raises
         ------
         zmq.ZMQError
-            If the peer is not known, or the socket is closed.
+            If the peer is unknown, or the socket is closed.
         """
         *first, last = frames
         try:
@@ -159,7 +161,7 @@
         except zmq.Again:
             return False
         finally:
-            self._look_soon()
+            self._schedule_receive()
         return True
 
     def close(self) -> None:
@@ -168,18 +170,18 @@
             self.loop.remove_reader(self.socket.FD)
             self.socket.close()
 
-    def _look_soon(self) -> None:
-        if not self.looking:
-            self.looking = True
-            self.loop.call_soon(self._look)
+    def _schedule_receive(self) -> None:
+        if not self.receive_scheduled:
+            self.receive_scheduled = True
+            self.loop.call_soon(self._receive_messages)
 
-    def _look(self) -> None:
-        self.looking = False
+    def _receive_messages(self) -> None:
+        self.receive_scheduled = False
         if self.socket.closed:
             return
-        # Asked before each message: to be told by an exception that there is none costs more.
+        # This check before each message costs less than an exception when there is none.
         while (events := self.socket.get(EVENTS)) & POLLIN:
-            self.received(self._receive())
+            self.received(self._receive_message())
             if self.socket.closed:
                 return
         if events & POLLOUT:
@@ -187,8 +189,8 @@
         else:
             self.blocked()
 
-    def _receive(self) -> list[bytes]:
-        """Return the frames of a message that is there."""
+    def _receive_message(self) -> list[bytes]:
+        """Return the frames of an available message."""
         frames = [self.socket.recv(DONTWAIT)]
         while self.socket.get(RCVMORE):
             frames.append(self.socket.recv(DONTWAIT))
@@ -217,28 +219,28 @@
         self.context = context
         self.codec = codec
         self.handler = handler
-        self.port: Port | None = None
+        self.link_socket: LinkSocket | None = None
         self.running: set[asyncio.Task] = set()
         self.answers: dict[bytes, list[bytes]] = {}
 
     def start(self, endpoint: str) -> str:
-        """Bind to ``tcp://IP:PORT`` and begin to answer; return the endpoint that was bound."""
-        self.port = Port(self.context, zmq.ROUTER, self._received)
-        self.port.socket.bind(endpoint)
-        self.port.start()
-        return self.port.socket.getsockopt_string(zmq.LAST_ENDPOINT)
+        """Bind to ``tcp://IP:PORT`` and start to answer; return the bound endpoint."""
+        self.link_socket = LinkSocket(self.context, zmq.ROUTER, self._received)
+        self.link_socket.socket.bind(endpoint)
+        self.link_socket.start()
+        return self.link_socket.socket.getsockopt_string(zmq.LAST_ENDPOINT)
 
     async def finish(self, timeout_s: float) -> None:
-        """Wait until what is under way now is answered, and the answers are read.
+        """Wait until all current requests are answered and their answers had time to be read.
 
         Parameters
         ----------
         timeout_s : float
-            Most seconds until all is answered.
+            Maximum seconds until all requests are answered.
         """
         if self.running:
             await asyncio.wait(list(self.running), timeout=timeout_s)
-        await asyncio.sleep(LAST_ANSWERS_S)
+        await asyncio.sleep(FINAL_ANSWERS_WAIT_S)
 
     async def stop(self) -> None:
         """Stop answering."""
@@ -246,8 +248,8 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        if self.port is not None:
-            self.port.close()
+        if self.link_socket is not None:
+            self.link_socket.close()
 
     def _received(self, frames: list[bytes]) -> None:
         sender, *requests = frames
@@ -270,12 +272,12 @@
         self.answers.setdefault(sender, []).append(self.codec.encode(number, answer))
 
     def _flush(self) -> None:
-        """Send what was answered in this turn of the loop, one message to each peer."""
+        """Send the answers of this iteration of the event loop, as one message to each peer."""
         answers, self.answers = self.answers, {}
-        assert self.port is not None
+        assert self.link_socket is not None
         for sender, frames in answers.items():
             try:
-                sent = self.port.send([sender, *frames])
+                sent = self.link_socket.send([sender, *frames])
             except zmq.ZMQError as error:
                 logger.debug("{} answers not sent: {}", len(frames), error)
                 continue
@@ -300,7 +302,7 @@
     opened : bool
         Whether the peer was ever connected.
     lost : bool
-        Whether it was and is not any more, or has stopped to read.
+        Whether the connection was lost, or the peer does not read any more.
     """
 
     def __init__(self, context: zmq.Context, codec: Codec, address: str) -> None:
@@ -308,63 +310,65 @@
         self.address = address
         self.opened = False
         self.lost = False
-        self.port = Port(context, zmq.DEALER, self._received, self._writable, self._blocked)
-        socket = self.port.socket
+        self.link_socket = LinkSocket(
+            context, zmq.DEALER, self._received, self._writable, self._blocked
+        )
+        socket = self.link_socket.socket
         socket.setsockopt(zmq.IMMEDIATE, 1)
         socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
         socket.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
         socket.connect(address)
-        self.port.start()
-        self.numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Future[Any]] = {}
+        self.link_socket.start()
+        self.request_numbers = itertools.count(1)
+        self.pending: dict[int, asyncio.Future[Any]] = {}
         self.unsent: dict[int, bytes] = {}
-        self.used_at = self.port.loop.time()
+        self.used_at = self.link_socket.loop.time()
 
     def close(self) -> None:
-        """Close the connection; requests under way fail."""
-        self.port.close()
-        for future in list(self.waiting.values()):
+        """Close the connection; pending requests fail."""
+        self.link_socket.close()
+        for future in list(self.pending.values()):
             if not future.done():
                 future.set_exception(LinkFailed("the link was closed", sent=True))
 
     async def request(self, body: Any, timeout_s: float) -> Any:
-        """Send a request and return its answer; raises what `post` says."""
+        """Send a request and return its answer; raises `LinkFailed` as described at `post`."""
         return await self.post(body, timeout_s)
 
     def post(self, body: Any, timeout_s: float) -> asyncio.Future[Any]:
         """Send a request and return the future of its answer.
 
-        It fails with `LinkFailed` if the peer is not connected, does not answer in time, or the
-        connection is lost before it does.  While a first connection is being opened it waits for
-        it.
+        The future fails with `LinkFailed` if the peer is not connected, if it does not answer in
+        time, or if the connection is lost before the answer.  While the first connection is being
+        opened, the request waits for it.
         """
-        loop = self.port.loop
+        loop = self.link_socket.loop
         future: asyncio.Future[Any] = loop.create_future()
-        if self.port.socket.closed:
+        if self.link_socket.socket.closed:
             future.set_exception(LinkFailed("the link was closed", sent=False))
             return future
         self.used_at = loop.time()
-        number = next(self.numbers)
+        number = next(self.request_numbers)
         if not self.unsent:
             loop.call_soon(self._flush)
         self.unsent[number] = self.codec.encode(number, body)
         timer = loop.call_later(timeout_s, self._expire, number)
-        self.waiting[number] = future
+        self.pending[number] = future
         if self.lost:
-            loop.call_later(LOST_PATIENCE_S, self._expire_unsent, number)
+            loop.call_later(RECONNECT_WAIT_S, self._expire_unsent, number)
 
-        def forget(_: asyncio.Future[Any]) -> None:
+        def remove(_: asyncio.Future[Any]) -> None:
             timer.cancel()
-            self.waiting.pop(number, None)
+            self.pending.pop(number, None)
             self.unsent.pop(number, None)
 
-        future.add_done_callback(forget)
+        future.add_done_callback(remove)
         return future
 
     def _expire(self, number: int) -> None:
-        """Give up on a request whose time is over."""
-        future = self.waiting.get(number)
+        """Fail a request whose timeout expired."""
+        future = self.pending.get(number)
         if future is None or future.done():
             return
         sent = number not in self.unsent
@@ -372,7 +376,7 @@
         future.set_exception(LinkFailed(f"{self.address} {reason}", sent))
 
     def _expire_unsent(self, number: int) -> None:
-        """Give up on a request that the loss of the connection has kept from being sent."""
+        """Fail a request that could not be sent because the connection was lost."""
         self._flush()
         if number in self.unsent:
             self._expire(number)
@@ -386,18 +390,18 @@
         if not self.opened or self.lost:
             return
         self.lost = True
-        for number in list(self.waiting):
+        for number in list(self.pending):
             if number in self.unsent:
-                self.port.loop.call_later(LOST_PATIENCE_S, self._expire_unsent, number)
+                self.link_socket.loop.call_later(RECONNECT_WAIT_S, self._expire_unsent, number)
             else:
-                # Its answer would go to the connection that is lost.
+                # Its answer would be sent to the lost connection.
                 self._expire(number)
 
     def _flush(self) -> None:
-        """Send what was asked in this turn of the loop, or could not be sent before."""
-        if not self.unsent or self.port.socket.closed:
+        """Send the requests of this iteration of the event loop, and those not sent before."""
+        if not self.unsent or self.link_socket.socket.closed:
             return
-        if self.port.send(list(self.unsent.values())):
+        if self.link_socket.send(list(self.unsent.values())):
             self.unsent.clear()
 
     def _received(self, frames: list[bytes]) -> None:
@@ -407,7 +411,7 @@
             except msgspec.DecodeError as error:
                 logger.warning("answer from {} ignored: {}", self.address, error)
                 continue
-            future = self.waiting.get(number)
+            future = self.pending.get(number)
             if future is not None and not future.done():
                 future.set_result(body)
 
@@ -422,9 +426,10 @@
         self.closed = False
 
     def to(self, address: str) -> Link:
-        """Return the connection to a peer, opening it where there is none.
+        """Return the connection to a peer, opening it if there is none.
 
-        After `close` all are closed: an open one would keep the context from ending.
+        After `close` a new connection is closed at once, since an open one would block the end of
+        the context.
         """
         link = self.links.get(address)
         if link is None:
@@ -435,16 +440,16 @@
         return link
 
     def keep_only(self, addresses: set[str], idle_s: float) -> None:
-        """Close connections to other addresses that were not used for `idle_s` seconds."""
+        """Close connections to other addresses that have not been used for `idle_s` seconds."""
         now = asyncio.get_running_loop().time()
         for address, link in list(self.links.items()):
-            if address in addresses or link.waiting or now - link.used_at < idle_s:
+            if address in addresses or link.pending or now - link.used_at < idle_s:
                 continue
             del self.links[address]
             link.close()
 
     def close(self) -> None:
-        """Close every connection, and open no more."""
+        """Close all connections, and open no new ones."""
         self.closed = True
         for link in self.links.values():
             link.close()
--- a/waxwingglade/transport/liveness.py
+++ b/waxwingglade/transport/liveness.py
@@ -1,11 +1,11 @@
-"""Notice connections that are open and carry nothing any more.
-
-Connections may fall silent for good while new ones work, and neither a reset nor the kernel tells
-of it.  By itself a request that waits on one looks like a request to a slow target.  But such a
-silence takes every connection that was open at its moment, so whatever came later on one of these
-rules it out. In a busy process something mostly did, and a target that is merely slow is left in
-peace.  In a quiet one patience alone decides, and a silence that takes only some connections is
-found only there.
+"""Detect open connections on which no bytes arrive any more.
+
+Open connections may stop carrying bytes permanently while new ones work, and neither a reset nor
+the kernel reports it.  A request that waits on such a connection looks like a request to a slow
+target.  But a fault of this kind affects every connection that is open at that moment, so bytes
+that arrive later on one of them rule it out.  In a busy process some bytes almost always do, and a
+request to a target that is merely slow continues.  In an idle process the time without bytes alone
+decides, and only there is a fault found that affects some of the connections.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class ConnectionTimes(Protocol):
-    """When a connection was opened and when something last came on it, in seconds."""
+    """When a connection was opened and when bytes last arrived on it, in seconds."""
 
     opened_at: float
     last_received_at: float
@@ -32,19 +32,19 @@
     ended: bool
 
     def fail(self, reason: str) -> None:
-        """End it, so that whoever reads from it learns why."""
+        """Close it, so that its reader gets an error with the reason."""
 
 
 class WaitLimits(msgspec.Struct, frozen=True):
-    """How long a silence may last.
+    """How long a connection may be unresponsive.
 
     Parameters
     ----------
     suspect_s : float
-        Seconds after which idle connections that were open at its moment are not used any more.
+        Seconds after which idle connections that were open since then are no longer used.
     end_s : float or None
-        Seconds after which the waiting ends; None where it goes on, since what was sent may have
-        run and must not run again.
+        Seconds after which the request ends; None if it continues, since what was sent may have run
+        and must not run again.
     """
 
     suspect_s: float
@@ -52,21 +52,21 @@
 
 
 def unresponsive_since(waiting: ConnectionTimes, connections: Iterable[ConnectionTimes]) -> float:
-    """Return the earliest moment at which all connections may have fallen silent.
+    """Return the earliest moment at which all connections may have become unresponsive.
 
-    Nothing came on `waiting` after it, nor on any connection that was open at it.
+    After it no bytes arrived on `waiting`, nor on any connection that was open at it.
     """
-    lives = [each for each in connections if each.last_received_at > waiting.last_received_at]
+    later = [each for each in connections if each.last_received_at > waiting.last_received_at]
     moment = waiting.last_received_at
-    for life in sorted(lives, key=lambda each: each.last_received_at):
-        if not any(each.opened_at < moment < each.last_received_at for each in lives):
+    for times in sorted(later, key=lambda each: each.last_received_at):
+        if not any(each.opened_at < moment < each.last_received_at for each in later):
             break
-        moment = life.last_received_at
+        moment = times.last_received_at
     return moment
 
 
 class LivenessWatch:
-    """Looks after a request whether its connection has fallen silent, until it is stopped.
+    """Checks whether the connection of a request is unresponsive, until it is stopped.
 
     Parameters
     ----------
@@ -74,66 +74,67 @@
         The request's connection.
     connections : callable
         All connections of the process, this one among them.
-    patience : WaitLimits
+    limits : WaitLimits
         How long to wait.
     suspected : callable
-        Called with the moment of a silence that is taken to have happened.
+        Called with the moment since which connections are suspected to be unresponsive.
     """
 
     def __init__(
         self,
         waiting: WaitingConnection,
         connections: Callable[[], Iterable[ConnectionTimes]],
-        patience: WaitLimits,
+        limits: WaitLimits,
         suspected: Callable[[float], None],
     ) -> None:
         self.waiting = waiting
         self.connections = connections
-        self.patience = patience
+        self.limits = limits
         self.suspected = suspected
         self.loop = asyncio.get_running_loop()
-        self.timer = self.loop.call_later(patience.suspect_s, self._look)
+        self.timer = self.loop.call_later(limits.suspect_s, self._check)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Cancel further checks."""
         self.timer.cancel()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         if self.waiting.ended:
             return
         now = monotonic()
-        suspect_s = self.patience.suspect_s
-        # Where the connection itself was heard lately, as in a stream, the others need no look.
-        quiet_from = max(self.waiting.last_received_at, self.waiting.sent_at)
-        if now < quiet_from + suspect_s:
-            self._look_at(quiet_from + suspect_s)
+        suspect_s = self.limits.suspect_s
+        # If bytes arrived on the connection itself recently, as in a stream, the other connections
+        # need no check.
+        idle_from = max(self.waiting.last_received_at, self.waiting.sent_at)
+        if now < idle_from + suspect_s:
+            self._check_at(idle_from + suspect_s)
             return
-        moment = self._silent_since(now)
-        quiet_from = max(moment, quiet_from)
-        if now < quiet_from + suspect_s:
-            self._look_at(quiet_from + suspect_s)
+        moment = self._unresponsive_since(now)
+        idle_from = max(moment, idle_from)
+        if now < idle_from + suspect_s:
+            self._check_at(idle_from + suspect_s)
             return
         self.suspected(moment)
-        end_s = self.patience.end_s
+        end_s = self.limits.end_s
         if end_s is None:
             return
-        if now < quiet_from + end_s:
-            self._look_at(quiet_from + end_s)
+        if now < idle_from + end_s:
+            self._check_at(idle_from + end_s)
             return
-        self.waiting.fail(f"silent for {now - quiet_from:.2f} s")
+        self.waiting.fail(f"silent for {now - idle_from:.2f} s")
 
-    def _silent_since(self, now: float) -> float:
-        """Return the moment of the silence, the present one if there is no sign of any.
+    def _unresponsive_since(self, now: float) -> float:
+        """Return since when connections may be unresponsive, or `now` if nothing indicates it.
 
-        A new connection has just shown that it works, and one whose bytes are not taken at present
-        can't be heard.
+        A new connection has just shown that it works, and no bytes can be received on one whose
+        reading is paused.
         """
         if self.waiting.paused or self.waiting.last_received_at == self.waiting.opened_at:
             return now
         return unresponsive_since(self.waiting, self.connections())
 
-    def _look_at(self, when: float) -> None:
-        self.timer = self.loop.call_later(when - monotonic(), self._look)
+    def _check_at(self, when: float) -> None:
+        self.timer = self.loop.call_later(when - monotonic(), self._check)
 
 
 __all__ = ["LivenessWatch", "WaitLimits", "unresponsive_since"]
--- a/waxwingglade/transport/messages.py
+++ b/waxwingglade/transport/messages.py
@@ -5,11 +5,11 @@
 HeaderList = list[tuple[str, str]]
 
 BODILESS_METHODS = ("GET", "HEAD", "DELETE")
-"""Methods whose requests say nothing of a body where they have none."""
+"""Methods whose requests have no Content-Length header if they have no body."""
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """A request with its whole body."""
+    """A request with its complete body."""
 
     method: str
     path: str
@@ -17,7 +17,13 @@
     body: bytes = b""
 
     def encode(self) -> bytes:
-        """Return its bytes; `ValueError` if the head would not be read as it is meant."""
+        """Return the bytes of the request.
+
+        Raises
+        ------
+        ValueError
+            If the head would be parsed differently from what is meant.
+        """
         method = self.method.upper()
         lines = [f"{method} {self.path} HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in self.headers]
@@ -33,14 +39,14 @@
 
 
 class HttpResponse(msgspec.Struct):
-    """The head of a response, and its body once that was read."""
+    """The head of a response, and its body once it was read."""
 
     status: int
     headers: HeaderList
     body: bytes = b""
 
     def header(self, name: str) -> str | None:
-        """Return the first header of a name, in whatever case, or None."""
+        """Return the value of the first header of a name, in any case, or None."""
         wanted = name.lower()
         for key, value in self.headers:
             if key.lower() == wanted:
--- a/waxwingglade/transport/page.py
+++ b/waxwingglade/transport/page.py
@@ -1,6 +1,6 @@
-"""A single page of text over HTTP, for the balancer and for metrics.
+"""Serve a single page of text over HTTP, for the balancer and for metrics.
 
-It is served by the HTTP server alone, as loading a web framework would make each start longer.
+It uses only the HTTP server, since loading a web framework would make each start slower.
 """
 
 import re
@@ -14,7 +14,7 @@
 
 Render = Callable[[], tuple[int, str]]
 
-READING_METHODS = ("GET", "HEAD")
+ALLOWED_METHODS = ("GET", "HEAD")
 
 
 def serve_page(address: str, path: str, render: Render) -> HTTPServer:
@@ -23,22 +23,22 @@
     Parameters
     ----------
     address : str
-        Where to listen.
+        Address to listen on.
     path : str
-        Pattern of the whole path; others are not found.
+        Pattern that matches the complete path; other paths get status 404.
     render : callable
         Returns status and text.
 
     Raises
     ------
     OSError
-        If the address is taken.
+        If the address is in use.
     """
     pattern = re.compile(path)
 
     def answer(request: HTTPServerRequest) -> None:
-        status, text = _content(request, pattern, render)
-        _write(request, HTTPStatus(status), text.encode())
+        status, text = _render_page(request, pattern, render)
+        _write_answer(request, HTTPStatus(status), text.encode())
 
     server = HTTPServer(answer)
     host, _, port = address.rpartition(":")
@@ -46,19 +46,19 @@
     return server
 
 
-def _content(
+def _render_page(
     request: HTTPServerRequest, pattern: re.Pattern[str], render: Render
 ) -> tuple[int, str]:
     """Return status and text for a request."""
     if pattern.fullmatch(request.path) is None:
         return HTTPStatus.NOT_FOUND, ""
-    if request.method not in READING_METHODS:
+    if request.method not in ALLOWED_METHODS:
         return HTTPStatus.METHOD_NOT_ALLOWED, ""
     return render()
 
 
-def _write(request: HTTPServerRequest, status: HTTPStatus, body: bytes) -> None:
-    """Answer a request; without its body for one that asks for the head alone."""
+def _write_answer(request: HTTPServerRequest, status: HTTPStatus, body: bytes) -> None:
+    """Answer a request; an answer to a HEAD request has no body."""
     headers = HTTPHeaders(
         {
             "Content-Type": "text/plain; version=0.0.4; charset=utf-8",
@@ -66,7 +66,7 @@
         }
     )
     if status is HTTPStatus.METHOD_NOT_ALLOWED:
-        headers["Allow"] = ", ".join(READING_METHODS)
+        headers["Allow"] = ", ".join(ALLOWED_METHODS)
     connection = request.connection
     assert connection is not None
     connection.write_headers(
@@ -78,7 +78,7 @@
 
 
 def serve_metrics(address: str, text: Callable[[], str]) -> list[HTTPServer]:
-    """Serve metrics if an address is given; a process goes on without them if it is taken."""
+    """Serve metrics if an address is given; if it is in use, the process continues without them."""
     if not address:
         return []
     try:
--- a/waxwingglade/transport/pool.py
+++ b/waxwingglade/transport/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to targets, by address."""
+"""A pool of reusable connections to targets, by address."""
 
 import weakref
 from collections import defaultdict
@@ -11,15 +11,15 @@
 from waxwingglade.transport.messages import HttpResponse
 
 DEFAULT_IDLE_S = 2.0
-"""Seconds for which an idle connection is trusted where the target does not state its timeout."""
+"""Seconds for which an idle connection is reused if the target does not state its timeout."""
 
 IDLE_MARGIN_S = 0.5
-"""Seconds before the stated timeout at which a connection is no longer used: a request must not
-cross the target's close on the way."""
+"""Seconds before the stated timeout at which a connection is no longer used.  This prevents that a
+request is sent while the target closes the connection."""
 
 
 class ConnectionPool:
-    """Idle connections of one process, newest first.
+    """Idle connections of one process; the most recently used is reused first.
 
     Parameters
     ----------
@@ -43,7 +43,13 @@
         self.watches: dict[Http1Connection, LivenessWatch] = {}
 
     async def acquire(self, address: str) -> Http1Connection:
-        """Return a kept connection, or a new one; `NotConnected` if none can be opened."""
+        """Return an idle connection, or a new one.
+
+        Raises
+        ------
+        NotConnected
+            If no connection can be opened.
+        """
         connections = self.idle[address]
         limit_s = self.idle_limits_s.get(address, DEFAULT_IDLE_S)
         now = monotonic()
@@ -58,7 +64,7 @@
         return connection
 
     def release(self, address: str, connection: Http1Connection) -> None:
-        """Keep a connection whose response was read to its end; close any other."""
+        """Store a connection as idle if its response was read to its end; otherwise close it."""
         if watch := self.watches.pop(connection, None):
             watch.stop()
         if connection.in_use or not connection.usable:
@@ -67,7 +73,7 @@
         self.idle[address].append(connection)
 
     def record_idle_timeout(self, address: str, head: HttpResponse) -> None:
-        """Learn how long the target keeps idle connections, if it says so."""
+        """Record how long a target keeps idle connections open, if its response states that."""
         stated = head.header("Keep-Alive")
         if stated is None:
             return
@@ -76,28 +82,28 @@
             if name.lower() == "timeout" and value.isdigit():
                 self.idle_limits_s[address] = max(0.0, int(value) - IDLE_MARGIN_S)
 
-    def watch(self, connection: Http1Connection, patience: WaitLimits) -> None:
-        """Look until a connection is given back whether it has fallen silent.
+    def watch(self, connection: Http1Connection, limits: WaitLimits) -> None:
+        """Check whether a connection is unresponsive, until it is released.
 
-        If so, idle connections that were open then are closed, and this one ends as `Unresponsive`
-        where the patience has an end.
+        If it is, idle connections that were open at that time are closed, and this one fails with
+        `Unresponsive` if the limits have an end.
         """
         self.watches[connection] = LivenessWatch(
-            connection, lambda: self.connections, patience, self._drop_silent
+            connection, lambda: self.connections, limits, self._drop_unresponsive
         )
 
-    def _drop_silent(self, moment: float) -> None:
-        """Close the idle connections that were open at the moment of a silence."""
+    def _drop_unresponsive(self, moment: float) -> None:
+        """Close the idle connections that were open at `moment` and have received nothing since."""
         dropped = 0
         for address, connections in list(self.idle.items()):
-            kept = []
+            retained = []
             for connection in connections:
                 if connection.opened_at < moment and connection.last_received_at <= moment:
                     connection.close()
                     dropped += 1
                 else:
-                    kept.append(connection)
-            self.idle[address] = kept
+                    retained.append(connection)
+            self.idle[address] = retained
         if dropped:
             silent_s = monotonic() - moment
             logger.bind(dropped=dropped, silent_s=round(silent_s, 2)).warning(
@@ -105,18 +111,18 @@
             )
 
     def close_expired(self) -> None:
-        """Close connections that have been idle for too long."""
+        """Close connections that have been idle for longer than their limit."""
         now = monotonic()
         for address, connections in list(self.idle.items()):
             limit_s = self.idle_limits_s.get(address, DEFAULT_IDLE_S)
-            kept = []
+            retained = []
             for connection in connections:
                 if connection.usable and now - connection.idle_since < limit_s:
-                    kept.append(connection)
+                    retained.append(connection)
                 else:
                     connection.close()
-            if kept:
-                self.idle[address] = kept
+            if retained:
+                self.idle[address] = retained
             else:
                 del self.idle[address]
 
--- a/waxwingglade/transport/tests/test_http1.py
+++ b/waxwingglade/transport/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""What a client's connection knows of requests whose answers are late, doubled, torn or reset."""
+"""A client's connection when answers are late, duplicate, truncated or reset."""
 
 import asyncio
 import socket
@@ -18,13 +18,13 @@
 
 
 def answer(body: bytes = b"hello", name: str = "mine", extra: str = "") -> bytes:
-    """Return a whole answer with a length."""
+    """Return a complete answer with a length."""
     head = f"HTTP/1.1 200 OK\r\nId: {name}\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
     return head.encode() + body
 
 
-def is_mine(head: HttpResponse) -> bool:
-    """Return whether an answer is that of the request."""
+def is_expected(head: HttpResponse) -> bool:
+    """Return whether an answer belongs to the request."""
     return head.header("id") == "mine"
 
 
@@ -50,7 +50,7 @@
             # Closing with unread bytes would reset the connection.
             await self.reader.readuntil(REQUEST.body)
             self.writer.close()
-        head = await self.connection.read_head(is_mine)
+        head = await self.connection.read_head(is_expected)
         return head, await self.connection.read_body(1000)
 
     async def test_an_answer_with_a_length_leaves_the_connection_usable(self) -> None:
@@ -64,18 +64,18 @@
         self.assertEqual(body, b"new")
         self.assertFalse(self.connection.usable)
 
-    async def test_bytes_after_a_whole_answer_spoil_the_connection(self) -> None:
+    async def test_bytes_after_a_complete_answer_make_the_connection_unusable(self) -> None:
         _, body = await self.exchange(answer() + answer())
         self.assertEqual(body, b"hello")
         self.assertFalse(self.connection.usable)
 
-    async def test_bytes_on_an_idle_connection_spoil_it(self) -> None:
+    async def test_bytes_on_an_idle_connection_make_it_unusable(self) -> None:
         await self.exchange(answer())
         self.writer.write(answer(b"late"))
         while self.connection.usable:
             await asyncio.sleep(0.01)
 
-    async def test_an_answer_that_ends_early_is_broken(self) -> None:
+    async def test_a_truncated_answer_is_an_error(self) -> None:
         with self.assertRaises(ConnectionBroken) as caught:
             await self.exchange(answer()[:-2], end=True)
         self.assertTrue(caught.exception.sent)
@@ -84,10 +84,10 @@
         _, body = await self.exchange(b"HTTP/1.1 200 OK\r\nId: mine\r\n\r\nall of it", end=True)
         self.assertEqual(body, b"all of it")
 
-    async def test_a_reset_answer_without_a_length_is_not_whole(self) -> None:
+    async def test_a_reset_answer_without_a_length_is_truncated(self) -> None:
         self.connection.send(REQUEST)
         self.writer.write(b"HTTP/1.1 200 OK\r\nId: mine\r\n\r\nhalf")
-        await self.connection.read_head(is_mine)
+        await self.connection.read_head(is_expected)
         self.assertEqual(await self.connection.read_piece(), b"half")
         own = self.writer.get_extra_info("socket")
         own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -95,15 +95,15 @@
         with self.assertRaises(ConnectionBroken):
             await self.connection.read_piece()
 
-    async def test_bytes_that_are_not_http_are_broken(self) -> None:
+    async def test_bytes_that_are_not_http_are_an_error(self) -> None:
         with self.assertRaises(ConnectionBroken):
             await self.exchange(b"\0\1\2 nonsense\r\n\r\n")
 
-    async def test_close_is_announced(self) -> None:
+    async def test_an_announced_close_makes_the_connection_unusable(self) -> None:
         await self.exchange(answer(extra="Connection: close\r\n"))
         self.assertFalse(self.connection.usable)
 
-    async def test_the_pool_keeps_usable_connections_and_states_of_time(self) -> None:
+    async def test_the_pool_reuses_connections_until_the_stated_timeout(self) -> None:
         pool = ConnectionPool(5.0)
         first = await pool.acquire(self.address)
         first.in_use = False
--- a/waxwingglade/transport/tests/test_liveness.py
+++ b/waxwingglade/transport/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""When a silence of all connections is taken to have happened, and when something rules it out."""
+"""When connections are suspected to be unresponsive, and which received bytes rule it out."""
 
 import asyncio
 import time
@@ -16,29 +16,29 @@
 
 
 class ConnectionTimes(msgspec.Struct):
-    """A connection's opening, and when something last came on it."""
+    """When a connection was opened and when bytes last arrived on it."""
 
     opened_at: float
     last_received_at: float
 
 
-class SilentSinceTest(unittest.TestCase):
-    """A request waits on a connection that was opened at 1 and last heard at 5."""
+class UnresponsiveSinceTest(unittest.TestCase):
+    """A request waits on a connection that was opened at 1 and last received bytes at 5."""
 
     def since(self, *others: ConnectionTimes) -> float:
-        """Return the moment of the silence."""
+        """Return since when the connections may be unresponsive."""
         waiting = ConnectionTimes(1.0, 5.0)
         return unresponsive_since(waiting, [waiting, *others])
 
-    def test_it_is_as_old_as_the_last_sign_if_there_is_no_other(self) -> None:
+    def test_the_last_received_bytes_count_if_no_other_connection_has_later_ones(self) -> None:
         self.assertEqual(self.since(), 5.0)
         self.assertEqual(self.since(ConnectionTimes(0.0, 4.0)), 5.0)
 
-    def test_a_later_sign_on_a_connection_that_was_open_rules_it_out_till_then(self) -> None:
+    def test_later_bytes_on_a_connection_that_was_open_rule_it_out_until_then(self) -> None:
         self.assertEqual(self.since(ConnectionTimes(0.0, 7.0)), 7.0)
         self.assertEqual(self.since(ConnectionTimes(4.0, 7.0)), 7.0, "though it was opened later")
 
-    def test_a_sign_on_a_connection_that_was_opened_since_does_not(self) -> None:
+    def test_bytes_on_a_connection_that_was_opened_later_do_not(self) -> None:
         self.assertEqual(self.since(ConnectionTimes(6.0, 9.0)), 5.0)
 
     def test_connections_that_overlap_rule_it_out_together(self) -> None:
@@ -46,8 +46,8 @@
         self.assertEqual(self.since(ConnectionTimes(4.0, 7.0), ConnectionTimes(8.0, 9.0)), 7.0)
 
 
-class PoolSilenceTest(unittest.IsolatedAsyncioTestCase):
-    """Connections of a pool to a server that answers when a test lets it."""
+class PoolLivenessTest(unittest.IsolatedAsyncioTestCase):
+    """Connections of a pool to a server that answers when a test writes the answer."""
 
     async def asyncSetUp(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
@@ -68,7 +68,7 @@
             await connection.read_head(lambda _: True)
             await connection.read_body(10)
 
-    async def test_a_silent_connection_ends_and_idle_ones_are_dropped(self) -> None:
+    async def test_an_unresponsive_connection_ends_and_idle_ones_are_closed(self) -> None:
         self.pool.release(self.address, self.two)
         self.one.send(REQUEST)
         self.pool.watch(self.one, WaitLimits(SHORT_S, 2 * SHORT_S))
@@ -79,7 +79,7 @@
         self.assertFalse(self.two.usable)
         self.assertFalse(any(self.pool.idle.values()))
 
-    async def test_a_new_connection_is_not_suspected_by_itself(self) -> None:
+    async def test_a_new_connection_alone_is_not_suspected(self) -> None:
         self.pool.release(self.address, self.one)
         self.pool.release(self.address, self.two)
         for connection in (self.one, self.two):
@@ -91,7 +91,7 @@
         self.assertTrue(new.usable)
         self.pool.release(self.address, new)
 
-    async def test_what_came_while_the_process_stood_still_is_read_first(self) -> None:
+    async def test_bytes_that_arrived_while_the_process_stalled_are_read_first(self) -> None:
         self.one.send(REQUEST)
         self.pool.watch(self.one, WaitLimits(SHORT_S, SHORT_S))
         reading = asyncio.create_task(self.one.read_head(lambda _: True))
@@ -100,7 +100,7 @@
         time.sleep(2 * SHORT_S)
         self.assertEqual((await reading).status, 200)
 
-    async def test_a_connection_that_was_given_back_is_not_watched(self) -> None:
+    async def test_a_released_connection_is_not_watched(self) -> None:
         self.one.send(REQUEST)
         self.pool.watch(self.one, WaitLimits(SHORT_S, SHORT_S))
         self.writers[0].write(ANSWER)
@@ -112,8 +112,8 @@
         self.assertTrue(self.one.usable)
 
 
-class PoolSilenceOnDaemonLoopTest(OnDaemonLoop, PoolSilenceTest):
-    """The same on the event loop of the daemons."""
+class PoolLivenessOnDaemonLoopTest(OnDaemonLoop, PoolLivenessTest):
+    """The same tests on the event loop of the daemons."""
 
 
 if __name__ == "__main__":
--- a/waxwingglade/transport/tests/test_page.py
+++ b/waxwingglade/transport/tests/test_page.py
@@ -1,4 +1,4 @@
-"""The page that the balancer asks, and that of metrics."""
+"""The page that the balancer requests, and the metrics page."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def free_address() -> str:
-    """Return an address of loopback where nothing listens."""
+    """Return a loopback address on which nothing listens."""
     bound, port = bind_unused_port()
     bound.close()
     return f"127.0.0.1:{port}"
@@ -31,36 +31,36 @@
         return server
 
     async def ask(self, path: str = "/v1/ready", method: str = "GET") -> HTTPResponse:
-        """Ask for a path."""
+        """Request a path."""
         body = b"" if method == "POST" else None
         return await self.client.fetch(
             f"http://{self.address}{path}", method=method, body=body, raise_error=False
         )
 
-    async def test_it_is_what_is_rendered_at_that_moment(self) -> None:
+    async def test_each_request_renders_the_page_anew(self) -> None:
         self.assertEqual((await self.ask()).body, b"ready: ja\n")
         self.status, self.text = 503, "\N{SNOWMAN}"
         answer = await self.ask()
         self.assertEqual((answer.code, answer.body.decode()), (503, "\N{SNOWMAN}"))
         self.assertEqual(answer.headers["Content-Type"].split(";")[0], "text/plain")
 
-    async def test_a_query_is_no_part_of_the_path(self) -> None:
+    async def test_a_query_does_not_belong_to_the_path(self) -> None:
         self.assertEqual((await self.ask("/v1/ready?from=balancer")).code, 200)
 
     async def test_another_path_is_not_found(self) -> None:
         self.assertEqual((await self.ask("/v2/ready")).code, 404)
         self.assertEqual((await self.ask("/x/v1/ready")).code, 404)
 
-    async def test_a_head_has_no_body(self) -> None:
+    async def test_the_answer_to_a_head_request_has_no_body(self) -> None:
         answer = await self.ask(method="HEAD")
         self.assertEqual((answer.code, answer.body), (200, b""))
         self.assertEqual(answer.headers["Content-Length"], str(len(self.text)))
 
-    async def test_nothing_is_written_to_it(self) -> None:
+    async def test_other_methods_are_rejected(self) -> None:
         answer = await self.ask(method="POST")
         self.assertEqual((answer.code, answer.headers["Allow"]), (405, "GET, HEAD"))
 
-    async def test_an_address_that_is_taken_is_said(self) -> None:
+    async def test_an_address_in_use_is_an_error(self) -> None:
         with self.assertRaises(OSError):
             self.serve(self.address)
         self.assertEqual(serve_metrics(self.address, lambda: ""), [])
@@ -68,7 +68,7 @@
 
 
 class PageOnDaemonLoopTest(OnDaemonLoop, PageTest):
-    """The same on the event loop of the daemons."""
+    """The same tests on the event loop of the daemons."""
 
 
 if __name__ == "__main__":
