--- a/waxwingglade/transport/http1.py
+++ b/waxwingglade/transport/http1.py
@@ -60,8 +60,9 @@
     ----------
     sent : bool
         Whether bytes of the current request were passed to the kernel.
-    has_stray_bytes : bool
-        Whether bytes arrived that belong to no request; the connection is not used again.
+    must_close : bool
+        Whether the connection is not used again, for instance because bytes arrived that belong to
+        no request.
     idle_since : float
         When the last response was read to its end, in monotonic seconds.
     opened_at, last_received_at, sent_at : float
@@ -82,7 +83,7 @@
         self.read_waiter: asyncio.Future[None] | None = None
         self.in_use = False
         self.sent = False
-        self.has_stray_bytes = False
+        self.must_close = False
         self.idle_since = 0.0
         self.opened_at = 0.0
         self.last_received_at = 0.0
@@ -106,7 +107,7 @@
     def data_received(self, data: bytes) -> None:
         """Buffer received bytes for the reader; bytes without a request close the connection."""
         if not self.in_use:
-            self.has_stray_bytes = True
+            self.must_close = True
             self.close()
             return
         self.last_received_at = monotonic()
@@ -141,7 +142,7 @@
         """Whether another request may be sent on this connection."""
         return (
             not self.ended
-            and not self.has_stray_bytes
+            and not self.must_close
             and not self.close_after_response
             and self.transport is not None
             and not self.transport.is_closing()
@@ -204,7 +205,7 @@
             If the connection ends before the body does, or the bytes are not HTTP.
         """
         if self._has_no_body():
-            # The parser expects a body and cannot be told otherwise, so this connection ends here.
+            # The parser expects a body and cannot be told otherwise: the connection is not reused.
             self._finish_response(ResponseEnd.CLOSING)
             return None
         event = await self._next_event()
@@ -284,7 +285,7 @@
         more = self.parser.has_more or self.chunks
         # Bytes after a complete response belong to no request.  A target that answers before it has
         # read the request's body must not find another request in place of the rest.
-        self.has_stray_bytes = bool(
+        self.must_close = bool(
             more or unsent or self.close_after_response or end is ResponseEnd.CLOSING
         )
 
