--- a/waxwingglade/connection/health.py
+++ b/waxwingglade/connection/health.py
@@ -28,6 +28,6 @@
         handler.fail(Failure(Verdict.NOT_RUN, ErrorCode.DRAINING, text))
 
     return [
-        Route(r"/healthz", {"GET": alive}, open=True),
-        Route(r"/readyz", {"GET": readiness}, open=True),
+        Route(r"/healthz", {"GET": alive}, public=True),
+        Route(r"/readyz", {"GET": readiness}, public=True),
     ]
--- a/waxwingglade/connection/http_api.py
+++ b/waxwingglade/connection/http_api.py
@@ -31,15 +31,15 @@
 class Route(msgspec.Struct, frozen=True):
     """One address: a pattern, and a function for each method.
 
-    Each function gets the handler and the groups of the pattern.  An `open` address needs no key.
+    Each function gets the handler and the groups of the pattern.  A `public` address needs no key.
     """
 
     pattern: str
     endpoints: Mapping[str, Callable[..., Awaitable[None]]]
-    open: bool = False
+    public: bool = False
 
 
-NOWHERE = Route(".*", {}, open=True)
+NOWHERE = Route(".*", {}, public=True)
 
 
 class HttpApi(msgspec.Struct, frozen=True):
@@ -93,7 +93,7 @@
             self.fail(self.refusal)
 
     def _check_key(self) -> Failure | None:
-        if self.route.open:
+        if self.route.public:
             return None
         self.identity = self.api.identify(self.request.headers.get("Authorization", ""))
         if self.identity is not None:
--- a/waxwingglade/connection/operator.py
+++ b/waxwingglade/connection/operator.py
@@ -15,7 +15,7 @@
 Endpoint = Callable[..., Awaitable[None]]
 
 
-def needs(least: Role, endpoint: Endpoint) -> Endpoint:
+def require_role(least: Role, endpoint: Endpoint) -> Endpoint:
     """Return the endpoint for operators of a role or one that includes it."""
 
     async def checked(handler: ApiHandler, *arguments: str) -> None:
@@ -47,7 +47,7 @@
     settings : ProcessSettings
         Keys and limits.
     routes : sequence of Route
-        The addresses, each endpoint guarded by `needs`.
+        The addresses, each endpoint guarded by `require_role`.
     on_failure : callable
         Told of every failure that is answered.
     """
--- a/waxwingglade/connection/operator_programs.py
+++ b/waxwingglade/connection/operator_programs.py
@@ -12,7 +12,7 @@
 )
 from waxwingglade.connection.caller_stream import Serve, outcome_of, undisturbed
 from waxwingglade.connection.http_api import ApiHandler, Route, query
-from waxwingglade.connection.operator import needs
+from waxwingglade.connection.operator import require_role
 from waxwingglade.connection.operator_messages import CancelBody, History, NewTenantProgram
 from waxwingglade.connection.peer_messages import (
     EndProgram,
@@ -30,13 +30,19 @@
         Route(
             r"/v1/programs",
             {
-                "GET": needs(Role.VIEWER, functools.partial(_list, serve)),
-                "POST": needs(Role.ADMIN, functools.partial(_create, serve)),
+                "GET": require_role(Role.VIEWER, functools.partial(_list, serve)),
+                "POST": require_role(Role.ADMIN, functools.partial(_create, serve)),
             },
         ),
-        Route(program, {"GET": needs(Role.VIEWER, functools.partial(_show, serve))}),
-        Route(program + "/history", {"GET": needs(Role.ADMIN, functools.partial(_history, serve))}),
-        Route(program + "/cancel", {"POST": needs(Role.ADMIN, functools.partial(_cancel, serve))}),
+        Route(program, {"GET": require_role(Role.VIEWER, functools.partial(_show, serve))}),
+        Route(
+            program + "/history",
+            {"GET": require_role(Role.ADMIN, functools.partial(_history, serve))},
+        ),
+        Route(
+            program + "/cancel",
+            {"POST": require_role(Role.ADMIN, functools.partial(_cancel, serve))},
+        ),
     ]
 
 
--- a/waxwingglade/process/duties/operating.py
+++ b/waxwingglade/process/duties/operating.py
@@ -5,7 +5,7 @@
 from waxwingglade.base import Failure, Outcome, TargetId, ZoneId
 from waxwingglade.connection.caller_programs import bad_request, is_number
 from waxwingglade.connection.http_api import ApiHandler, Route, query
-from waxwingglade.connection.operator import needs, operator_of
+from waxwingglade.connection.operator import operator_of, require_role
 from waxwingglade.connection.operator_messages import (
     DesiredList,
     DesiredState,
@@ -32,16 +32,16 @@
     """Return the routes of targets and of the orders to them."""
     target = r"/v1/targets/([^/]+)"
     return [
-        Route(r"/v1/targets", {"GET": needs(Role.VIEWER, functools.partial(_list, entry))}),
+        Route(r"/v1/targets", {"GET": require_role(Role.VIEWER, functools.partial(_list, entry))}),
         Route(
             target,
             {
-                "GET": needs(Role.VIEWER, functools.partial(_show, entry)),
-                "PUT": needs(Role.PROPOSER, functools.partial(_set, entry)),
-                "DELETE": needs(Role.PROPOSER, functools.partial(_unset, entry)),
+                "GET": require_role(Role.VIEWER, functools.partial(_show, entry)),
+                "PUT": require_role(Role.PROPOSER, functools.partial(_set, entry)),
+                "DELETE": require_role(Role.PROPOSER, functools.partial(_unset, entry)),
             },
         ),
-        Route(r"/v1/orders", {"GET": needs(Role.VIEWER, functools.partial(_status, entry))}),
+        Route(r"/v1/orders", {"GET": require_role(Role.VIEWER, functools.partial(_status, entry))}),
     ]
 
 
--- a/waxwingglade/process/operating.py
+++ b/waxwingglade/process/operating.py
@@ -9,7 +9,7 @@
 from waxwingglade.connection.caller_programs import bad_request, is_number
 from waxwingglade.connection.caller_stream import Serve
 from waxwingglade.connection.http_api import ApiHandler, Route, query
-from waxwingglade.connection.operator import needs, operator_application, operator_of
+from waxwingglade.connection.operator import operator_application, operator_of, require_role
 from waxwingglade.connection.operator_messages import (
     Accepted,
     ApproveBody,
@@ -66,8 +66,8 @@
         on_drain()
 
     routes = [
-        Route(r"/v1/status", {"GET": needs(Role.VIEWER, status)}),
-        Route(r"/v1/drain", {"POST": needs(Role.ADMIN, drain)}),
+        Route(r"/v1/status", {"GET": require_role(Role.VIEWER, status)}),
+        Route(r"/v1/drain", {"POST": require_role(Role.ADMIN, drain)}),
         *operator_program_routes(serve),
         *target_routes(entry),
         *config_routes(configuration),
@@ -79,7 +79,7 @@
     """Return the routes of the configuration."""
 
     def bound(endpoint: Callable, least: Role) -> Callable:
-        return needs(least, functools.partial(endpoint, configuration))
+        return require_role(least, functools.partial(endpoint, configuration))
 
     proposal = r"/v1/config/proposals/([^/]+)"
     return [
--- a/waxwingglade/process/scrape.py
+++ b/waxwingglade/process/scrape.py
@@ -73,4 +73,4 @@
             handler.set_header(name, value)
         handler.finish(body)
 
-    return Route(r"/metrics", {"GET": get}, open=True)
+    return Route(r"/metrics", {"GET": get}, public=True)
