--- a/waxwingglade/connection/__init__.py
+++ b/waxwingglade/connection/__init__.py
@@ -1,4 +1,4 @@
-"""What lives as long as a connection: the store, peers and targets."""
+"""Connections to the store, to peers and to targets."""
 
 from waxwingglade.connection.engine import stream_completion
 from waxwingglade.connection.engine_control import (
--- a/waxwingglade/connection/api_client.py
+++ b/waxwingglade/connection/api_client.py
@@ -1,4 +1,4 @@
-"""A plain asynchronous client of the interfaces over HTTP, for callers and operators."""
+"""An asynchronous client of the HTTP interfaces for callers and operators."""
 
 from collections.abc import AsyncIterator
 from http import HTTPStatus
@@ -10,13 +10,13 @@
 from waxwingglade.connection.http import Exchange, HttpAnswer, HttpClient, HttpRequest, send
 
 TIMEOUT_S = 60.0
-EVENT = b"data: "
+EVENT_PREFIX = b"data: "
 
 T = TypeVar("T")
 
 
 def read_answer(answer: HttpAnswer, model: type[T]) -> Outcome[T]:
-    """Return an answer as `model`, or the failure in it."""
+    """Return the body of an answer decoded as `model`, or the failure that it contains."""
     try:
         if answer.status == HTTPStatus.OK:
             return Ok(msgspec.json.decode(answer.body, type=model))
@@ -27,14 +27,14 @@
 
 
 class ApiClient:
-    """Speaks to one entry with one bearer token.
+    """Sends requests to one entry with one bearer token.
 
     Parameters
     ----------
     http : HttpClient
-        Shared client.
+        The shared HTTP client.
     url : str
-        The entry's URL.
+        URL of the entry.
     token : str
         Bearer token.
     """
@@ -47,24 +47,24 @@
     async def send(
         self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None
     ) -> HttpAnswer:
-        """Send a request and return the answer, or raise `ConnectionError` if there is none."""
+        """Send a request and return the answer; raises `ConnectionError` if there is none."""
         answer = await self.try_send(method, path, body, headers)
         if answer.is_err():
             raise ConnectionError(answer.err_value.message)
         return answer.ok_value
 
     async def json(self, method: str, path: str, body: Any = None) -> Any:
-        """Send a request and return the JSON of the answer, error answers included."""
+        """Send a request and return the decoded JSON of the answer, also of an error answer."""
         return msgspec.json.decode((await self.send(method, path, body)).body)
 
     async def try_send(
         self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None
     ) -> Outcome[HttpAnswer]:
-        """Send a request and return the answer; the failure is that of the connection."""
+        """Send a request and return the answer, or the failure of the connection."""
         return await send(self.http, self._request(method, path, body, headers))
 
     async def stream(self, method: str, path: str, body: Any = None) -> AsyncIterator[Any]:
-        """Send a request and yield the events of the answer."""
+        """Send a request and yield the decoded events of the streamed answer."""
         request = self._request(method, path, body, {"Accept": "text/event-stream"})
         exchange = Exchange(self.http, request)
         rest = b""
@@ -72,8 +72,8 @@
             async for piece in exchange.body():
                 *lines, rest = (rest + piece).split(b"\n")
                 for line in lines:
-                    if line.startswith(EVENT):
-                        yield msgspec.json.decode(line.removeprefix(EVENT))
+                    if line.startswith(EVENT_PREFIX):
+                        yield msgspec.json.decode(line.removeprefix(EVENT_PREFIX))
         finally:
             exchange.abort()
 
--- a/waxwingglade/connection/caller.py
+++ b/waxwingglade/connection/caller.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""The HTTP interface for callers."""
 
 from collections.abc import Callable, Sequence
 
@@ -14,8 +14,9 @@
 from waxwingglade.connection.keys import KeyRing
 from waxwingglade.settings import LimitSettings, ProcessSettings
 
-HEADER_ROOM = 4
-"""The server reads headers up to so many times the limit, to refuse them with a typed answer."""
+HEADER_LIMIT_FACTOR = 4
+"""The server accepts headers up to this multiple of the limit, so that the application can reject
+them with a typed error."""
 
 
 def caller_application(
@@ -25,20 +26,20 @@
     routes: Sequence[Route] = (),
     on_failure: Callable[[Failure], None] = lambda _: None,
 ) -> Application:
-    """Return the callers' HTTP application.
+    """Return the HTTP application for callers.
 
     Parameters
     ----------
     settings : ProcessSettings
         Keys and limits.
     serve : Serve
-        Serves a request whose tenant has been checked.
+        Processes a request whose tenant was authenticated.
     ready : callable
-        Whether this entry takes new work.
+        Returns whether this entry accepts new work.
     routes : sequence of Route
-        Further addresses.
+        Further routes.
     on_failure : callable
-        Told of every failure that is answered.
+        Called with every failure that is sent as an answer.
     """
     api = HttpApi(settings.limits, KeyRing(settings.caller_keys).find, on_failure)
     own = [*program_routes(serve), *chat_routes(serve), *health_routes(ready)]
@@ -46,5 +47,5 @@
 
 
 def http_server(application: Application, limits: LimitSettings) -> HTTPServer:
-    """Return a server whose own bounds leave room for typed refusals."""
-    return HTTPServer(application, max_header_size=limits.header_bytes * HEADER_ROOM)
+    """Return a server with limits above those of the application, which sends typed errors."""
+    return HTTPServer(application, max_header_size=limits.header_bytes * HEADER_LIMIT_FACTOR)
--- a/waxwingglade/connection/caller_messages.py
+++ b/waxwingglade/connection/caller_messages.py
@@ -1,4 +1,4 @@
-"""Callers' requests and the events that answer them, as entries pass them on."""
+"""Requests of callers and the events that answer them, as entries forward them."""
 
 from enum import Enum
 
@@ -20,7 +20,7 @@
 class CreateProgram(msgspec.Struct, frozen=True, tag="create_program"):
     """Create a program, or return the one that `request` created before.
 
-    `name` is that of the agent program in the operators' configuration, if it has one there.
+    `name` is the name of the agent program in the configuration, if it has one there.
     """
 
     tenant: TenantId
@@ -31,10 +31,11 @@
 
 
 class SubmitCall(msgspec.Struct, frozen=True, tag="submit_call"):
-    """Run a call, or join it where it is known; events follow from `offset` characters on.
+    """Run a call, or join it if it exists already; events start at character `offset`.
 
-    Where `attempt` is not the one whose text is known, the answer starts over with a `Reset`.
-    The call runs only if the program's history then has `history_length` messages, unless None.
+    If the text that exists belongs to another attempt than `attempt`, the answer starts over with a
+    `Reset`.  Unless `history_length` is None, the call runs only if the program's history has that
+    number of messages.
     """
 
     tenant: TenantId
@@ -46,7 +47,7 @@
 
 
 class FollowCall(msgspec.Struct, frozen=True, tag="follow_call"):
-    """Events of a known call from `offset` characters on; never starts it."""
+    """Request the events of an existing call from character `offset` on, without starting it."""
 
     tenant: TenantId
     program: ProgramId
@@ -56,7 +57,7 @@
 
 
 class ReadProgram(msgspec.Struct, frozen=True, tag="read_program"):
-    """Ask for a program's state and history; tenant None is an operator, who may see any."""
+    """Request state and history of a program; tenant None is an operator, who may read any."""
 
     tenant: TenantId | None
     program: ProgramId
@@ -71,7 +72,7 @@
 
 
 class CallSummary(msgspec.Struct, frozen=True):
-    """One call as a caller sees it."""
+    """One call in the view of a program."""
 
     call: CallId
     kind: str
@@ -79,7 +80,7 @@
 
 
 class ProgramView(msgspec.Struct, frozen=True, tag="program_view"):
-    """A program as a caller sees it; amounts include its sub-agents."""
+    """A program as shown to callers; amounts include its sub-agents."""
 
     program: ProgramId
     tenant: TenantId
@@ -101,7 +102,7 @@
 
 
 class ProgramFilter(Enum):
-    """Which programs a listing has."""
+    """Which programs a listing contains."""
 
     ALL = "all"
     OPEN = "open"
@@ -109,18 +110,18 @@
 
 
 class ListPrograms(msgspec.Struct, frozen=True, tag="list_programs"):
-    """Ask for programs in the order of their ids.
+    """Request programs in the order of their ids.
 
     Parameters
     ----------
     tenant : TenantId or None
-        Whose programs; None for those of all tenants.
+        Tenant of the programs; None for all tenants.
     filter : ProgramFilter
-        Which of them.
+        State of the programs.
     after : ProgramId
         Only programs with a greater id; empty for all.
     limit : int
-        Programs listed at most.
+        Maximum number of programs.
     """
 
     tenant: TenantId | None
@@ -130,7 +131,7 @@
 
 
 class ProgramSummary(msgspec.Struct, frozen=True):
-    """One line of a listing."""
+    """One program of a listing."""
 
     program: ProgramId
     tenant: TenantId
@@ -143,9 +144,9 @@
 
 
 class ProgramListing(msgspec.Struct, frozen=True, tag="program_listing"):
-    """Programs, and the entries that did not say what they have.
+    """Programs, and the entries that did not answer which programs they have.
 
-    `next_after` continues the listing; it is empty where nothing follows.
+    `next_after` continues the listing; it is empty if nothing follows.
     """
 
     programs: list[ProgramSummary]
--- a/waxwingglade/connection/caller_stream.py
+++ b/waxwingglade/connection/caller_stream.py
@@ -1,4 +1,4 @@
-"""Events of a caller's request as an answer over HTTP, whole or as a stream."""
+"""Answers to requests of callers over HTTP, as one body or as a stream of events."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
 
 EVENT_STREAM = "text/event-stream"
 RETRY_AFTER_S = 1.0
-BROKEN_OFF = Failure(
+ANSWER_INTERRUPTED = Failure(
     Verdict.MAY_HAVE_RUN,
     ErrorCode.UNAVAILABLE,
     "the answer broke off; repeat with the same call id to get the rest",
@@ -25,8 +25,8 @@
 )
 
 
-async def whole(events: AsyncIterator[CallerEvent]) -> AsyncIterator[CallerEvent]:
-    """Yield events up to the outcome; where they break off, a failure says so in its place."""
+async def until_outcome(events: AsyncIterator[CallerEvent]) -> AsyncIterator[CallerEvent]:
+    """Yield events up to the outcome; if they end without one, yield a failure instead."""
     try:
         async with contextlib.aclosing(events):
             async for event in events:
@@ -34,26 +34,26 @@
                 if not isinstance(event, Delta | Reset):
                     return
     except Exception:
-        logger.exception("an answer broke off")
-    yield BROKEN_OFF
+        logger.exception("events of an answer ended with an error")
+    yield ANSWER_INTERRUPTED
 
 
 async def outcome_of(events: AsyncIterator[CallerEvent]) -> CallerEvent:
-    """Return the outcome that ends the events."""
-    async with contextlib.aclosing(whole(events)) as following:
-        async for event in following:
+    """Return the outcome, which ends the events."""
+    async with contextlib.aclosing(until_outcome(events)) as relayed:
+        async for event in relayed:
             if not isinstance(event, Delta | Reset):
                 return event
-    return BROKEN_OFF
+    return ANSWER_INTERRUPTED
 
 
-async def undisturbed(events: AsyncIterator[CallerEvent]) -> AsyncIterator[CallerEvent]:
-    """Yield the outcome of a request that goes on to its end though its caller leaves."""
+async def run_to_completion(events: AsyncIterator[CallerEvent]) -> AsyncIterator[CallerEvent]:
+    """Yield the outcome of a request that is completed even if its caller disconnects."""
     yield await asyncio.shield(run_detached(outcome_of(events)))
 
 
 async def answer(handler: ApiHandler, events: AsyncIterator[CallerEvent]) -> None:
-    """Answer with the outcome, or with a stream of all events where the caller accepts one."""
+    """Answer with the outcome, or with a stream of all events if the caller accepts one."""
     if EVENT_STREAM in handler.request.headers.get("Accept", ""):
         await _answer_stream(handler, events)
         return
@@ -66,8 +66,8 @@
 
 async def _answer_stream(handler: ApiHandler, events: AsyncIterator[CallerEvent]) -> None:
     started = False
-    async with contextlib.aclosing(whole(events)) as following:
-        async for event in following:
+    async with contextlib.aclosing(until_outcome(events)) as relayed:
+        async for event in relayed:
             if not started and isinstance(event, Failure):
                 handler.fail(event)
                 return
@@ -80,12 +80,12 @@
 
 
 def start_stream(handler: ApiHandler) -> None:
-    """Set the headers of a stream."""
+    """Set the headers of an event stream."""
     handler.set_header("Content-Type", EVENT_STREAM)
     handler.set_header("Cache-Control", "no-store")
 
 
 async def write_event(handler: ApiHandler, data: bytes) -> None:
-    """Send one event at once."""
+    """Send one event without buffering."""
     handler.write(b"data: " + data + b"\n\n")
     await handler.flush()
--- a/waxwingglade/connection/chat.py
+++ b/waxwingglade/connection/chat.py
@@ -1,7 +1,7 @@
-"""``POST /v1/chat/completions``: the usual format, so that an ordinary client works unchanged.
+"""``POST /v1/chat/completions``: the common format, so that ordinary clients work unchanged.
 
-Without a program's id in the headers, a program is created for the one call and ended after it.
-With one, the messages sent have to extend that program's history.
+Without a program id in the headers, a program is created for the single call and ended after it.
+With one, the messages of the request have to extend the history of that program.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
     check_class,
     tenant_of,
 )
-from waxwingglade.connection.caller_stream import Serve, outcome_of, whole
+from waxwingglade.connection.caller_stream import Serve, outcome_of, until_outcome
 from waxwingglade.connection.chat_stream import ChatStream
 from waxwingglade.connection.chat_wire import ChatRequest, completion, read_messages, wire_error
 from waxwingglade.connection.http_answer import with_retry_after
@@ -56,23 +56,23 @@
 END_REASON = "the one call ended"
 
 END_ATTEMPTS = 5
-END_PAUSE_S = 1.0
+END_RETRY_PAUSE_S = 1.0
 
 
-class Prepared(msgspec.Struct):
-    """A call that is ready to be submitted; `one_call` says that its program is to end after it."""
+class PreparedCall(msgspec.Struct):
+    """A call that is ready to be submitted; `one_call` tells whether its program ends after it."""
 
     request: SubmitCall | FollowCall
     one_call: bool
 
 
 def chat_routes(serve: Serve) -> list[Route]:
-    """Return the address of chat completions."""
+    """Return the route of chat completions."""
     return [Route(r"/v1/chat/completions", {"POST": functools.partial(complete, serve)})]
 
 
 async def complete(serve: Serve, handler: ApiHandler) -> None:
-    """Answer a chat completion."""
+    """Answer a request for a chat completion."""
     read = handler.read(ChatRequest)
     if read.is_err():
         fail_chat(handler, read.err_value)
@@ -90,25 +90,25 @@
         if body.stream:
             await _answer_stream(serve, handler, body, request)
         else:
-            await _answer_whole(serve, handler, body, request)
+            await _answer_complete(serve, handler, body, request)
     finally:
         if prepared.ok_value.one_call:
-            run_detached(_end(serve, request))
+            run_detached(_end_after_call(serve, request))
 
 
 def fail_chat(handler: ApiHandler, failure: Failure) -> None:
-    """Answer with an error in the format; the client is told whether a repeat helps."""
+    """Answer with an error in the chat format, which states whether the client should retry."""
     failure = with_retry_after(failure)
     handler.set_failure_headers(failure)
-    repeat_helps = failure.retry_after_s is not None
-    handler.set_header(SHOULD_RETRY_HEADER, "true" if repeat_helps else "false")
+    may_retry = failure.retry_after_s is not None
+    handler.set_header(SHOULD_RETRY_HEADER, "true" if may_retry else "false")
     handler.finish_json(wire_error(failure))
 
 
 # --- before the call ----------------------------------------------------------------------------
 
 
-async def _prepare(serve: Serve, handler: ApiHandler, body: ChatRequest) -> Outcome[Prepared]:
+async def _prepare(serve: Serve, handler: ApiHandler, body: ChatRequest) -> Outcome[PreparedCall]:
     headers = handler.request.headers
     call_id = CallId(headers.get(CALL_HEADER) or new_nonce())
     program_class = ClassName(headers.get(CLASS_HEADER) or DEFAULT_CLASS)
@@ -117,9 +117,9 @@
         return messages
     max_tokens = body.max_completion_tokens or body.max_tokens
     call = ModelCall(call_id, body.model, messages.ok_value, max_tokens)
-    wrong = check_call(call) or check_class(program_class)
-    if wrong is not None:
-        return Err(wrong)
+    failure = check_call(call) or check_class(program_class)
+    if failure is not None:
+        return Err(failure)
     tenant = tenant_of(handler)
     program = headers.get(PROGRAM_HEADER)
     if program:
@@ -129,11 +129,11 @@
 
 async def _create(
     serve: Serve, tenant: TenantId, program_class: ClassName, call: ModelCall
-) -> Outcome[Prepared]:
+) -> Outcome[PreparedCall]:
     name = CallId(f"{REQUEST_PREFIX}{call.call}")
-    wrong = check_call_id(name)
-    if wrong is not None:
-        return Err(wrong)
+    failure = check_call_id(name)
+    if failure is not None:
+        return Err(failure)
     creating = run_detached(outcome_of(serve(CreateProgram(tenant, program_class, name))))
     try:
         view = await asyncio.shield(creating)
@@ -143,18 +143,18 @@
     if isinstance(view, Failure):
         return Err(view)
     assert isinstance(view, ProgramView)
-    return Ok(Prepared(SubmitCall(tenant, view.program, call), one_call=True))
+    return Ok(PreparedCall(SubmitCall(tenant, view.program, call), one_call=True))
 
 
 async def _continue(
     serve: Serve, tenant: TenantId, program: ProgramId, call: ModelCall
-) -> Outcome[Prepared]:
+) -> Outcome[PreparedCall]:
     view = await outcome_of(serve(ReadProgram(tenant, program)))
     if isinstance(view, Failure):
         return Err(view)
     assert isinstance(view, ProgramView)
     if _is_recorded(view, call):
-        return Ok(Prepared(FollowCall(tenant, program, call.call), one_call=False))
+        return Ok(PreparedCall(FollowCall(tenant, program, call.call), one_call=False))
     length = len(view.history)
     if call.messages[:length] != view.history:
         return not_run(ErrorCode.CONFLICT, "the messages do not extend the program's history")
@@ -162,11 +162,13 @@
     if not new:
         return not_run(ErrorCode.CONFLICT, "the messages add nothing to the program's history")
     call = msgspec.structs.replace(call, messages=new)
-    return Ok(Prepared(SubmitCall(tenant, program, call, history_length=length), one_call=False))
+    return Ok(
+        PreparedCall(SubmitCall(tenant, program, call, history_length=length), one_call=False)
+    )
 
 
 def _is_recorded(view: ProgramView, call: ModelCall) -> bool:
-    """Return whether the history has this very call: its messages, then its answer."""
+    """Return whether the history contains this call: its messages, then its answer."""
     outcomes = [each.outcome for each in view.calls if each.call == call.call]
     if not outcomes or not isinstance(outcomes[0], Done):
         return False
@@ -178,7 +180,7 @@
 # --- the call -----------------------------------------------------------------------------------
 
 
-async def _answer_whole(
+async def _answer_complete(
     serve: Serve, handler: ApiHandler, body: ChatRequest, request: SubmitCall | FollowCall
 ) -> None:
     done = await outcome_of(serve(request))
@@ -194,12 +196,12 @@
     serve: Serve, handler: ApiHandler, body: ChatRequest, request: SubmitCall | FollowCall
 ) -> None:
     stream = ChatStream(handler, body, COMPLETION_PREFIX + new_nonce(), int(time.time()))
-    async with contextlib.aclosing(whole(serve(request))) as events:
+    async with contextlib.aclosing(until_outcome(serve(request))) as events:
         async for event in events:
             if not stream.started and isinstance(event, Failure):
                 fail_chat(handler, event)
                 return
-            if not await stream.take(event):
+            if not await stream.send(event):
                 return
 
 
@@ -207,14 +209,14 @@
 
 
 async def _end_unused(serve: Serve, tenant: TenantId, creating: asyncio.Task) -> None:
-    """End a program whose caller left before its call was submitted."""
+    """End a program whose caller disconnected before its call was submitted."""
     view = await creating
     if isinstance(view, ProgramView):
         await _end_program(serve, tenant, view.program)
 
 
-async def _end(serve: Serve, request: SubmitCall | FollowCall) -> None:
-    """End the program of one call once the call has ended, also if the caller has left."""
+async def _end_after_call(serve: Serve, request: SubmitCall | FollowCall) -> None:
+    """End the program of a single call after the call, even if the caller has disconnected."""
     assert isinstance(request, SubmitCall)
     await outcome_of(serve(FollowCall(request.tenant, request.program, request.call.call)))
     await _end_program(serve, request.tenant, request.program)
@@ -225,4 +227,4 @@
         ended = await outcome_of(serve(EndProgram(tenant, program, END_REASON)))
         if not isinstance(ended, Failure):
             return
-        await asyncio.sleep(END_PAUSE_S)
+        await asyncio.sleep(END_RETRY_PAUSE_S)
--- a/waxwingglade/connection/chat_stream.py
+++ b/waxwingglade/connection/chat_stream.py
@@ -1,9 +1,9 @@
-"""The events of a call as a stream in the usual chat-completions format."""
+"""The events of a call as a stream in the common chat-completions format."""
 
 import msgspec
 
 from waxwingglade.base import Failure
-from waxwingglade.connection.caller_stream import BROKEN_OFF, start_stream, write_event
+from waxwingglade.connection.caller_stream import ANSWER_INTERRUPTED, start_stream, write_event
 from waxwingglade.connection.chat_wire import (
     STREAM_END,
     ChatRequest,
@@ -24,13 +24,13 @@
     Parameters
     ----------
     handler : ApiHandler
-        The request.
+        Handler of the request.
     body : ChatRequest
-        What was asked for.
+        Body of the request.
     name : str
-        Name of the completion.
+        Id of the completion.
     created : int
-        Seconds since 1970.
+        Time of creation, in seconds since 1970.
     """
 
     def __init__(self, handler: ApiHandler, body: ChatRequest, name: str, created: int) -> None:
@@ -41,19 +41,19 @@
         self.started = False
         self.sent = ""
 
-    async def take(self, event: CallerEvent) -> bool:
-        """Send what an event means; return whether more is to come."""
+    async def send(self, event: CallerEvent) -> bool:
+        """Send the chunks of an event; return whether further events may follow."""
         if isinstance(event, Reset) and not self.sent:
             return True
         await self._start()
         if isinstance(event, Delta):
-            await self._text(event.text)
+            await self._send_text(event.text)
             return True
         if isinstance(event, Done) and event.text.startswith(self.sent):
-            await self._end(event)
+            await self._finish(event)
             return False
-        # The format has no way to take text back, so the stream fails where it starts over.
-        failure = event if isinstance(event, Failure) else BROKEN_OFF
+        # The format cannot retract text, so the stream fails if the answer starts over.
+        failure = event if isinstance(event, Failure) else ANSWER_INTERRUPTED
         self.handler.api.on_failure(failure)
         await write_event(self.handler, msgspec.json.encode(wire_error(failure)))
         return False
@@ -63,23 +63,23 @@
             return
         self.started = True
         start_stream(self.handler)
-        await self._chunk(ChunkChoice(WireDelta(role="assistant", content="")))
+        await self._send_chunk(ChunkChoice(WireDelta(role="assistant", content="")))
 
-    async def _text(self, text: str) -> None:
+    async def _send_text(self, text: str) -> None:
         self.sent += text
-        await self._chunk(ChunkChoice(WireDelta(content=text)))
+        await self._send_chunk(ChunkChoice(WireDelta(content=text)))
 
-    async def _end(self, done: Done) -> None:
+    async def _finish(self, done: Done) -> None:
         rest = done.text[len(self.sent) :]
         if rest:
-            await self._text(rest)
-        await self._chunk(ChunkChoice(WireDelta(), done.finish_reason))
+            await self._send_text(rest)
+        await self._send_chunk(ChunkChoice(WireDelta(), done.finish_reason))
         options = self.body.stream_options
         if options is not None and options.include_usage:
             usage = Chunk(self.name, self.created, self.body.model, [], wire_usage(done.usage))
             await write_event(self.handler, msgspec.json.encode(usage))
         await write_event(self.handler, STREAM_END)
 
-    async def _chunk(self, choice: ChunkChoice) -> None:
+    async def _send_chunk(self, choice: ChunkChoice) -> None:
         chunk = Chunk(self.name, self.created, self.body.model, [choice])
         await write_event(self.handler, msgspec.json.encode(chunk))
--- a/waxwingglade/connection/chat_wire.py
+++ b/waxwingglade/connection/chat_wire.py
@@ -1,4 +1,4 @@
-"""The usual chat-completions format: what is read of a request, and what is answered."""
+"""The common chat-completions format of requests and answers."""
 
 from typing import Any
 
@@ -21,21 +21,21 @@
 
 
 class ContentPart(msgspec.Struct):
-    """One part of a message's content; only text is served."""
+    """One part of the content of a message; only text is supported."""
 
     type: str
     text: str = ""
 
 
 class ChatMessage(msgspec.Struct):
-    """One message as the format has it."""
+    """One message in the chat format."""
 
     role: str
     content: str | list[ContentPart] | None = None
 
 
 class StreamOptions(msgspec.Struct):
-    """What a stream brings beside text."""
+    """What a stream contains besides text."""
 
     include_usage: bool = False
 
@@ -43,8 +43,8 @@
 class ChatRequest(msgspec.Struct):
     """Body of ``POST /v1/chat/completions``.
 
-    Sampling parameters are accepted and not passed on; what would change the meaning of the answer
-    is refused.
+    Sampling parameters are accepted and ignored; parameters that would change the meaning of the
+    answer are rejected.
     """
 
     model: ModelName
@@ -60,7 +60,7 @@
 
 
 class WireUsage(msgspec.Struct):
-    """Tokens used, as the format has them."""
+    """Used tokens in the chat format."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -68,14 +68,14 @@
 
 
 class WireMessage(msgspec.Struct):
-    """The answer as a message."""
+    """The answer as a message of the assistant."""
 
     role: str
     content: str
 
 
 class Choice(msgspec.Struct):
-    """The one answer."""
+    """The only answer; its index is always 0."""
 
     message: WireMessage
     finish_reason: str
@@ -84,7 +84,7 @@
 
 
 class Completion(msgspec.Struct):
-    """A whole answer."""
+    """A complete answer."""
 
     id: str
     created: int
@@ -95,14 +95,14 @@
 
 
 class WireDelta(msgspec.Struct, omit_defaults=True):
-    """What a chunk adds."""
+    """The text that a chunk adds, or the role."""
 
     role: str | None = None
     content: str | None = None
 
 
 class ChunkChoice(msgspec.Struct):
-    """The one answer's part in a chunk."""
+    """The part of the only answer in a chunk."""
 
     delta: WireDelta
     finish_reason: str | None = None
@@ -122,7 +122,7 @@
 
 
 class WireError(msgspec.Struct):
-    """A failure as the format has it, with the verdict beside."""
+    """A failure in the chat format, with the verdict added."""
 
     message: str
     type: str
@@ -133,13 +133,13 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """Body of a failed request, and last event of a stream that failed."""
+    """Body of a failed request, or last event of a failed stream."""
 
     error: WireError
 
 
 def read_messages(request: ChatRequest) -> Outcome[list[Message]]:
-    """Return the messages of a request, or why it cannot be served."""
+    """Return the messages of a request, or the failure if it is not supported."""
     if request.n not in (None, 1):
         return not_run(ErrorCode.BAD_REQUEST, "n: only one answer is given")
     if request.tools or request.functions or request.audio:
@@ -165,13 +165,13 @@
 
 
 def wire_usage(usage: Usage) -> WireUsage:
-    """Return used tokens as the format has them."""
+    """Return used tokens in the chat format."""
     total = usage.prompt_tokens + usage.output_tokens
     return WireUsage(usage.prompt_tokens, usage.output_tokens, total)
 
 
 def wire_error(failure: Failure) -> ErrorBody:
-    """Return a failure as the format has it."""
+    """Return a failure in the chat format."""
     error = WireError(
         message=failure.message,
         type=failure.code.value,
@@ -183,6 +183,6 @@
 
 
 def completion(name: str, created: int, model: str, done: Done) -> Completion:
-    """Return a whole answer."""
+    """Return a complete answer in the chat format."""
     choice = Choice(WireMessage("assistant", done.text), done.finish_reason)
     return Completion(name, created, model, [choice], wire_usage(done.usage))
--- a/waxwingglade/connection/engine.py
+++ b/waxwingglade/connection/engine.py
@@ -1,7 +1,7 @@
-"""Completions on a model engine, streamed.
+"""Streamed completions on a model engine.
 
-Every function takes the shared HTTP client and the settings of a target.  What differs between
-engines belongs to this adapter (`engine`, `engine_control`, `engine_wire`) and nowhere else.
+Every function takes the shared HTTP client and the settings of a target.  Only this adapter (the
+modules `engine`, `engine_control` and `engine_wire`) depends on the kind of engine.
 """
 
 import asyncio
@@ -33,8 +33,8 @@
 
 COMPLETIONS_PATH = "/v1/chat/completions"
 STREAM_END = "[DONE]"
-BROKEN_OFF = frozenset({None, "abort", "error"})
-ERROR_BYTES = 65_536
+ABORT_REASONS = frozenset({None, "abort", "error"})
+MAX_ERROR_BYTES = 65_536
 
 
 async def stream_completion(
@@ -47,33 +47,33 @@
     """Generate an answer.
 
     Yields `EngineDelta` events and then exactly one `EngineDone` or `EngineFailed`.  Closing the
-    iterator early cuts the connection and cancels the request on the engine, also while it is
-    silent.  By the time `EngineFailed` comes this has been done.
+    iterator early closes the connection and cancels the request on the engine, also while no bytes
+    arrive.  Both happen before `EngineFailed` is yielded.
 
     Parameters
     ----------
     client : HttpClient
-        Shared client.
+        The shared HTTP client.
     target : TargetSettings
         The engine.
     request : EngineRequest
-        What to generate.
+        The completion to generate.
     timeout_s : float
-        Seconds for the whole answer.
+        Timeout of the complete answer, in seconds.
     timeouts : StreamTimeouts
-        Seconds of silence that are borne.
+        Timeouts of the first and of further pieces of text.
     """
-    stream = _Stream(Exchange(client, _http_request(target, request, timeout_s)), timeouts)
+    stream = _AnswerStream(Exchange(client, _http_request(target, request, timeout_s)), timeouts)
     try:
         while not stream.ended:
             events = await stream.next_events()
             if isinstance(stream.ended, EngineFailed):
-                _give_up(client, target, request, stream)
+                _cancel_request(client, target, request, stream)
             for event in events:
                 yield event
     finally:
         if not stream.ended:
-            _give_up(client, target, request, stream)
+            _cancel_request(client, target, request, stream)
 
 
 def _http_request(target: TargetSettings, request: EngineRequest, timeout_s: float) -> HttpRequest:
@@ -86,23 +86,23 @@
     )
 
 
-def _give_up(
-    client: HttpClient, target: TargetSettings, request: EngineRequest, stream: "_Stream"
+def _cancel_request(
+    client: HttpClient, target: TargetSettings, request: EngineRequest, stream: "_AnswerStream"
 ) -> None:
-    """Cut the connection, and tell the engine as well if it may work on."""
+    """Close the connection, and cancel the request on the engine if it may still run."""
     stream.exchange.abort()
     if stream.may_run():
-        client.keep(asyncio.ensure_future(cancel(client, target, request.request_id)))
+        client.track(asyncio.ensure_future(cancel(client, target, request.request_id)))
 
 
-class _Stream:
-    """What was read of one answer; `ended` is the last event once it is known."""
+class _AnswerStream:
+    """The parsed part of one answer; `ended` is its last event, or None before that."""
 
     def __init__(self, exchange: Exchange, timeouts: StreamTimeouts) -> None:
         self.exchange = exchange
         self.timeouts = timeouts
         self.end_at = monotonic() + exchange.request.timeout_s
-        self.silent_since = monotonic()
+        self.last_text_at = monotonic()
         self.decoder = EventDecoder()
         self.usage = WireUsage()
         self.delivered_tokens = 0
@@ -113,47 +113,47 @@
     async def next_events(self) -> list[EngineEvent]:
         """Wait for a piece of the answer and return the events that it completes."""
         try:
-            piece = await self.exchange.next_piece(self._patience_s())
+            piece = await self.exchange.next_piece(self._piece_timeout_s())
         except TimeoutError:
-            return [self._fail(self._broken(ErrorCode.TIMEOUT, "engine fell silent"))]
+            return [self._fail(self._stream_failure(ErrorCode.TIMEOUT, "engine fell silent"))]
         if self.exchange.status not in (0, HTTPStatus.OK):
-            return [self._fail(await self._refusal(piece))]
+            return [self._fail(await self._error_failure(piece))]
         if not piece:
-            return [self._fail(self._cut())]
+            return [self._fail(self._truncation_failure())]
         try:
             messages = self.decoder.feed(piece)
         except FormatError as error:
-            return [self._fail(self._garbage(error))]
-        return self._take(messages)
+            return [self._fail(self._format_failure(error))]
+        return self._process_events(messages)
 
     def may_run(self) -> bool:
-        """Return whether the engine may be at work on the request."""
+        """Return whether the engine may have run the request or still run it."""
         if isinstance(self.ended, EngineFailed):
             return self.ended.failure.verdict is Verdict.MAY_HAVE_RUN
         return self.exchange.verdict() is Verdict.MAY_HAVE_RUN
 
-    def _patience_s(self) -> float:
-        """Return the seconds for which the next piece may be waited for."""
+    def _piece_timeout_s(self) -> float:
+        """Return the maximum seconds to wait for the next piece."""
         first = not self.produced_text_len
-        silence_s = self.timeouts.first_token_s if first else self.timeouts.between_tokens_s
-        return max(0.0, min(self.silent_since + silence_s, self.end_at) - monotonic())
+        timeout_s = self.timeouts.first_token_s if first else self.timeouts.between_tokens_s
+        return max(0.0, min(self.last_text_at + timeout_s, self.end_at) - monotonic())
 
-    def _take(self, messages: list[str]) -> list[EngineEvent]:
-        """Return what server-sent events mean, up to the last event of the answer."""
+    def _process_events(self, messages: list[str]) -> list[EngineEvent]:
+        """Return the events of server-sent messages, up to the last event of the answer."""
         events: list[EngineEvent] = []
         for message in messages:
-            event = self._end() if message == STREAM_END else self._take_chunk(message)
+            event = self._end() if message == STREAM_END else self._process_chunk(message)
             if event is not None:
                 events.append(event)
             if self.ended:
                 break
         return events
 
-    def _take_chunk(self, message: str) -> EngineEvent | None:
+    def _process_chunk(self, message: str) -> EngineEvent | None:
         try:
             chunk = msgspec.json.decode(message, type=WireChunk)
         except msgspec.DecodeError as error:
-            return self._fail(self._garbage(error))
+            return self._fail(self._format_failure(error))
         if chunk.error is not None:
             return self._fail(failure_of_error(chunk.error, HTTPStatus.OK))
         self.usage = chunk.usage or self.usage
@@ -164,43 +164,43 @@
         return self._delta(text, chunk.usage is not None) if text else None
 
     def _delta(self, text: str, counted: bool) -> EngineDelta:
-        """Return new text; an engine that sends no counts is taken to send single tokens."""
+        """Return new text; without a token count, each delta counts as one token."""
         self.produced_text_len += len(text)
-        self.silent_since = monotonic()
+        self.last_text_at = monotonic()
         total = self.usage.completion_tokens if counted else self.delivered_tokens + 1
         tokens = max(0, total - self.delivered_tokens)
         self.delivered_tokens = total
         return EngineDelta(text, tokens)
 
     def _end(self) -> EngineEvent:
-        if self.finish_reason in BROKEN_OFF:
+        if self.finish_reason in ABORT_REASONS:
             reason = f"engine broke off: {self.finish_reason}"
-            return self._fail(self._broken(ErrorCode.TARGET_FAILED, reason))
+            return self._fail(self._stream_failure(ErrorCode.TARGET_FAILED, reason))
         self.ended = EngineDone(self.finish_reason, self.usage.usage())
         return self.ended
 
     def _fail(self, failure: Failure) -> EngineFailed:
-        # Text shows that the engine worked, whatever it says afterwards.
+        # Text proves that the engine ran the request, whatever it reports afterwards.
         if self.produced_text_len:
             failure = msgspec.structs.replace(failure, verdict=Verdict.MAY_HAVE_RUN)
         self.ended = EngineFailed(failure, self.produced_text_len)
         return self.ended
 
-    def _broken(self, code: ErrorCode, message: str) -> Failure:
+    def _stream_failure(self, code: ErrorCode, message: str) -> Failure:
         return Failure(self.exchange.verdict(), code, message)
 
-    def _garbage(self, error: Exception) -> Failure:
-        return self._broken(ErrorCode.TARGET_FAILED, f"engine sent garbage: {error}")
+    def _format_failure(self, error: Exception) -> Failure:
+        return self._stream_failure(ErrorCode.TARGET_FAILED, f"engine sent garbage: {error}")
 
-    def _cut(self) -> Failure:
+    def _truncation_failure(self) -> Failure:
         failure = self.exchange.failure()
-        return failure or self._broken(ErrorCode.UNAVAILABLE, "engine cut the stream")
+        return failure or self._stream_failure(ErrorCode.UNAVAILABLE, "engine cut the stream")
 
-    async def _refusal(self, piece: bytes) -> Failure:
-        """Read the rest of an error answer, as far as it comes in time."""
+    async def _error_failure(self, piece: bytes) -> Failure:
+        """Read the rest of an error answer, as far as it arrives before the timeout."""
         body = b""
         try:
-            while piece and len(body) < ERROR_BYTES:
+            while piece and len(body) < MAX_ERROR_BYTES:
                 body += piece
                 piece = await self.exchange.next_piece(max(0.0, self.end_at - monotonic()))
         except TimeoutError:
--- a/waxwingglade/connection/engine_control.py
+++ b/waxwingglade/connection/engine_control.py
@@ -1,4 +1,4 @@
-"""Control of a model engine: cancelling, its cache, its load and orders to it."""
+"""Control of a model engine: cancellation, cache, load and orders."""
 
 from http import HTTPStatus
 from typing import Any, TypeVar
@@ -36,19 +36,19 @@
 
 
 class EventPage(msgspec.Struct, frozen=True):
-    """Cache events as an engine sends them; `last` is the newest one that it published."""
+    """Cache events as an engine sends them; `last` is the latest published sequence number."""
 
     events: list[CacheEvent]
     last: int
 
 
 async def cancel(client: HttpClient, target: TargetSettings, request_id: str) -> Outcome[None]:
-    """Stop a request; one that has ended or is not known is no failure."""
+    """Cancel a request; an ended or unknown request is not a failure."""
     return await _post(client, target, "/v1/cancel", {"request_id": request_id})
 
 
 async def release(client: HttpClient, target: TargetSettings, program: ProgramId) -> Outcome[None]:
-    """Let the engine forget the cache of an ended program; idempotent."""
+    """Release the cache of an ended program on the engine; idempotent."""
     return await _post(client, target, "/v1/cache/release", {"program": program})
 
 
@@ -58,7 +58,7 @@
     order: EngineOrder,
     timeout_s: float = CONTROL_TIMEOUT_S,
 ) -> Outcome[None]:
-    """Give an order; one with an old fencing number is refused where the engine honours them."""
+    """Send an order; an engine that supports fencing rejects an outdated fencing number."""
     return await _post(client, target, "/v1/orders", order, timeout_s)
 
 
@@ -69,7 +69,7 @@
 
 
 async def read_state(client: HttpClient, target: TargetSettings) -> Outcome[EngineState]:
-    """Return what the engine has loaded, to check an order against."""
+    """Return what the engine has loaded, to verify that an order was carried out."""
     answer = await _get(client, target, "/v1/state")
     return answer.and_then(lambda each: _decode(each, EngineState))
 
@@ -93,7 +93,7 @@
 async def export_cache(
     client: HttpClient, target: TargetSettings, program: ProgramId
 ) -> Outcome[bytes]:
-    """Return the KV cache of a program, opaque to the system."""
+    """Return the KV cache of a program as opaque bytes."""
     answer = await _get(
         client, target, f"/v1/cache/export?program={quote(program)}", CACHE_TRANSFER_TIMEOUT_S
     )
@@ -103,7 +103,7 @@
 async def import_cache(
     client: HttpClient, target: TargetSettings, program: ProgramId, cache: bytes
 ) -> Outcome[None]:
-    """Give an engine the KV cache that another one exported."""
+    """Import the KV cache that another engine exported."""
     request = HttpRequest(
         "POST",
         f"{target.url}/v1/cache/import?program={quote(program)}",
@@ -136,10 +136,10 @@
 
 
 async def _send(client: HttpClient, request: HttpRequest) -> Outcome[HttpAnswer]:
-    return (await send(client, request)).and_then(_accept)
+    return (await send(client, request)).and_then(_check_status)
 
 
-def _accept(answer: HttpAnswer) -> Outcome[HttpAnswer]:
+def _check_status(answer: HttpAnswer) -> Outcome[HttpAnswer]:
     return Ok(answer) if answer.status == HTTPStatus.OK else Err(failure_of_answer(answer))
 
 
@@ -170,11 +170,11 @@
 
 
 def _check_sequence(page: EventPage, after: int) -> CacheEvents:
-    """Put events in order and say whether some are missing."""
+    """Sort events by sequence number, and check whether some are missing."""
     events = sorted((each for each in page.events if each.sequence > after), key=_sequence_of)
     expected = list(range(after + 1, page.last + 1))
-    whole = [each.sequence for each in events] == expected and page.last >= after
-    return CacheEvents(events, not whole, page.last)
+    complete = [each.sequence for each in events] == expected and page.last >= after
+    return CacheEvents(events, not complete, page.last)
 
 
 def _sequence_of(event: CacheEvent) -> int:
--- a/waxwingglade/connection/engine_sse.py
+++ b/waxwingglade/connection/engine_sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events, as model engines send them."""
+"""Decoder of the server-sent events of model engines."""
 
 import codecs
 import io
@@ -6,14 +6,14 @@
 from waxwingglade.base import FormatError
 
 DATA_FIELD = "data"
-LONGEST_EVENT = 1_000_000
+MAX_LINE_CHARS = 1_000_000
 
 
 class EventDecoder:
-    """Cuts a byte stream into the data of its events.
+    """Splits a byte stream into the data of its events.
 
-    Bytes may arrive in any pieces: a character, a line end or an event that is split comes out
-    whole.  Fields other than ``data`` are skipped, since engines send no others that matter.
+    Bytes may arrive in arbitrary pieces, which may split characters, line ends and events.  Fields
+    other than ``data`` are ignored, since engines send no other relevant fields.
     """
 
     def __init__(self) -> None:
@@ -28,18 +28,18 @@
         Raises
         ------
         FormatError
-            A line is longer than `LONGEST_EVENT` characters.
+            A line is longer than `MAX_LINE_CHARS` characters.
         """
         lines = (self.rest + self.decoder.decode(piece)).split("\n")
         self.rest = lines.pop()
-        if len(self.rest) > LONGEST_EVENT:
+        if len(self.rest) > MAX_LINE_CHARS:
             raise FormatError("event is too long")
         events: list[str] = []
         for line in lines:
-            self._take_line(line, events)
+            self._process_line(line, events)
         return events
 
-    def _take_line(self, line: str, events: list[str]) -> None:
+    def _process_line(self, line: str, events: list[str]) -> None:
         if line:
             name, _, value = line.partition(":")
             if name == DATA_FIELD:
--- a/waxwingglade/connection/engine_wire.py
+++ b/waxwingglade/connection/engine_wire.py
@@ -1,4 +1,4 @@
-"""The JSON that model engines speak, and what their errors say about execution."""
+"""The JSON messages of model engines, and the failures that their errors stand for."""
 
 import msgspec
 
@@ -10,18 +10,18 @@
 NOT_RUN_TYPE = "not_run"
 FENCED_TYPE = "fenced"
 CANCELLED_TYPE = "cancelled"
-SHOWN_BYTES = 200
+MAX_SHOWN_BYTES = 200
 
 
 class WireError(msgspec.Struct, frozen=True):
-    """Body of an error."""
+    """Type and text of an error."""
 
     type: str = ""
     message: str = ""
 
 
 class WireFailure(msgspec.Struct, frozen=True):
-    """An error answer."""
+    """Body of an error answer."""
 
     error: WireError
 
@@ -33,27 +33,27 @@
 
 
 class WireChoice(msgspec.Struct, frozen=True):
-    """One answer; only a single one is asked for."""
+    """The only requested answer."""
 
     delta: WireDelta = WireDelta()
     finish_reason: str | None = None
 
 
 class WirePromptDetails(msgspec.Struct, frozen=True):
-    """How much of the prompt was cached."""
+    """Number of prompt tokens that were cached."""
 
     cached_tokens: int | None = None
 
 
 class WireUsage(msgspec.Struct, frozen=True):
-    """Tokens so far."""
+    """Tokens used so far."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
     prompt_tokens_details: WirePromptDetails | None = None
 
     def usage(self) -> Usage:
-        """Return the same in the package's terms."""
+        """Return the usage as used outside of this adapter."""
         details = self.prompt_tokens_details or WirePromptDetails()
         return Usage(self.prompt_tokens, details.cached_tokens or 0, self.completion_tokens)
 
@@ -67,7 +67,7 @@
 
 
 def completion_body(request: EngineRequest) -> bytes:
-    """Return the JSON of a streamed completion."""
+    """Return the JSON body of a request for a streamed completion."""
     messages = [{"role": each.role.value, "content": each.content} for each in request.messages]
     body = {
         "model": request.model,
@@ -85,16 +85,19 @@
 
 
 def failure_of_answer(answer: HttpAnswer) -> Failure:
-    """Return the failure that an answer with an error status means."""
+    """Return the failure that an answer with an error status stands for."""
     try:
         error = msgspec.json.decode(answer.body, type=WireFailure).error
     except (msgspec.DecodeError, UnicodeDecodeError):
-        error = WireError(message=answer.body[:SHOWN_BYTES].decode("utf-8", "replace"))
+        error = WireError(message=answer.body[:MAX_SHOWN_BYTES].decode("utf-8", "replace"))
     return failure_of_error(error, answer.status, answer.retry_after_s())
 
 
 def failure_of_error(error: WireError, status: int, retry_after_s: float | None = None) -> Failure:
-    """Return the failure that an error body means; only the engine's word makes it "not run"."""
+    """Return the failure that an error stands for.
+
+    Its verdict is "not run" only if the engine reports that explicitly.
+    """
     message = f"engine answered {status}: {error.type} {error.message}"
     if error.type == NOT_RUN_TYPE:
         return Failure(Verdict.NOT_RUN, ErrorCode.OVERLOADED, message, retry_after_s)
--- a/waxwingglade/connection/health.py
+++ b/waxwingglade/connection/health.py
@@ -1,4 +1,4 @@
-"""Addresses by which the platform's balancer sees whether an entry lives and takes work."""
+"""Routes by which the load balancer checks whether an entry is alive and accepts work."""
 
 from collections.abc import Callable
 
@@ -9,13 +9,16 @@
 
 
 class Health(msgspec.Struct, frozen=True):
-    """Body of a good answer."""
+    """Body of a successful answer."""
 
     status: str
 
 
 def health_routes(ready: Callable[[], bool]) -> list[Route]:
-    """Return ``/healthz``, and ``/readyz`` which asks `ready`; neither needs a key."""
+    """Return the routes ``/healthz`` and ``/readyz``; neither needs a key.
+
+    ``/readyz`` succeeds if `ready` returns True.
+    """
 
     async def alive(handler: ApiHandler) -> None:
         handler.finish_json(Health("alive"))
--- a/waxwingglade/connection/http.py
+++ b/waxwingglade/connection/http.py
@@ -1,13 +1,13 @@
 """The HTTP client that all adapters share.
 
-One place builds the client, so that its limits are the same everywhere, and one place decides from
-the way an exchange failed whether the request may have run.
+This module builds the client, so that its limits are the same everywhere, and decides from the kind
+of failure of an exchange whether the request may have run.
 
 Notes
 -----
-libcurl repeats a request by itself, even a POST, when a connection that it had kept is cut before
-the first byte of the answer.  `Exchange` allows this only for requests that say that they may be
-repeated; for all others the second attempt is stopped before its first byte.
+libcurl retries a request by itself, even a POST, if a reused connection is closed before the first
+byte of the answer.  `Exchange` allows this only for requests that are marked as repeatable; for all
+others the second attempt is stopped before its first byte.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 RETRY_AFTER_HEADER = "retry-after"
 END_OF_BODY = b""
-GRACE_S = 0.05
+READ_GRACE_S = 0.05
 CLOSE_TIMEOUT_S = 2.0
 
 
@@ -34,12 +34,12 @@
     Parameters
     ----------
     max_clients : int
-        Exchanges under way at a time.  One more is refused as not run, since tornado would let it
-        wait behind the others without a word.
+        Maximum number of simultaneous exchanges.  Further requests are rejected as not run, since
+        tornado would queue them without notice.
     connect_timeout_s : float
-        Seconds to reach a target.
+        Timeout of connecting to a target, in seconds.
     header_bytes, answer_bytes : int
-        Longest headers and body of an answer that are accepted.
+        Maximum sizes in bytes of the headers and the body of an answer.
     """
 
     max_clients: int = 1000
@@ -54,15 +54,15 @@
     Parameters
     ----------
     method, url : str
-        As usual.
+        Method and URL.
     headers : dict
-        Besides those that the client adds.
+        Headers in addition to those of the client.
     body : bytes or None
-        JSON, if any.
+        Body as JSON, if any.
     timeout_s : float
-        Seconds for the whole exchange.
+        Timeout of the complete exchange, in seconds.
     repeatable : bool
-        Whether the client may send it again by itself; see the notes of the module.
+        Whether the client may retry the request by itself; see the notes of the module.
     """
 
     method: str
@@ -74,20 +74,20 @@
 
 
 class HttpAnswer(msgspec.Struct, frozen=True):
-    """A whole answer, whatever its status; names of headers are in lower case."""
+    """A complete answer of any status; names of headers are in lower case."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def retry_after_s(self) -> float | None:
-        """Return the seconds after which the server wants a repeat, if it says so."""
+        """Return the seconds after which the server asks for a retry, or None."""
         value = self.headers.get(RETRY_AFTER_HEADER, "")
         return float(value) if value.isdecimal() else None
 
 
 class HttpClient:
-    """A tornado client on libcurl, and the tasks that outlive the call which began them."""
+    """A tornado client on libcurl, and the tasks that outlive the calls which started them."""
 
     def __init__(self, settings: HttpClientSettings | None = None) -> None:
         self.settings = settings or HttpClientSettings()
@@ -99,13 +99,13 @@
             max_body_size=self.settings.answer_bytes,
         )
 
-    def keep(self, task: asyncio.Task) -> None:
+    def track(self, task: asyncio.Task) -> None:
         """Hold a reference to `task` until it ends."""
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def close(self) -> None:
-        """Wait a little for tasks under way, then cut all connections."""
+        """Wait for running tasks for at most `CLOSE_TIMEOUT_S`, then close all connections."""
         if self.tasks:
             await asyncio.wait(list(self.tasks), timeout=CLOSE_TIMEOUT_S)
         for exchange in self.exchanges:
@@ -117,13 +117,13 @@
 
 
 class ClientFullError(WaxwinggladeError):
-    """All of the client's exchanges are under way."""
+    """The client has reached its maximum number of simultaneous exchanges."""
 
 
 class Exchange:
-    """A request under way, which can be aborted.
+    """A running request, which can be aborted.
 
-    `status` and `headers` are valid once the first piece of the body, or its end, has come.
+    `status` and `headers` are valid once the first piece of the body, or its end, was received.
     """
 
     def __init__(self, client: HttpClient, request: HttpRequest) -> None:
@@ -136,10 +136,10 @@
         self.headers: dict[str, str] = {}
         self.header_bytes = 0
         self.pieces: asyncio.Queue[bytes] = asyncio.Queue()
-        self.future = self._begin()
+        self.future = self._start()
         self.future.add_done_callback(self._on_done)
 
-    def _begin(self) -> asyncio.Future:
+    def _start(self) -> asyncio.Future:
         client = self.client
         if len(client.exchanges) >= client.settings.max_clients:
             refused = asyncio.get_running_loop().create_future()
@@ -171,7 +171,7 @@
         curl.setopt(pycurl.PREREQFUNCTION, self._on_connected)
 
     def _on_connected(self, *_addresses: object) -> int:
-        """Allow or stop the request, just before its first byte leaves."""
+        """Allow or abort the request just before its first byte is sent."""
         if self.aborted:
             return pycurl.PREREQFUNC_ABORT
         if self.attempts and not self.request.repeatable:
@@ -192,38 +192,40 @@
             self.headers[name.strip().lower()] = value.strip()
 
     def _on_done(self, future: asyncio.Future) -> None:
-        # Reading the exception marks it as seen; an aborted exchange is read by nobody else.
+        # Reading the exception prevents a warning of asyncio, since nothing else reads an aborted
+        # exchange.
         future.exception()
         self.client.exchanges.discard(self)
         self.pieces.put_nowait(END_OF_BODY)
 
     def abort(self) -> None:
-        """Cut the connection now, if the exchange is still under way."""
+        """Close the connection now if the exchange is still running."""
         self.aborted = True
-        # A handle whose exchange has ended may already serve another one.
+        # The handle of an ended exchange may already be in use for another one.
         if self.future.done() or self.curl is None:
             return
-        _shut_down(self.curl)
+        _shut_down_socket(self.curl)
 
-    async def next_piece(self, patience_s: float) -> bytes:
-        """Return a piece of the body, or `END_OF_BODY`; raise TimeoutError after `patience_s`."""
+    async def next_piece(self, timeout_s: float) -> bytes:
+        """Return a piece of the body, or `END_OF_BODY`; raises TimeoutError after `timeout_s`."""
         if not self.pieces.empty():
             return self.pieces.get_nowait()
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(timeout_s):
                 return await self.pieces.get()
         except TimeoutError:
-            # After a pause of this process the timer is due before what came is read.
-            async with asyncio.timeout(GRACE_S):
+            # After a stall of this process the timer expires before bytes that already arrived are
+            # read.
+            async with asyncio.timeout(READ_GRACE_S):
                 return await self.pieces.get()
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Yield the body piece by piece; `failure` is valid afterwards."""
+        """Yield the pieces of the body; `failure` is valid afterwards."""
         while piece := await self.pieces.get():
             yield piece
 
     async def answer(self) -> Outcome[HttpAnswer]:
-        """Wait for the whole answer and return it, whatever its status."""
+        """Wait for the complete answer and return it, whatever its status."""
         pieces = [piece async for piece in self.body()]
         failure = self.failure()
         if failure is not None:
@@ -231,19 +233,22 @@
         return Ok(HttpAnswer(self.status, self.headers, b"".join(pieces)))
 
     def failure(self) -> Failure | None:
-        """Return why the finished exchange brought no whole answer, or None."""
+        """Return the failure of a finished exchange without a complete answer, or None."""
         error = self.future.exception()
         if error is None:
             return None
         message = f"{self.request.method} {self.request.url}: {error}"
-        return Failure(self.verdict(), _code_of(error), message)
+        return Failure(self.verdict(), _error_code(error), message)
 
     def verdict(self) -> Verdict:
-        """Return whether any byte of the request may have left; final once aborted or ended."""
+        """Return whether any byte of the request may have been sent.
+
+        The verdict is final once the exchange is aborted or ended.
+        """
         return Verdict.MAY_HAVE_RUN if self.attempts else Verdict.NOT_RUN
 
 
-def _code_of(error: BaseException) -> ErrorCode:
+def _error_code(error: BaseException) -> ErrorCode:
     if isinstance(error, ClientFullError):
         return ErrorCode.OVERLOADED
     if not isinstance(error, CurlError):
@@ -254,9 +259,9 @@
 
 
 async def send(client: HttpClient, request: HttpRequest) -> Outcome[HttpAnswer]:
-    """Send a request and return the whole answer, whatever its status.
+    """Send a request and return the complete answer, whatever its status.
 
-    Cancelling the caller cuts the connection.
+    Cancelling the caller closes the connection.
     """
     exchange = Exchange(client, request)
     try:
@@ -265,8 +270,8 @@
         exchange.abort()
 
 
-def _shut_down(curl: pycurl.Curl) -> None:
-    """Shut the socket of a transfer, so that libcurl ends it at once."""
+def _shut_down_socket(curl: pycurl.Curl) -> None:
+    """Shut down the socket of a transfer, so that libcurl ends it immediately."""
     descriptor = curl.getinfo(pycurl.ACTIVESOCKET)
     if descriptor < 0:
         return
--- a/waxwingglade/connection/http_answer.py
+++ b/waxwingglade/connection/http_answer.py
@@ -1,4 +1,4 @@
-"""Failures as answers over HTTP: status, Retry-After and body."""
+"""HTTP answers for failures: status, Retry-After and body."""
 
 from http import HTTPStatus
 
@@ -22,7 +22,7 @@
     ErrorCode.TIMEOUT: HTTPStatus.GATEWAY_TIMEOUT,
 }
 OTHER_STATUS = HTTPStatus.SERVICE_UNAVAILABLE
-"""Status of the codes that are not listed: a repeat later may succeed."""
+"""Status of the codes that are not listed: a later retry may succeed."""
 
 RETRY_AFTER_S = {
     ErrorCode.DRAINING: 1.0,
@@ -34,7 +34,7 @@
     ErrorCode.STORE_UNAVAILABLE: 2.0,
     ErrorCode.UNAVAILABLE: 1.0,
 }
-"""Seconds after which a repeat is sensible, where the failure itself names none."""
+"""Seconds after which a client should retry, unless the failure states them itself."""
 
 
 def status_of(failure: Failure) -> HTTPStatus:
@@ -43,10 +43,10 @@
 
 
 def with_retry_after(failure: Failure) -> Failure:
-    """Return the failure with a time to come back, where a repeat helps.
+    """Return the failure with the seconds after which to retry, if a retry may succeed.
 
-    Of a request that may have run only its source can say so: the recorded outcome of a call that
-    may not be repeated stays what it is.
+    If the request may have run, only the source of the failure can state them, since the recorded
+    outcome of a call that may not be repeated does not change.
     """
     if failure.retry_after_s is not None or failure.verdict is not Verdict.NOT_RUN:
         return failure
@@ -56,7 +56,7 @@
 
 
 def retry_after_header(failure: Failure) -> str | None:
-    """Return the Retry-After header, in whole seconds, or None where a repeat does not help."""
+    """Return the Retry-After header in integer seconds, or None if a retry cannot succeed."""
     if failure.retry_after_s is None:
         return None
     return str(max(1, round(failure.retry_after_s)))
--- a/waxwingglade/connection/http_api.py
+++ b/waxwingglade/connection/http_api.py
@@ -1,7 +1,7 @@
 """A JSON interface over HTTP: keys, limits, typed errors and routes.
 
-What an address does is a function for each method; one handler class carries the state of a
-request, whichever function it goes to.
+Each route has a function for each method.  A single handler class holds the state of a request for
+all of them.
 """
 
 import asyncio
@@ -21,17 +21,17 @@
 from waxwingglade.settings import LimitSettings
 
 T = TypeVar("T")
-MOST_DISCARDED = 4
-"""Bodies up to so many times the limit are read and dropped before the refusal is sent.
+DISCARD_LIMIT_FACTOR = 4
+"""Bodies up to this multiple of the limit are read and discarded before the error is sent.
 
-A caller that is still sending would miss an answer that closes the connection.
+Otherwise the connection would be closed while the caller still sends, and it would miss the answer.
 """
 
 
 class Route(msgspec.Struct, frozen=True):
-    """One address: a pattern, and a function for each method.
+    """A route: the pattern of a path, and a function for each method.
 
-    Each function gets the handler and the groups of the pattern.  A `public` address needs no key.
+    Each function gets the handler and the groups of the pattern.  A `public` route needs no key.
     """
 
     pattern: str
@@ -39,20 +39,20 @@
     public: bool = False
 
 
-NOWHERE = Route(".*", {}, public=True)
+UNKNOWN_ROUTE = Route(".*", {}, public=True)
 
 
 class HttpApi(msgspec.Struct, frozen=True):
-    """What the handlers of one interface share.
+    """State shared by the handlers of one interface.
 
     Parameters
     ----------
     limits : LimitSettings
-        Bounds on requests.
+        Limits of requests.
     identify : callable
-        Returns whose token an Authorization header holds, or None.
+        Returns the key whose token is in an Authorization header, or None.
     on_failure : callable
-        Told of every failure that is answered.
+        Called with every failure that is sent as an answer.
     """
 
     limits: LimitSettings
@@ -65,32 +65,32 @@
     """State of one request."""
 
     def initialize(self, api: HttpApi, route: Route) -> None:
-        """Set the state of a new request; called by tornado."""
+        """Initialize the state of a new request; called by tornado."""
         self.api = api
         self.route = route
         self.identity: Any = None
-        self.refusal: Failure | None = None
+        self.rejection: Failure | None = None
         self.body = bytearray()
         self.received = 0
         self.body_read = False
-        self.gone = False
+        self.disconnected = False
         self.running: asyncio.Task | None = None
 
     # --- reading ------------------------------------------------------------------------------
 
     def prepare(self) -> None:
-        """Refuse what its headers show to be unwanted; called by tornado before the body."""
-        # The bound of tornado answers without a body; `data_received` keeps the limit instead.
+        """Reject the request if its headers violate a limit; called by tornado before the body."""
+        # Tornado would enforce its limit without a typed error, so `data_received` enforces it.
         self.request.connection.set_max_body_size(sys.maxsize)
         length = self.request.headers.get("Content-Length", "")
         declared = int(length) if length.isdecimal() else 0
-        self.refusal = (
+        self.rejection = (
             check_headers(self.request.headers, self.api.limits)
             or self._check_key()
             or check_length(declared, self.api.limits)
         )
-        if self.refusal is not None and declared > self._most_discarded():
-            self.fail(self.refusal)
+        if self.rejection is not None and declared > self._max_discarded_bytes():
+            self.fail(self.rejection)
 
     def _check_key(self) -> Failure | None:
         if self.route.public:
@@ -102,30 +102,30 @@
         return Failure(Verdict.NOT_RUN, ErrorCode.UNAUTHENTICATED, text)
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a piece of the body, or drop it once the request is refused; called by tornado."""
+        """Store a piece of the body unless the request is already rejected; called by tornado."""
         self.received += len(chunk)
-        if self.refusal is None:
-            self.refusal = check_length(self.received, self.api.limits)
-        if self.refusal is None:
+        if self.rejection is None:
+            self.rejection = check_length(self.received, self.api.limits)
+        if self.rejection is None:
             self.body += chunk
-        elif self.received > self._most_discarded() and not self._finished:
-            self.fail(self.refusal)
+        elif self.received > self._max_discarded_bytes() and not self._finished:
+            self.fail(self.rejection)
 
-    def _most_discarded(self) -> int:
-        return self.api.limits.body_bytes * MOST_DISCARDED
+    def _max_discarded_bytes(self) -> int:
+        return self.api.limits.body_bytes * DISCARD_LIMIT_FACTOR
 
     def read(self, model: type[T]) -> Outcome[T]:
-        """Return the JSON body as `model`."""
-        deep = check_nesting(self.body, self.api.limits)
-        if deep is not None:
-            return Err(deep)
+        """Return the JSON body decoded as `model`."""
+        failure = check_nesting(self.body, self.api.limits)
+        if failure is not None:
+            return Err(failure)
         try:
             return Ok(msgspec.json.decode(self.body, type=model))
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             return not_run(ErrorCode.BAD_REQUEST, f"the body is not valid: {error}")
 
     def read_or_fail(self, model: type[T]) -> T | None:
-        """Return the JSON body as `model`, or None where it was answered that it is not one."""
+        """Return the JSON body decoded as `model`; if it is invalid, answer so and return None."""
         read = self.read(model)
         if read.is_err():
             self.fail(read.err_value)
@@ -135,12 +135,12 @@
     # --- running ------------------------------------------------------------------------------
 
     async def run(self, *arguments: str) -> None:
-        """Refuse the request, or pass it to the function of its address and method."""
+        """Reject the request, or pass it to the function of its route and method."""
         self.body_read = True
-        if self.refusal is not None:
-            self.fail(self.refusal)
+        if self.rejection is not None:
+            self.fail(self.rejection)
             return
-        # Tornado leaves the body of an answer to HEAD out.
+        # Tornado omits the body of an answer to HEAD.
         method = "GET" if self.request.method == "HEAD" else self.request.method
         endpoint = self.route.endpoints.get(method or "")
         if endpoint is None:
@@ -150,7 +150,7 @@
         try:
             await endpoint(self, *arguments)
         except asyncio.CancelledError:
-            if not self.gone:
+            if not self.disconnected:
                 raise
         finally:
             self.running = None
@@ -158,7 +158,7 @@
     get = head = post = put = patch = delete = options = run
 
     def _fail_unknown(self) -> None:
-        if self.route is NOWHERE:
+        if self.route is UNKNOWN_ROUTE:
             text = f"there is nothing at {self.request.path}"
             self.fail(Failure(Verdict.NOT_RUN, ErrorCode.NOT_FOUND, text))
             return
@@ -168,8 +168,8 @@
         self.fail(failure, HTTPStatus.METHOD_NOT_ALLOWED)
 
     def on_connection_close(self) -> None:
-        """End what serves a caller that has left; calls of programs go on by themselves."""
-        self.gone = True
+        """Cancel the handler of a disconnected caller; calls of programs are not cancelled."""
+        self.disconnected = True
         if self.running is not None:
             self.running.cancel()
 
@@ -182,7 +182,7 @@
         self.finish_json(failure)
 
     def set_failure_headers(self, failure: Failure, status: int | None = None) -> None:
-        """Set status and headers of a failure, and count it."""
+        """Set status and headers of a failure, and report it to `on_failure`."""
         self.api.on_failure(failure)
         self.set_status(status or status_of(failure))
         if not self.body_read:
@@ -193,19 +193,19 @@
             self.set_header("Retry-After", retry_after)
 
     def finish_outcome(self, outcome: Outcome[Any]) -> None:
-        """End the answer with a value, or with the failure."""
+        """Finish the answer with a value or with the failure."""
         if outcome.is_err():
             self.fail(outcome.err_value)
             return
         self.finish_json(outcome.ok_value)
 
     def finish_json(self, value: object) -> None:
-        """End the answer with a JSON body."""
+        """Finish the answer with a JSON body."""
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(value))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer a request that ended in an exception; called by tornado."""
+        """Answer a request whose handling raised an exception; called by tornado."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, HTTPError) and status_code < HTTPStatus.INTERNAL_SERVER_ERROR:
             text = error.log_message or self._reason
@@ -216,7 +216,7 @@
         self.fail(Failure(Verdict.MAY_HAVE_RUN, ErrorCode.INTERNAL, text), status_code)
 
     def log_exception(self, *exception: Any) -> None:
-        """Log what was not foreseen; called by tornado."""
+        """Log an unexpected exception; called by tornado."""
         if isinstance(exception[1], HTTPError):
             return
         logger.opt(exception=exception).error("{} {}", self.request.method, self.request.path)
@@ -228,8 +228,8 @@
     return Application(
         handlers,
         default_handler_class=ApiHandler,
-        default_handler_args={"api": api, "route": NOWHERE},
-        log_function=_log_nothing,
+        default_handler_args={"api": api, "route": UNKNOWN_ROUTE},
+        log_function=_skip_access_log,
     )
 
 
@@ -239,5 +239,5 @@
     return values[-1].decode("utf-8", "replace") if values else default
 
 
-def _log_nothing(_handler: RequestHandler) -> None:
-    """Leave the access log to what serves the request; addresses hold names of programs."""
+def _skip_access_log(_handler: RequestHandler) -> None:
+    """Write no access log, since paths contain names of programs; the handlers log requests."""
--- a/waxwingglade/connection/http_limits.py
+++ b/waxwingglade/connection/http_limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what a request over HTTP may carry."""
+"""Limits of HTTP requests: size of headers and body, and nesting of JSON."""
 
 import re
 
@@ -7,15 +7,15 @@
 from waxwingglade.base import ErrorCode, Failure, Verdict
 from waxwingglade.settings import LimitSettings
 
-# A string is one match, closed or not, so that the search takes linear time.
+# A string is one match, even if it is not terminated, so that the search takes linear time.
 JSON_TOKEN = re.compile(rb'"[^"\\]*+(?:\\.[^"\\]*+)*+"?|[\[\]{}]', re.DOTALL)
 OPENING = b"[{"
 HEADER_OVERHEAD_BYTES = 4
-"""Bytes of a header line beside name and value: colon, space and line end."""
+"""Bytes of a header line in addition to name and value: colon, space and line end."""
 
 
 def check_headers(headers: HTTPHeaders, limits: LimitSettings) -> Failure | None:
-    """Return why the headers are too long, or None."""
+    """Return the failure if the headers are too long, or None."""
     size = sum(len(name) + len(value) + HEADER_OVERHEAD_BYTES for name, value in headers.get_all())
     if size <= limits.header_bytes:
         return None
@@ -24,7 +24,7 @@
 
 
 def check_length(size: int, limits: LimitSettings) -> Failure | None:
-    """Return why a body of `size` bytes is too long, or None."""
+    """Return the failure if a body of `size` bytes is too long, or None."""
     if size <= limits.body_bytes:
         return None
     text = f"the body has more than {limits.body_bytes} bytes"
@@ -32,18 +32,18 @@
 
 
 def check_nesting(body: bytes, limits: LimitSettings) -> Failure | None:
-    """Return why a JSON body is nested too deeply, or None."""
-    # A body with few brackets cannot be deep; most bodies need no closer look.
+    """Return the failure if a JSON body is nested too deeply, or None."""
+    # A body with few brackets cannot be nested deeply, so most bodies need no further check.
     if body.count(b"[") + body.count(b"{") <= limits.nesting:
         return None
-    if depth_beyond(body, limits.nesting):
+    if exceeds_depth(body, limits.nesting):
         text = f"the body is nested more than {limits.nesting} levels deep"
         return Failure(Verdict.NOT_RUN, ErrorCode.BAD_REQUEST, text)
     return None
 
 
-def depth_beyond(body: bytes, limit: int) -> bool:
-    """Return whether brackets outside of strings are nested more than `limit` deep."""
+def exceeds_depth(body: bytes, limit: int) -> bool:
+    """Return whether brackets outside of strings are nested more than `limit` levels deep."""
     depth = 0
     for match in JSON_TOKEN.finditer(body):
         token = match.group()
--- a/waxwingglade/connection/keys.py
+++ b/waxwingglade/connection/keys.py
@@ -1,4 +1,4 @@
-"""Bearer tokens: made here, stored as salted hashes, compared in constant time."""
+"""Bearer tokens: generated randomly, stored as salted hashes, and compared in constant time."""
 
 import hashlib
 import hmac
@@ -16,7 +16,7 @@
 
 
 class StoredKey(Protocol):
-    """What the settings keep of a token."""
+    """Salt and hash of a token, as stored in the settings."""
 
     salt: str
     sha256: str
@@ -26,7 +26,7 @@
 
 
 class NewKey(msgspec.Struct, frozen=True):
-    """A fresh token, and what the settings are to keep of it."""
+    """A new token, with the salt and hash to store in the settings."""
 
     token: str
     salt: str
@@ -34,7 +34,7 @@
 
 
 def new_key() -> NewKey:
-    """Return a fresh random token with its salted hash."""
+    """Return a new random token with its salted hash."""
     token = secrets.token_urlsafe(TOKEN_BYTES)
     salt = secrets.token_hex(SALT_BYTES)
     return NewKey(token, salt, hash_token(salt, token))
@@ -43,18 +43,18 @@
 def hash_token(salt: str, token: str) -> str:
     """Return the salted hash of a token, in hexadecimal.
 
-    Tokens are long and random, so that a fast hash is enough: there is nothing to guess.
+    A fast hash suffices, since tokens are long and random and cannot be guessed.
     """
     return hashlib.sha256(salt.encode() + token.encode()).hexdigest()
 
 
 class KeyRing(Generic[K]):
-    """The keys of an interface, and those whose tokens were seen before.
+    """The keys of an interface, with a cache of keys by token.
 
-    Comparing a token with every key takes a while where there are hundreds, and a caller sends the
-    same token again and again.  What was found is kept under a digest that is keyed by a secret of
-    this process, so that neither the token stays in memory nor the time of a look-up tells anything
-    of it.
+    Comparing a token with each of hundreds of keys takes time, and callers send the same token
+    repeatedly.  The cache stores a found key under a digest that is keyed by a secret of this
+    process.  Therefore the token does not stay in memory, and the time of a lookup reveals nothing
+    about it.
 
     Parameters
     ----------
@@ -65,25 +65,25 @@
     def __init__(self, keys: Iterable[K]) -> None:
         self.keys = list(keys)
         self.secret = secrets.token_bytes(SECRET_BYTES)
-        self.seen: dict[bytes, K] = {}
+        self.found_keys: dict[bytes, K] = {}
 
     def find(self, header: str) -> K | None:
         """Return the key whose token is in an Authorization header."""
         digest = hashlib.blake2b(header.encode(), key=self.secret).digest()
-        found = self.seen.get(digest)
+        found = self.found_keys.get(digest)
         if found is not None:
             return found
         found = find_key(self.keys, header)
         if found is not None:
-            # Only tokens that fit are kept, so there are no more than keys.
-            self.seen[digest] = found
+            # Only valid tokens are cached, so the cache is no larger than the number of keys.
+            self.found_keys[digest] = found
         return found
 
 
 def find_key(keys: Iterable[K], header: str) -> K | None:
     """Return the key whose token is in an Authorization header.
 
-    Every key is compared, and each in constant time, so that the time taken tells nothing.
+    Every key is compared, each in constant time, so that the duration reveals nothing.
     """
     token = bearer_token([header])
     if token is None:
--- a/waxwingglade/connection/operator.py
+++ b/waxwingglade/connection/operator.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface, and what each role may do."""
+"""The HTTP interface for operators, and the check of their roles."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
@@ -15,22 +15,22 @@
 Endpoint = Callable[..., Awaitable[None]]
 
 
-def require_role(least: Role, endpoint: Endpoint) -> Endpoint:
-    """Return the endpoint for operators of a role or one that includes it."""
+def require_role(minimum: Role, endpoint: Endpoint) -> Endpoint:
+    """Return the endpoint with a check that the operator's role is or includes `minimum`."""
 
-    async def checked(handler: ApiHandler, *arguments: str) -> None:
+    async def check_role(handler: ApiHandler, *arguments: str) -> None:
         role = handler.identity.role
-        if ROLE_ORDER.index(role) < ROLE_ORDER.index(least):
-            text = f"this needs the role {least.value}, yours is {role.value}"
+        if ROLE_ORDER.index(role) < ROLE_ORDER.index(minimum):
+            text = f"this needs the role {minimum.value}, yours is {role.value}"
             handler.fail(Failure(Verdict.NOT_RUN, ErrorCode.FORBIDDEN, text))
             return
         await endpoint(handler, *arguments)
 
-    return checked
+    return check_role
 
 
 def operator_of(handler: ApiHandler) -> OperatorId:
-    """Return the operator whose key the request carries."""
+    """Return the operator of the key that authenticated the request."""
     key: OperatorKey = handler.identity
     return OperatorId(key.operator)
 
@@ -40,16 +40,16 @@
     routes: Sequence[Route],
     on_failure: Callable[[Failure], None] = lambda _: None,
 ) -> Application:
-    """Return the operators' HTTP application.
+    """Return the HTTP application for operators.
 
     Parameters
     ----------
     settings : ProcessSettings
         Keys and limits.
     routes : sequence of Route
-        The addresses, each endpoint guarded by `require_role`.
+        The routes, whose endpoints are wrapped by `require_role`.
     on_failure : callable
-        Told of every failure that is answered.
+        Called with every failure that is sent as an answer.
     """
     api = HttpApi(settings.limits, KeyRing(settings.operator_keys).find, on_failure)
     return http_application(api, routes)
--- a/waxwingglade/connection/operator_messages.py
+++ b/waxwingglade/connection/operator_messages.py
@@ -1,4 +1,4 @@
-"""What operators send and get over HTTP; the command line uses the same messages."""
+"""Requests of operators over HTTP and their answers; the command line uses them, too."""
 
 from typing import Any
 
@@ -43,7 +43,7 @@
 
 
 class PeerStatus(msgspec.Struct):
-    """One entry as another sees it; `heard_s_ago` is None for the entry itself."""
+    """The view that an entry has of a peer; `heard_s_ago` is None for the entry itself."""
 
     entry: str
     zone: str
@@ -64,7 +64,7 @@
 
 
 class TargetStatus(msgspec.Struct):
-    """One target as the entry sees it."""
+    """The view that the entry has of one target."""
 
     target: str
     kind: str
@@ -91,7 +91,7 @@
 
 
 class DesiredState(msgspec.Struct):
-    """What operators want of a target; an empty role is left as it is."""
+    """The state of a target that operators request; an empty role means no change."""
 
     models: list[str]
     adapters: list[str] = []
@@ -101,7 +101,7 @@
 class SetTargetBody(msgspec.Struct, forbid_unknown_fields=True):
     """Body of ``PUT /v1/targets/{target}``.
 
-    Without a base version, the present one is taken.
+    Without a base version, the change applies to the current one.
     """
 
     models: list[str]
@@ -111,9 +111,9 @@
 
 
 class DesiredView(msgspec.Struct):
-    """A model engine and what operators want of it; None where they ask for nothing.
+    """A model engine and the state that operators request of it, or None if they request none.
 
-    Version, proposer and time are those of the last change in the zone.
+    Version, proposer and time refer to the last change in the zone.
     """
 
     target: str
@@ -131,7 +131,7 @@
 
 
 class ReadBack(msgspec.Struct):
-    """What was read back from a target; nothing is known of one that has no `serving`."""
+    """State read back from a target; it is unknown if `serving` is None."""
 
     target: str
     agrees: bool
@@ -143,7 +143,7 @@
 
 
 class OrdersStatus(msgspec.Struct):
-    """Answer to ``GET /v1/orders``: who gives the zone's orders, and what became of them."""
+    """Answer to ``GET /v1/orders``: which entry sends the orders of the zone, and the results."""
 
     zone: str
     holder: str | None
@@ -168,7 +168,7 @@
 
 
 class ProposeBody(msgspec.Struct, forbid_unknown_fields=True):
-    """Body of ``POST /v1/config/proposals``; without a base, the version in force is taken."""
+    """Body of ``POST /v1/config/proposals``; without a base, the version in force is used."""
 
     changes: list[Change]
     id: ProposalId | None = None
@@ -188,7 +188,7 @@
 
 
 class ProposalView(msgspec.Struct):
-    """A proposal with the digest by which it is approved, and what it still waits for."""
+    """A proposal, the digest needed to approve it, and the conditions it still waits for."""
 
     proposal: Proposal
     text_digest: str
@@ -208,7 +208,7 @@
 
 
 class Accepted(msgspec.Struct):
-    """Answer to an order that is carried out later."""
+    """Answer to a request that is carried out later."""
 
     accepted: bool = True
 
--- a/waxwingglade/connection/operator_programs.py
+++ b/waxwingglade/connection/operator_programs.py
@@ -1,4 +1,4 @@
-"""The operators' addresses for programs of all tenants."""
+"""Routes for operators: programs of all tenants."""
 
 import functools
 
@@ -10,7 +10,7 @@
     answer_list,
     check_class,
 )
-from waxwingglade.connection.caller_stream import Serve, outcome_of, undisturbed
+from waxwingglade.connection.caller_stream import Serve, outcome_of, run_to_completion
 from waxwingglade.connection.http_api import ApiHandler, Route, query
 from waxwingglade.connection.operator import require_role
 from waxwingglade.connection.operator_messages import CancelBody, History, NewTenantProgram
@@ -24,7 +24,7 @@
 
 
 def operator_program_routes(serve: Serve) -> list[Route]:
-    """Return the addresses of programs, which `serve` answers."""
+    """Return the routes of programs, whose requests `serve` processes."""
     program = r"/v1/programs/([^/]+)"
     return [
         Route(
@@ -55,15 +55,15 @@
     body = handler.read_or_fail(NewTenantProgram)
     if body is None:
         return
-    wrong = check_class(body.program_class) or check_class(body.tenant)
-    if wrong is not None:
-        handler.fail(wrong)
+    failure = check_class(body.program_class) or check_class(body.tenant)
+    if failure is not None:
+        handler.fail(failure)
         return
     await answer_create(serve, handler, body.tenant, body)
 
 
 async def _show(serve: Serve, handler: ApiHandler, program: str) -> None:
-    """Show a program without what was said in it."""
+    """Return a program without its messages and texts."""
     view = await _read(serve, handler, program)
     if view is not None:
         handler.finish_json(without_texts(view))
@@ -89,7 +89,7 @@
     if body is None:
         return
     message = EndProgram(None, ProgramId(program), body.reason)
-    view = await outcome_of(undisturbed(serve(message)))
+    view = await outcome_of(run_to_completion(serve(message)))
     if isinstance(view, Failure):
         handler.fail(view)
         return
@@ -98,7 +98,7 @@
 
 
 def without_texts(view: ProgramView) -> ProgramView:
-    """Return a program without its messages and the texts and results of its calls."""
+    """Return a view without messages, and without texts and results of calls."""
     calls = [
         msgspec.structs.replace(call, outcome=_without_text(call.outcome)) for call in view.calls
     ]
--- a/waxwingglade/connection/target_messages.py
+++ b/waxwingglade/connection/target_messages.py
@@ -1,4 +1,4 @@
-"""What entries of a zone tell each other of targets, and of the cache on them."""
+"""Messages between entries about targets and about the caches on them."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class TargetLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Load of one target as it was `age_s` seconds before the message was sent."""
+    """Load of one target `age_s` seconds before the message was sent."""
 
     target: TargetId
     running: int
@@ -25,25 +25,25 @@
 
 
 class TargetReport(msgspec.Struct, frozen=True, array_like=True):
-    """What the entry that gives the zone's orders read back from one target.
+    """State of one target, as read back by the entry that sends the orders of the zone.
 
     Parameters
     ----------
     target : TargetId
         The target.
     fencing, number : int
-        Fencing number of the sender and number of the report at it; a higher pair is newer.
+        Fencing number of the sender and its number of the report; a higher pair is newer.
     serving : list of str or None
-        Models and adapters for which the target may get calls; None where operators ask for
-        nothing, so that those of the settings hold.
+        Models and adapters for which the target may receive calls; None if operators requested
+        no state, so that the settings apply.
     models, adapters : list of str
-        What is loaded.
+        Names of what is loaded.
     role : str
-        Its role.
+        Role of the target.
     agrees : bool
-        Whether the state is the one that operators asked for.
+        Whether the state is the one that operators requested.
     note : str
-        What is waited for, or went wrong.
+        What the target still waits for, or what failed.
     """
 
     target: TargetId
@@ -58,22 +58,22 @@
 
 
 class TargetReports(msgspec.Struct, frozen=True, tag="target_reports", array_like=True):
-    """States of targets that changed since the receiver's last answer to the sender."""
+    """States of targets that changed since the receiver last answered the sender."""
 
     reports: list[TargetReport]
 
 
 class CheckPrograms(msgspec.Struct, frozen=True, tag="check_programs", array_like=True):
-    """Ask the owner of logs which of these programs may let their targets' cache go."""
+    """Ask the owner of logs for which of these programs the cache on targets may be released."""
 
     programs: list[ProgramId]
 
 
 class ProgramsChecked(msgspec.Struct, frozen=True, tag="programs_checked", array_like=True):
-    """Programs that ended, or that the owner of their log does not know."""
+    """Programs that ended, or that are unknown to the owner of their log."""
 
     done: list[ProgramId]
 
 
 class Noted(msgspec.Struct, frozen=True, tag="noted", array_like=True):
-    """The message was taken in."""
+    """The message was processed."""
--- a/waxwingglade/connection/tests/test_caller.py
+++ b/waxwingglade/connection/tests/test_caller.py
@@ -7,7 +7,7 @@
 
 from waxwingglade.base import Failure, Verdict
 from waxwingglade.connection.api_client import ApiClient
-from waxwingglade.connection.http_limits import check_nesting, depth_beyond
+from waxwingglade.connection.http_limits import check_nesting, exceeds_depth
 from waxwingglade.connection.keys import KeyRing, find_key, new_key
 from waxwingglade.connection.peer_messages import EntryState
 from waxwingglade.connection.tests.caller_builders import (
@@ -117,7 +117,7 @@
             self.assertEqual("a", ring.find(f"Bearer {key.token}").tenant)
             self.assertIsNone(ring.find(f"Bearer {key.token}x"))
             self.assertIsNone(ring.find(key.token))
-        self.assertEqual(1, len(ring.seen))
+        self.assertEqual(1, len(ring.found_keys))
 
     async def test_no_tenant_reaches_the_program_of_another(self):
         async with system() as (running, http):
@@ -148,9 +148,9 @@
 
 class Limits(unittest.TestCase):
     def test_brackets_in_strings_do_not_count(self):
-        self.assertFalse(depth_beyond(b'{"a": "[[[[[[\\"[[["}', 1))
-        self.assertTrue(depth_beyond(b"[[[]]]", 2))
-        self.assertFalse(depth_beyond(b"[[],[],[]]", 2))
+        self.assertFalse(exceeds_depth(b'{"a": "[[[[[[\\"[[["}', 1))
+        self.assertTrue(exceeds_depth(b"[[[]]]", 2))
+        self.assertFalse(exceeds_depth(b"[[],[],[]]", 2))
         self.assertIsNone(check_nesting(b"[" * 4, LimitSettings(nesting=4)))
         self.assertIsNotNone(check_nesting(b"[" * 5, LimitSettings(nesting=4)))
 
--- a/waxwingglade/connection/tests/test_cancel.py
+++ b/waxwingglade/connection/tests/test_cancel.py
@@ -4,7 +4,7 @@
 import unittest
 from collections.abc import Awaitable, Callable
 
-from waxwingglade.connection.engine import _Stream
+from waxwingglade.connection.engine import _AnswerStream
 from waxwingglade.connection.engine_events import StreamTimeouts
 from waxwingglade.connection.http import Exchange, HttpRequest
 from waxwingglade.connection.peer import _next_answer
@@ -54,6 +54,6 @@
     async def test_a_wait_for_an_engine_is_cancelled_though_a_piece_comes(self):
         for steps in range(MOST_STEPS):
             pieces = Pieces()
-            wait = _Stream(pieces, StreamTimeouts()).next_events()
+            wait = _AnswerStream(pieces, StreamTimeouts()).next_events()
             noticed = await is_cancelled(wait, lambda p=pieces: p.pieces.put_nowait(b"x"), steps)
             self.assertTrue(noticed, f"lost {steps} steps after the piece")
--- a/waxwingglade/connection/tests/test_engine_sse.py
+++ b/waxwingglade/connection/tests/test_engine_sse.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from waxwingglade.base import FormatError
-from waxwingglade.connection.engine_sse import LONGEST_EVENT, EventDecoder
+from waxwingglade.connection.engine_sse import MAX_LINE_CHARS, EventDecoder
 from waxwingglade.connection.tests.target_builders import FIXED
 
 LINE_ENDS = ("\n", "\r\n", "\r")
@@ -50,7 +50,7 @@
 
     def test_endless_line_is_refused(self) -> None:
         decoder = EventDecoder()
-        decoder.feed(b"data: " + b"x" * (LONGEST_EVENT - 6))
+        decoder.feed(b"data: " + b"x" * (MAX_LINE_CHARS - 6))
         with self.assertRaises(FormatError):
             decoder.feed(b"x")
 
--- a/waxwingglade/connection/tool.py
+++ b/waxwingglade/connection/tool.py
@@ -1,4 +1,4 @@
-"""The adapter for plain services: calls of tools, and what became of them."""
+"""Adapter for services: calls of tools, and their recorded outcomes."""
 
 from http import HTTPStatus
 from typing import Any
@@ -10,10 +10,10 @@
 from waxwingglade.connection.http import HttpAnswer, HttpClient, HttpRequest, send
 from waxwingglade.settings import TargetSettings, ToolSettings
 
-ASK_TIMEOUT_S = 5.0
+OUTCOME_TIMEOUT_S = 5.0
 KEY_HEADER = "Idempotency-Key"
 FENCING_HEADER = "X-Fencing-Number"
-SHOWN_BYTES = 200
+MAX_SHOWN_BYTES = 200
 
 
 class ToolAnswer(msgspec.Struct, frozen=True):
@@ -30,7 +30,7 @@
 
 
 class WireOutcome(msgspec.Struct, frozen=True):
-    """Body of an answer about an earlier call."""
+    """Body of an answer about the outcome of an earlier call."""
 
     found: bool
     result: Any = None
@@ -46,22 +46,22 @@
     fencing: int,
     timeout_s: float,
 ) -> Outcome[ToolAnswer]:
-    """Call a tool once; the adapter repeats nothing.
+    """Call a tool once, without retries.
 
     Parameters
     ----------
     client : HttpClient
-        Shared client.
+        The shared HTTP client.
     target, tool : TargetSettings, ToolSettings
-        Where to.
+        The service and its tool.
     key : str
-        Idempotency key, the same whenever the same call is made again.
+        Idempotency key, which is the same for all attempts of a call.
     arguments : dict
-        JSON arguments.
+        Arguments of the call, encoded as JSON.
     fencing : int
-        Fencing number of the caller's lease.
+        Fencing number of the lease of the caller.
     timeout_s : float
-        Seconds for the whole call.
+        Timeout of the complete call, in seconds.
     """
     request = HttpRequest(
         "POST",
@@ -70,35 +70,35 @@
         body=msgspec.json.encode(arguments),
         timeout_s=timeout_s,
     )
-    return (await send(client, request)).and_then(_answer_of)
+    return (await send(client, request)).and_then(_decode_answer)
 
 
 async def ask_outcome(
     client: HttpClient, target: TargetSettings, tool: ToolSettings, key: str
 ) -> Outcome[ToolAnswer | None]:
-    """Ask what became of the call with `key`.
+    """Request the outcome of the call with `key`.
 
-    None says that it had not run by then; a call still on its way may yet run.
+    None means that the call had not run yet; a call that is still in transit may run later.
     """
     request = HttpRequest(
         "GET",
         f"{target.url}{tool.path}/outcome/{quote(key, safe='')}",
-        timeout_s=ASK_TIMEOUT_S,
+        timeout_s=OUTCOME_TIMEOUT_S,
         repeatable=True,
     )
-    return (await send(client, request)).and_then(_earlier_answer_of)
+    return (await send(client, request)).and_then(_decode_outcome)
 
 
-def _answer_of(answer: HttpAnswer) -> Outcome[ToolAnswer]:
+def _decode_answer(answer: HttpAnswer) -> Outcome[ToolAnswer]:
     if answer.status != HTTPStatus.OK:
-        return Err(_failure_of(answer))
+        return Err(_decode_failure(answer))
     try:
         return Ok(msgspec.json.decode(answer.body, type=ToolAnswer))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return may_have_run(ErrorCode.TARGET_FAILED, f"service sent garbage: {error}")
 
 
-def _earlier_answer_of(answer: HttpAnswer) -> Outcome[ToolAnswer | None]:
+def _decode_outcome(answer: HttpAnswer) -> Outcome[ToolAnswer | None]:
     if answer.status != HTTPStatus.OK:
         return may_have_run(ErrorCode.TARGET_FAILED, f"service answered {answer.status}")
     try:
@@ -108,9 +108,12 @@
     return Ok(ToolAnswer(outcome.result) if outcome.found else None)
 
 
-def _failure_of(answer: HttpAnswer) -> Failure:
-    """Return the failure that an error status means; only the service's own word is believed."""
-    shown = answer.body[:SHOWN_BYTES].decode("utf-8", "replace")
+def _decode_failure(answer: HttpAnswer) -> Failure:
+    """Return the failure that an error status stands for.
+
+    Its verdict is another than "may have run" only if the service reports that explicitly.
+    """
+    shown = answer.body[:MAX_SHOWN_BYTES].decode("utf-8", "replace")
     message = f"service answered {answer.status}: {shown}"
     try:
         wire = msgspec.json.decode(answer.body, type=WireFailure)
