--- a/waxwingglade/connection/tests/caller_builders.py
+++ b/waxwingglade/connection/tests/caller_builders.py
@@ -25,13 +25,13 @@
 
 
 def client(running: Embedded, http: HttpClient, entry: int = 0, tenant: str = "kettu") -> ApiClient:
-    """Return a caller of one entry."""
+    """Return a client of one entry."""
     return ApiClient(http, running.urls[entry], running.tokens[tenant])
 
 
 @contextlib.asynccontextmanager
 async def system(zones: int = 1, **overrides: Any) -> AsyncIterator[tuple[Embedded, HttpClient]]:
-    """Run entries in as many zones, and an HTTP client."""
+    """Run one entry in each of a number of zones, and an HTTP client."""
     names = tuple(f"helsinki-{number + 1}" for number in range(zones))
     settings = EmbeddedSettings(names, tenants=TENANTS)
     http = HttpClient()
@@ -44,7 +44,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(serve: Serve) -> AsyncIterator[ApiClient]:
-    """Run the callers' interface over a function that serves requests, and a caller of it."""
+    """Run the interface for callers on top of a function that serves requests, and a client."""
     key = new_key()
     settings = ProcessSettings(
         "entry-1", "helsinki-1", caller_keys=[CallerKey("kettu", key.salt, key.sha256)]
--- a/waxwingglade/connection/tests/target_builders.py
+++ b/waxwingglade/connection/tests/target_builders.py
@@ -1,4 +1,4 @@
-"""Test data for the adapters: settings, requests and a server that answers byte by byte."""
+"""Test data for the adapters: settings, requests and a server with scripted answers."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -17,9 +17,9 @@
 PROGRAM = ProgramId("zone-a.entry-1.abc.1.def")
 MODEL = ModelName("small")
 BOOKING = ToolSettings("booking", "/booking", answers_by_key=True)
-# The same examples in every run, and no limit on the time of one.
+# The same examples in each run, without a time limit for an example.
 FIXED = settings(derandomize=True, deadline=None)
-PATIENCE_S = 20.0
+TEST_TIMEOUT_S = 20.0
 OK_STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
 
 
@@ -67,32 +67,32 @@
     return b"data: " + msgspec.json.encode({"choices": [choice]}) + b"\n\n"
 
 
-async def patiently(awaitable: Awaitable[T]) -> T:
-    """Return the result of `awaitable`; what never comes fails the test instead of hanging it."""
-    return await asyncio.wait_for(awaitable, PATIENCE_S)
+async def with_timeout(awaitable: Awaitable[T]) -> T:
+    """Return the result of `awaitable`; fails the test after `TEST_TIMEOUT_S`."""
+    return await asyncio.wait_for(awaitable, TEST_TIMEOUT_S)
 
 
 async def until(condition: Callable[[], object]) -> None:
     """Wait until `condition` holds."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.001)
 
 
 async def collect(events: AsyncIterator[EngineEvent]) -> tuple[str, EngineEvent]:
-    """Return the text of a stream and its last event, and check that it is the only such."""
-    async with asyncio.timeout(PATIENCE_S):
+    """Return text and last event of a stream; check that all other events are deltas."""
+    async with asyncio.timeout(TEST_TIMEOUT_S):
         found = [each async for each in events]
     assert not any(not isinstance(each, EngineDelta) for each in found[:-1]), found
     return "".join(each.text for each in found[:-1]), found[-1]
 
 
 class ScriptedServer:
-    """Answers the requests it gets with the next bytes of a script.
+    """Answers each request with the next bytes of a script.
 
-    An empty answer cuts the connection before the first byte.  Answers that do not end with `close`
-    keep it open.  `requests` counts what arrived, `paths` names it, and `closed` is set when a
-    caller hangs up.
+    An empty answer closes the connection before the first byte.  Unless `close` is set, other
+    answers leave the connection open.  `requests` is the number of received requests, `paths` lists
+    their paths, `asked` is set by a request, and `closed` is set when a caller disconnects.
     """
 
     def __init__(self, *script: bytes, close: bool = True) -> None:
--- a/waxwingglade/connection/tests/test_caller.py
+++ b/waxwingglade/connection/tests/test_caller.py
@@ -1,4 +1,4 @@
-"""The callers' interface: errors, limits, isolation, listing, broken streams, health."""
+"""Interface for callers: errors, limits, isolation, listing, interrupted streams and health."""
 
 import asyncio
 import unittest
@@ -43,7 +43,7 @@
 
 
 class Errors(unittest.IsolatedAsyncioTestCase):
-    async def test_bodies_that_make_no_sense_are_refused_as_not_run(self):
+    async def test_invalid_bodies_are_rejected_as_not_run(self):
         async with system() as (running, http):
             caller = client(running, http)
             program = await create(caller)
@@ -54,7 +54,7 @@
             view = await caller.json("GET", f"/v1/programs/{program}")
             self.assertEqual([], view["calls"])
 
-    async def test_addresses_methods_and_arguments_that_do_not_exist(self):
+    async def test_unknown_paths_methods_and_invalid_arguments(self):
         async with system() as (running, http):
             caller = client(running, http)
             cases = [
@@ -72,7 +72,7 @@
                     answer = await caller.send(method, path)
                     self.assert_failure(answer, status, code)
 
-    async def test_a_long_body_and_long_headers_are_refused(self):
+    async def test_a_long_body_and_long_headers_are_rejected(self):
         limits = LimitSettings(body_bytes=2048, header_bytes=1024)
         async with system(limits=limits) as (running, http):
             caller = client(running, http)
@@ -83,7 +83,7 @@
             self.assert_failure(answer, 413, "too_large")
             self.assertEqual(200, (await caller.send("GET", "/v1/programs")).status)
 
-    async def test_a_refusal_for_overload_says_when_to_come_back(self):
+    async def test_a_rejection_by_a_draining_entry_says_when_to_retry(self):
         async with system() as (running, http):
             running.daemons[0].entry.members.state = EntryState.DRAINING
             caller = client(running, http)
@@ -139,7 +139,7 @@
             view = await owner.json("GET", f"/v1/programs/{program}")
             self.assertEqual(("open", 1), (view["state"], len(view["calls"])))
 
-    async def test_a_missing_or_wrong_token_is_refused(self):
+    async def test_a_missing_or_wrong_token_is_rejected(self):
         async with system() as (running, http):
             for token in ("", "wrong", running.keys["kettu"].sha256):
                 answer = await ApiClient(http, running.urls[0], token).send("GET", "/v1/programs")
@@ -169,7 +169,7 @@
             ended = await callers[1].json("GET", "/v1/programs?state=ended")
             self.assertEqual([listed[0]], [each["program"] for each in ended["programs"]])
 
-    async def test_an_entry_that_does_not_answer_is_named(self):
+    async def test_an_entry_that_does_not_answer_is_reported(self):
         async with system(zones=2) as (running, http):
             await create(client(running, http, 0))
             await running.daemons[1].peer_server.stop()
@@ -179,15 +179,15 @@
 
 
 class Streams(unittest.IsolatedAsyncioTestCase):
-    async def test_a_stream_that_breaks_off_says_so(self):
+    async def test_an_interrupted_stream_ends_with_a_failure(self):
         for error in (None, RuntimeError("planted")):
             with self.subTest(error=error):
-                events = await self.events_of(breaking_stream(error))
+                events = await self.events_of(interrupted_stream(error))
                 self.assertEqual(["delta", "failure"], [event["type"] for event in events])
                 self.assertEqual("may_have_run", events[-1]["verdict"])
                 self.assertIsNotNone(events[-1]["retry_after_s"])
 
-    async def test_a_caller_that_leaves_ends_what_serves_it(self):
+    async def test_a_disconnected_caller_ends_its_request(self):
         closed = asyncio.Event()
 
         async def endless(_request):
@@ -210,7 +210,7 @@
 
 
 class Health(unittest.IsolatedAsyncioTestCase):
-    async def test_an_entry_that_drains_is_alive_but_not_ready(self):
+    async def test_a_draining_entry_is_alive_but_not_ready(self):
         async with system() as (running, http):
             anyone = ApiClient(http, running.urls[0], "")
             self.assertEqual(200, (await anyone.send("GET", "/readyz")).status)
@@ -221,8 +221,8 @@
             self.assertEqual((200, b""), (head.status, head.body))
 
 
-def breaking_stream(error):
-    """Return a server of requests whose answer breaks off, with an exception or without."""
+def interrupted_stream(error):
+    """Return a function whose answer ends without an outcome, with or without an exception."""
 
     async def serve(_request):
         yield Delta(0, "text")
--- a/waxwingglade/connection/tests/test_cancel.py
+++ b/waxwingglade/connection/tests/test_cancel.py
@@ -1,4 +1,8 @@
-"""Cancellations that come at the very moment of an answer."""
+"""Cancellations that coincide with an answer.
+
+Guards against a lost cancellation, which happens if the answer arrives in almost the same iteration
+of the event loop.
+"""
 
 import asyncio
 import unittest
@@ -10,32 +14,35 @@
 from waxwingglade.connection.peer import _next_answer
 from waxwingglade.connection.peer_messages import PROTOCOL_VERSION, Envelope, Noted
 
-PATIENCE_S = 60.0
-MOST_STEPS = 6
-"""Steps of the event loop within which a waiting task has surely taken what came."""
+TEST_TIMEOUT_S = 60.0
+MAX_STEPS = 6
+"""Iterations of the event loop within which a waiting task has certainly processed an answer."""
 
 
-class Pieces:
-    """The part of an exchange that a stream reads from."""
+class FakeExchange:
+    """The part of an exchange from which a stream reads."""
 
     next_piece = Exchange.next_piece
 
     def __init__(self) -> None:
-        self.request = HttpRequest("POST", "http://127.0.0.1:1", timeout_s=PATIENCE_S)
+        self.request = HttpRequest("POST", "http://127.0.0.1:1", timeout_s=TEST_TIMEOUT_S)
         self.status = 200
         self.pieces: asyncio.Queue[bytes] = asyncio.Queue()
 
 
-async def is_cancelled(wait: Awaitable, answer: Callable[[], None], steps: int) -> bool:
-    """Cancel a wait `steps` steps after its answer came; return whether it noticed in time."""
+async def handles_cancel(wait: Awaitable, answer: Callable[[], None], steps: int) -> bool:
+    """Cancel a wait `steps` iterations after its answer; return whether it handles that correctly.
+
+    It may end as cancelled, or with its answer if it had that before the cancellation.
+    """
     task = asyncio.ensure_future(wait)
-    for _ in range(MOST_STEPS):
+    for _ in range(MAX_STEPS):
         await asyncio.sleep(0)
     answer()
     for _ in range(steps):
         await asyncio.sleep(0)
     if not task.cancel():
-        # It had its answer before the cancellation, and must not have failed instead.
+        # The task had its answer before the cancellation, and must not have failed.
         task.result()
         return True
     await asyncio.wait([task])
@@ -43,17 +50,19 @@
 
 
 class CancelWithAnswer(unittest.IsolatedAsyncioTestCase):
-    async def test_a_wait_for_a_peer_is_cancelled_though_the_answer_comes(self):
-        for steps in range(MOST_STEPS):
+    async def test_a_wait_for_a_peer_is_cancelled_when_the_answer_arrives(self):
+        for steps in range(MAX_STEPS):
             answers: asyncio.Queue[Envelope] = asyncio.Queue()
             envelope = Envelope(PROTOCOL_VERSION, 1, "", Noted())
-            wait = _next_answer(answers, PATIENCE_S, lambda: True)
-            noticed = await is_cancelled(wait, lambda q=answers, e=envelope: q.put_nowait(e), steps)
-            self.assertTrue(noticed, f"lost {steps} steps after the answer")
+            wait = _next_answer(answers, TEST_TIMEOUT_S, lambda: True)
+            handled = await handles_cancel(
+                wait, lambda q=answers, e=envelope: q.put_nowait(e), steps
+            )
+            self.assertTrue(handled, f"cancellation lost {steps} steps after the answer")
 
-    async def test_a_wait_for_an_engine_is_cancelled_though_a_piece_comes(self):
-        for steps in range(MOST_STEPS):
-            pieces = Pieces()
+    async def test_a_wait_for_an_engine_is_cancelled_when_a_piece_arrives(self):
+        for steps in range(MAX_STEPS):
+            pieces = FakeExchange()
             wait = _AnswerStream(pieces, StreamTimeouts()).next_events()
-            noticed = await is_cancelled(wait, lambda p=pieces: p.pieces.put_nowait(b"x"), steps)
-            self.assertTrue(noticed, f"lost {steps} steps after the piece")
+            handled = await handles_cancel(wait, lambda p=pieces: p.pieces.put_nowait(b"x"), steps)
+            self.assertTrue(handled, f"cancellation lost {steps} steps after the piece")
--- a/waxwingglade/connection/tests/test_chat.py
+++ b/waxwingglade/connection/tests/test_chat.py
@@ -1,4 +1,4 @@
-"""The usual chat-completions format, used by the ordinary client from the package registry."""
+"""The common chat-completions format, as used by the client library of OpenAI."""
 
 import asyncio
 import contextlib
@@ -34,8 +34,8 @@
 
 
 @contextlib.asynccontextmanager
-async def ordinary(running, entry=0, tenant="kettu"):
-    """Run the ordinary client against one entry."""
+async def openai_client(running, entry=0, tenant="kettu"):
+    """Run a client of the library against one entry."""
     url, token = running.urls[entry], running.tokens[tenant]
     async with openai.AsyncOpenAI(base_url=f"{url}/v1", api_key=token, max_retries=0) as found:
         yield found
@@ -43,7 +43,7 @@
 
 class OneCall(unittest.IsolatedAsyncioTestCase):
     async def test_a_program_is_created_for_the_call_and_ended_after_it(self):
-        async with system() as (running, _), ordinary(running) as chat:
+        async with system() as (running, _), openai_client(running) as chat:
             answer = await chat.chat.completions.create(
                 model=MODEL, messages=[user("hello")], max_tokens=20, temperature=0.3
             )
@@ -55,10 +55,10 @@
             await wait_until(lambda: states[0].ended is not None)
             self.assertEqual(1, len(states))
 
-    async def test_a_stream_brings_the_same_text(self):
-        async with system(zones=2) as (running, _), ordinary(running) as chat:
+    async def test_a_stream_has_the_same_text(self):
+        async with system(zones=2) as (running, _), openai_client(running) as chat:
             messages = [user("hello")]
-            whole = await chat.chat.completions.create(model=MODEL, messages=messages)
+            complete = await chat.chat.completions.create(model=MODEL, messages=messages)
             stream = await chat.chat.completions.create(
                 model=MODEL,
                 messages=messages,
@@ -69,12 +69,12 @@
             text = "".join(
                 chunk.choices[0].delta.content or "" for chunk in chunks if chunk.choices
             )
-            self.assertEqual(whole.choices[0].message.content, text)
+            self.assertEqual(complete.choices[0].message.content, text)
             self.assertEqual("stop", chunks[-2].choices[0].finish_reason)
-            self.assertEqual(whole.usage, chunks[-1].usage)
+            self.assertEqual(complete.usage, chunks[-1].usage)
 
-    async def test_a_repeat_by_the_same_call_id_gets_the_recorded_answer(self):
-        async with system() as (running, _), ordinary(running) as chat:
+    async def test_a_retry_with_the_same_call_id_gets_the_recorded_answer(self):
+        async with system() as (running, _), openai_client(running) as chat:
             headers = {"X-Call-Id": "call-1"}
             answers = [
                 await chat.chat.completions.create(
@@ -85,8 +85,8 @@
             self.assertEqual(*(answer.choices[0].message for answer in answers))
             self.assertEqual(1, sum(len(engine.records) for engine in running.engines))
 
-    async def test_what_cannot_be_served_is_refused(self):
-        async with system() as (running, _), ordinary(running) as chat:
+    async def test_unsupported_requests_are_rejected(self):
+        async with system() as (running, _), openai_client(running) as chat:
             cases = [
                 {"n": 2},
                 {"tools": [{"type": "function", "function": {"name": "f"}}]},
@@ -99,7 +99,7 @@
                 with self.subTest(case), self.assertRaises(openai.BadRequestError) as caught:
                     await chat.chat.completions.create(**arguments)
                 self.assertEqual("not_run", caught.exception.body["verdict"])
-            async with ordinary(running) as stranger:
+            async with openai_client(running) as stranger:
                 stranger.api_key = "wrong"
                 with self.assertRaises(openai.AuthenticationError):
                     await stranger.chat.completions.create(model=MODEL, messages=[user("hello")])
@@ -110,7 +110,7 @@
 
 class WithProgram(unittest.IsolatedAsyncioTestCase):
     async def test_the_messages_extend_the_history(self):
-        async with system(zones=2) as (running, http), ordinary(running, 1) as chat:
+        async with system(zones=2) as (running, http), openai_client(running, 1) as chat:
             caller = client(running, http, 0)
             program = await create(caller)
             headers = {"X-Program-Id": program}
@@ -127,12 +127,12 @@
             self.assertEqual("open", view["state"])
 
     async def test_other_messages_than_the_history_are_a_conflict(self):
-        async with system() as (running, http), ordinary(running) as chat:
+        async with system() as (running, http), openai_client(running) as chat:
             program = await create(client(running, http))
             headers = {"X-Program-Id": program, "X-Call-Id": "m1"}
             sent = {"model": MODEL, "messages": [user("hello")], "extra_headers": headers}
             first = await chat.chat.completions.create(**sent)
-            # The same call again is a repeat, and gets the recorded answer.
+            # The same call is a retry, and gets the recorded answer.
             again = await chat.chat.completions.create(**sent)
             self.assertEqual(first.choices[0].message, again.choices[0].message)
             headers["X-Call-Id"] = "m2"
@@ -142,7 +142,7 @@
                     await chat.chat.completions.create(**{**sent, "messages": messages})
                 self.assertEqual("not_run", caught.exception.body["verdict"])
 
-    async def test_a_history_that_changed_meanwhile_is_a_conflict(self):
+    async def test_a_concurrent_change_of_the_history_is_a_conflict(self):
         async with system() as (running, http):
             caller = client(running, http)
             program = await create(caller)
@@ -154,7 +154,7 @@
             self.assertEqual(ErrorCode.CONFLICT, outcome.code)
 
     async def test_the_program_of_another_tenant_is_not_found(self):
-        async with system() as (running, http), ordinary(running, tenant="kiprono") as chat:
+        async with system() as (running, http), openai_client(running, tenant="kiprono") as chat:
             program = await create(client(running, http, tenant="kettu"))
             with self.assertRaises(openai.NotFoundError):
                 await chat.chat.completions.create(
@@ -162,8 +162,8 @@
                 )
 
 
-class CallerThatLeaves(unittest.IsolatedAsyncioTestCase):
-    async def test_the_program_of_one_call_is_ended_also_if_its_caller_leaves_early(self):
+class DisconnectedCaller(unittest.IsolatedAsyncioTestCase):
+    async def test_the_program_of_a_single_call_ends_if_its_caller_disconnects_early(self):
         asked, left, ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
         async def serve_slowly(request):
@@ -179,7 +179,7 @@
             asking = asyncio.create_task(caller.send("POST", "/v1/chat/completions", body))
             await asked.wait()
             asking.cancel()
-            # Give the entry time to see the connection close before the program is there.
+            # Let the entry detect the closed connection before the program is created.
             await asyncio.gather(asking, return_exceptions=True)
             await caller.send("GET", "/healthz")
             left.set()
@@ -187,7 +187,7 @@
 
 
 class BrokenStream(unittest.IsolatedAsyncioTestCase):
-    async def test_a_stream_that_breaks_off_or_starts_over_is_an_error(self):
+    async def test_a_stream_that_is_interrupted_or_starts_over_is_an_error(self):
         failure = Failure(Verdict.MAY_HAVE_RUN, ErrorCode.TARGET_FAILED, "planted")
         endings = [[failure], [Reset("b"), Delta(0, "other", "b"), Done("other")], []]
         for ending in endings:
@@ -207,7 +207,7 @@
 
 
 def _program_that_answers(events):
-    """Return a server of requests whose every call has the given events."""
+    """Return a function that answers each call with the given events."""
 
     async def serve(request):
         if not isinstance(request, SubmitCall | FollowCall):
--- a/waxwingglade/connection/tests/test_engine.py
+++ b/waxwingglade/connection/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Streams of completions: verdicts, resuming, cancelling and timeouts."""
+"""Streams of completions: verdicts, resumption, cancellation and timeouts."""
 
 import asyncio
 import unittest
@@ -24,8 +24,8 @@
     engine_request,
     engine_target,
     event_bytes,
-    patiently,
     until,
+    with_timeout,
 )
 from waxwingglade.program.messages import Message, MessageRole
 from waxwingglade.standins import EngineFaults, EngineStandin, answer_text
@@ -35,25 +35,25 @@
 
 
 class EngineCase(unittest.IsolatedAsyncioTestCase):
-    """Base: a client that is closed at the end."""
+    """Base class with a client that is closed at the end."""
 
     async def asyncSetUp(self) -> None:
         self.client = HttpClient(HttpClientSettings(max_clients=10))
         self.addAsyncCleanup(self.client.close)
 
     async def failure_of(self, answer: bytes) -> EngineFailed:
-        """Return the failure that a raw answer leads to."""
+        """Return the failure that a raw answer causes."""
         async with ScriptedServer(answer) as server:
             stream = stream_completion(self.client, engine_target(server.url), engine_request(), 5)
             _, failed = await collect(stream)
-            await self.settle()
+            await self.wait_for_cancels()
         self.assertIsInstance(failed, EngineFailed)
         return failed
 
-    async def settle(self) -> None:
-        """Wait for cancels under way."""
+    async def wait_for_cancels(self) -> None:
+        """Wait for running cancellations."""
         if self.client.tasks:
-            await patiently(asyncio.wait(list(self.client.tasks)))
+            await with_timeout(asyncio.wait(list(self.client.tasks)))
 
 
 class VerdictTest(EngineCase):
@@ -64,7 +64,7 @@
         _, failed = await collect(stream)
         self.assertEqual(Verdict.NOT_RUN, failed.failure.verdict)
 
-    async def test_engine_says_that_it_did_not_run(self) -> None:
+    async def test_engine_reports_that_it_did_not_run(self) -> None:
         for status in ("429 Too Many Requests", "503 Service Unavailable"):
             answer = answer_bytes(status, NOT_RUN_BODY, "Retry-After: 7\r\n")
             failure = (await self.failure_of(answer)).failure
@@ -92,20 +92,20 @@
                 self.assertEqual(Verdict.MAY_HAVE_RUN, failed.failure.verdict)
                 self.assertEqual(0, failed.produced_text_len)
 
-    async def test_engine_is_not_believed_after_text(self) -> None:
+    async def test_not_run_after_text_is_ignored(self) -> None:
         answer = OK_STREAM + event_bytes("hello") + b"data: " + NOT_RUN_BODY + b"\n\n"
         failed = await self.failure_of(answer)
         self.assertEqual(Verdict.MAY_HAVE_RUN, failed.failure.verdict)
         self.assertEqual(5, failed.produced_text_len)
 
-    async def test_cut_after_text_tells_how_much_came(self) -> None:
+    async def test_truncation_after_text_reports_the_length_of_the_text(self) -> None:
         failed = await self.failure_of(OK_STREAM + event_bytes("hyvää") + event_bytes("x")[:-1])
         self.assertEqual(Verdict.MAY_HAVE_RUN, failed.failure.verdict)
         self.assertEqual(5, failed.produced_text_len)
 
 
 class StandinCase(EngineCase):
-    """Base: an engine stand-in."""
+    """Base class with an engine stand-in."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -116,14 +116,14 @@
 
 
 class AnswerTest(StandinCase):
-    async def test_answer_is_whole(self) -> None:
+    async def test_answer_is_complete(self) -> None:
         stream = stream_completion(self.client, self.target, engine_request(), 5)
         text, done = await collect(stream)
         self.assertEqual(answer_text(MODEL, conversation(), 6), text)
         self.assertEqual(("stop", 6), (done.finish_reason, done.usage.output_tokens))
         self.assertEqual([], self.engine.controls)
 
-    async def test_limit_of_tokens(self) -> None:
+    async def test_answer_ends_at_the_token_limit(self) -> None:
         request = engine_request(max_tokens=4)
         text, done = await collect(stream_completion(self.client, self.target, request, 5))
         self.assertEqual(answer_text(MODEL, conversation(), 4), text)
@@ -142,7 +142,7 @@
         self.assertGreaterEqual(second.usage.cached_tokens, total - 16)
 
     async def test_resumed_answer_equals_the_uninterrupted_one(self) -> None:
-        whole = answer_text(MODEL, conversation(), 6)
+        complete = answer_text(MODEL, conversation(), 6)
         for cut in range(1, 6):
             self.engine.faults = EngineFaults(cut_after_tokens=cut)
             request = engine_request(f"first-{cut}")
@@ -154,9 +154,9 @@
             stream = stream_completion(self.client, self.target, request, 5)
             rest, done = await collect(stream)
             self.assertIsInstance(done, EngineDone)
-            self.assertEqual(whole, start + rest)
+            self.assertEqual(complete, start + rest)
             self.assertTrue(self.engine.records[-1].resume_matches)
-        await self.settle()
+        await self.wait_for_cancels()
 
 
 class CancelTest(StandinCase):
@@ -167,15 +167,15 @@
             self.assertIsInstance(await anext(stream), EngineDelta)
             self.engine.faults = EngineFaults(hang=True)
 
-    async def test_closing_tells_the_engine(self) -> None:
+    async def test_closing_cancels_on_the_engine(self) -> None:
         await self._first_delta_then_close()
-        await self.settle()
+        await self.wait_for_cancels()
         self.assertEqual(
             [("cancel", "request-1")], [(each.kind, each.subject) for each in self.engine.controls]
         )
         self.assertEqual("cancelled", self.engine.records[0].outcome)
 
-    async def test_cancelled_caller_frees_a_silent_engine(self) -> None:
+    async def test_cancelled_caller_cancels_on_a_hanging_engine(self) -> None:
         self.engine.faults = EngineFaults(hang=True)
         stream = stream_completion(self.client, self.target, engine_request(), 60)
         waiting = asyncio.create_task(anext(stream))
@@ -185,16 +185,16 @@
         await until(lambda: self.engine.records[0].outcome == "cancelled")
         self.assertEqual([], [*self.engine.core.running, *self.engine.core.waiting])
 
-    async def test_closing_cuts_a_silent_connection(self) -> None:
+    async def test_closing_closes_an_idle_connection(self) -> None:
         async with ScriptedServer(OK_STREAM + event_bytes("a"), close=False) as server:
             target = engine_target(server.url)
             stream = stream_completion(self.client, target, engine_request(), 60)
             await anext(stream)
             await stream.aclose()
-            await patiently(server.closed.wait())
-            await self.settle()
+            await with_timeout(server.closed.wait())
+            await self.wait_for_cancels()
 
-    async def test_failure_cancels_before_it_is_told(self) -> None:
+    async def test_failure_cancels_before_it_is_yielded(self) -> None:
         timeouts = StreamTimeouts(first_token_s=0.05)
         self.engine.faults = EngineFaults(hang=True)
         stream = stream_completion(self.client, self.target, engine_request(), 60, timeouts)
@@ -202,7 +202,7 @@
         await until(lambda: self.engine.records[0].outcome == "cancelled")
         await stream.aclose()
 
-    async def test_cancel_of_another_ends_the_stream(self) -> None:
+    async def test_cancel_by_another_client_ends_the_stream(self) -> None:
         self.engine.faults = EngineFaults(hang=True)
         stream = stream_completion(self.client, self.target, engine_request(), 60)
         waiting = asyncio.create_task(collect(stream))
@@ -219,8 +219,8 @@
             request = engine_request()
             stream = stream_completion(self.client, target, request, timeout_s, timeouts)
             _, failed = await collect(stream)
-            await patiently(server.closed.wait())
-            await self.settle()
+            await with_timeout(server.closed.wait())
+            await self.wait_for_cancels()
         self.assertEqual(ErrorCode.TIMEOUT, failed.failure.code)
         self.assertEqual(Verdict.MAY_HAVE_RUN, failed.failure.verdict)
 
@@ -230,7 +230,7 @@
     async def test_between_tokens(self) -> None:
         await self._failure(event_bytes("a"), StreamTimeouts(60, 0.05), 60)
 
-    async def test_whole_answer(self) -> None:
+    async def test_complete_answer(self) -> None:
         await self._failure(event_bytes("a"), StreamTimeouts(60, 60), 0.1)
 
 
--- a/waxwingglade/connection/tests/test_engine_control.py
+++ b/waxwingglade/connection/tests/test_engine_control.py
@@ -36,7 +36,7 @@
 
 
 class ControlCase(unittest.IsolatedAsyncioTestCase):
-    """Base: a client that is closed at the end."""
+    """Base class with a client that is closed at the end."""
 
     async def asyncSetUp(self) -> None:
         self.client = HttpClient(HttpClientSettings(max_clients=10))
@@ -61,7 +61,7 @@
             found = await cache_events(self.client, engine_target(server.url), after)
         return found.unwrap()
 
-    async def test_whole_run_of_events(self) -> None:
+    async def test_complete_sequence_of_events(self) -> None:
         found = await self._events([6, 4, 5, 3], last=6, after=3)
         self.assertEqual([4, 5, 6], [each.sequence for each in found.events])
         self.assertEqual((False, 6), (found.gap, found.last))
@@ -82,7 +82,7 @@
             with self.subTest(name):
                 self.assertTrue((await self._events(sequences, last, after)).gap)
 
-    async def test_stand_in_loses_events(self) -> None:
+    async def test_events_lost_by_the_stand_in_are_flagged(self) -> None:
         engine = await self.start(event_gap_every=2)
         for number in range(3):
             messages = conversation(f"{number} another long brief " * 20 + "tokens=4")
@@ -92,7 +92,7 @@
         self.assertTrue(found.gap)
         self.assertEqual(engine.core.events.sequence, found.last)
 
-    async def test_stand_in_publishes_late(self) -> None:
+    async def test_events_delayed_by_the_stand_in_are_no_gap(self) -> None:
         await self.start(event_delay_s=3600)
         found = (await cache_events(self.client, self.target, 0)).unwrap()
         self.assertEqual(CacheEvents([], gap=False, last=0), found)
@@ -112,7 +112,7 @@
         load = (await self._load_of(body)).unwrap()
         self.assertEqual((5, 4, 0.25), (load.running, load.waiting, load.kv_used_fraction))
 
-    async def test_garbage_is_a_failure(self) -> None:
+    async def test_invalid_metrics_are_a_failure(self) -> None:
         rest = b"vllm:num_requests_waiting 0\nvllm:kv_cache_usage_perc 0\n"
         no_number = b"vllm:num_requests_running NaN\n" + rest
         endless = b"vllm:num_requests_running +Inf\n" + rest
@@ -128,7 +128,7 @@
 
 
 class HeldTest(ControlCase):
-    async def test_release_empties_the_engine(self) -> None:
+    async def test_release_clears_the_cache_of_the_engine(self) -> None:
         engine = await self.start()
         self.assertEqual([PROGRAM], (await held_programs(self.client, self.target)).unwrap())
         for _ in range(2):
@@ -136,7 +136,7 @@
         self.assertEqual([], (await held_programs(self.client, self.target)).unwrap())
         self.assertEqual(0.0, engine.core.cache.used_fraction())
 
-    async def test_exported_cache_serves_another_engine(self) -> None:
+    async def test_another_engine_uses_an_exported_cache(self) -> None:
         await self.start()
         cache = (await export_cache(self.client, self.target, PROGRAM)).unwrap()
         other = EngineStandin()
@@ -148,14 +148,14 @@
         _, done = await collect(stream_completion(self.client, target, request, 5))
         self.assertGreater(done.usage.cached_tokens, 0)
 
-    async def test_export_of_nothing_did_not_run(self) -> None:
+    async def test_export_without_cache_did_not_run(self) -> None:
         await self.start()
         failed = await export_cache(self.client, self.target, ProgramId("other"))
         self.assertEqual(Verdict.NOT_RUN, failed.unwrap_err().verdict)
 
 
 class OrderTest(ControlCase):
-    async def test_old_fencing_number_is_refused(self) -> None:
+    async def test_outdated_fencing_number_is_rejected(self) -> None:
         await self.start()
         order = EngineOrder(OrderKind.LOAD_MODEL, "large", fencing=5)
         self.assertTrue((await send_order(self.client, self.target, order)).is_ok())
@@ -165,7 +165,7 @@
         state = (await read_state(self.client, self.target)).unwrap()
         self.assertEqual((["large"], 5), (state.models, state.last_fencing))
 
-    async def test_engine_that_ignores_the_number_obeys_late_orders(self) -> None:
+    async def test_engine_without_fencing_carries_out_late_orders(self) -> None:
         engine = await self.start()
         engine.orders.honours_fencing = False
         for kind, fencing in ((OrderKind.LOAD_ADAPTER, 5), (OrderKind.SET_ROLE, 4)):
--- a/waxwingglade/connection/tests/test_engine_sse.py
+++ b/waxwingglade/connection/tests/test_engine_sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events come out whole, however their bytes arrive."""
+"""Server-sent events are decoded independently of how their bytes are split."""
 
 import unittest
 
@@ -15,14 +15,14 @@
 
 @st.composite
 def streams(draw: st.DrawFn) -> tuple[list[str], bytes]:
-    """Draw events and their bytes, with comments, other fields and any line ends between."""
+    """Draw events and their bytes, with comments, other fields and various line ends."""
     events = draw(st.lists(st.lists(LINE, min_size=1, max_size=3), max_size=5))
     text = ""
     for lines in events:
         end = draw(st.sampled_from(LINE_ENDS))
         noise = draw(st.sampled_from(["", f": ping{end}", f"id: 7{end}", f": alone{end}{end}"]))
         text += noise + "".join(f"data: {line}{end}" for line in lines) + end
-    # What follows settles whether a last carriage return was half of a line end.
+    # The next character shows whether a final carriage return belongs to a longer line end.
     return ["\n".join(lines) for lines in events], f"{text}: end\n".encode()
 
 
@@ -43,12 +43,12 @@
 
     @FIXED
     @given(st.lists(st.binary(max_size=50), max_size=20))
-    def test_garbage_never_raises(self, pieces: list[bytes]) -> None:
+    def test_arbitrary_bytes_never_raise(self, pieces: list[bytes]) -> None:
         decoder = EventDecoder()
         for piece in pieces:
             decoder.feed(piece)
 
-    def test_endless_line_is_refused(self) -> None:
+    def test_too_long_line_is_rejected(self) -> None:
         decoder = EventDecoder()
         decoder.feed(b"data: " + b"x" * (MAX_LINE_CHARS - 6))
         with self.assertRaises(FormatError):
--- a/waxwingglade/connection/tests/test_http.py
+++ b/waxwingglade/connection/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Verdicts of the shared HTTP client, and what it never sends."""
+"""Verdicts, retries, aborts and limits of the shared HTTP client."""
 
 import asyncio
 import socket
@@ -14,7 +14,7 @@
     HttpRequest,
     send,
 )
-from waxwingglade.connection.tests.target_builders import ScriptedServer, answer_bytes, patiently
+from waxwingglade.connection.tests.target_builders import ScriptedServer, answer_bytes, with_timeout
 
 SMALL = answer_bytes("200 OK", b"{}")
 
@@ -23,8 +23,8 @@
     return HttpRequest("POST", url, body=b"{}", timeout_s=timeout_s, repeatable=repeatable)
 
 
-class Unaccepting:
-    """A port whose connections hang, because its backlog is full, until `accept` runs."""
+class HangingListener:
+    """A listening socket with a full backlog, on which connecting hangs until `accept` runs."""
 
     def __init__(self) -> None:
         self.listener = socket.socket()
@@ -40,7 +40,7 @@
             filler.connect_ex(self.listener.getsockname())
 
     async def accept(self) -> None:
-        """Accept connections for ever and note all bytes that come over them."""
+        """Accept connections until cancelled, and record all bytes received on them."""
         loop = asyncio.get_running_loop()
         while True:
             accepted, _ = await loop.sock_accept(self.listener)
@@ -51,18 +51,18 @@
             self.received += await asyncio.get_running_loop().sock_recv(accepted, 4096)
 
     def close(self) -> None:
-        """Close the port."""
+        """Close all sockets."""
         for each in (self.listener, *self.fillers):
             each.close()
 
 
 async def ended(exchange: Exchange) -> None:
-    """Wait for the end of an exchange, however it ends."""
-    await patiently(asyncio.wait([exchange.future]))
+    """Wait for the end of an exchange, whatever its outcome."""
+    await with_timeout(asyncio.wait([exchange.future]))
 
 
 class HttpCase(unittest.IsolatedAsyncioTestCase):
-    """Base: a client that is closed at the end."""
+    """Base class with a client that is closed at the end."""
 
     settings = HttpClientSettings(max_clients=10)
 
@@ -71,7 +71,7 @@
         self.addAsyncCleanup(self.client.close)
 
     async def failure(self, request: HttpRequest) -> Failure:
-        return (await patiently(send(self.client, request))).unwrap_err()
+        return (await with_timeout(send(self.client, request))).unwrap_err()
 
 
 class VerdictTest(HttpCase):
@@ -82,28 +82,28 @@
         self.assertEqual((Verdict.NOT_RUN, ErrorCode.UNAVAILABLE), (failure.verdict, failure.code))
 
     async def test_timeout_of_connecting_did_not_run(self) -> None:
-        hanging = Unaccepting()
+        hanging = HangingListener()
         self.addCleanup(hanging.close)
         failure = await self.failure(post(hanging.url, timeout_s=0.1))
         self.assertEqual((Verdict.NOT_RUN, ErrorCode.TIMEOUT), (failure.verdict, failure.code))
 
-    async def test_cut_before_the_first_byte_may_have_run(self) -> None:
+    async def test_close_before_the_first_byte_may_have_run(self) -> None:
         async with ScriptedServer(b"") as server:
             failure = await self.failure(post(server.url))
         self.assertEqual(Verdict.MAY_HAVE_RUN, failure.verdict)
 
-    async def test_cut_inside_the_answer_may_have_run(self) -> None:
+    async def test_truncated_answer_may_have_run(self) -> None:
         async with ScriptedServer(SMALL[:-1]) as server:
             failure = await self.failure(post(server.url))
         self.assertEqual(Verdict.MAY_HAVE_RUN, failure.verdict)
 
-    async def test_silence_may_have_run(self) -> None:
+    async def test_timeout_within_the_answer_may_have_run(self) -> None:
         async with ScriptedServer(SMALL[:10], close=False) as server:
             failure = await self.failure(post(server.url, timeout_s=0.1))
         expected = (Verdict.MAY_HAVE_RUN, ErrorCode.TIMEOUT)
         self.assertEqual(expected, (failure.verdict, failure.code))
 
-    async def test_garbage_may_have_run(self) -> None:
+    async def test_invalid_answer_may_have_run(self) -> None:
         async with ScriptedServer(b"\x00\xffgarbage\r\n\r\n") as server:
             failure = await self.failure(post(server.url))
         self.assertEqual(Verdict.MAY_HAVE_RUN, failure.verdict)
@@ -114,32 +114,32 @@
 
 
 class RepeatTest(HttpCase):
-    async def _second_on_kept_connection(self, repeatable: bool) -> tuple[int, bool]:
+    async def _second_on_reused_connection(self, repeatable: bool) -> tuple[int, bool]:
         async with ScriptedServer(SMALL, b"", SMALL, close=False) as server:
             request = post(server.url, repeatable=repeatable)
             (await send(self.client, request)).unwrap()
             second = await send(self.client, request)
         return server.requests, second.is_ok()
 
-    async def test_request_on_a_cut_kept_connection_is_not_repeated(self) -> None:
-        self.assertEqual((2, False), await self._second_on_kept_connection(repeatable=False))
+    async def test_request_on_a_closed_reused_connection_is_not_retried(self) -> None:
+        self.assertEqual((2, False), await self._second_on_reused_connection(repeatable=False))
 
-    async def test_repeatable_request_is_repeated(self) -> None:
-        self.assertEqual((3, True), await self._second_on_kept_connection(repeatable=True))
+    async def test_repeatable_request_is_retried(self) -> None:
+        self.assertEqual((3, True), await self._second_on_reused_connection(repeatable=True))
 
 
 class AbortTest(HttpCase):
-    async def test_abort_cuts_a_silent_connection(self) -> None:
+    async def test_abort_closes_an_idle_connection(self) -> None:
         async with ScriptedServer(SMALL[:10], close=False) as server:
             exchange = Exchange(self.client, post(server.url, timeout_s=60))
-            await patiently(server.asked.wait())
+            await with_timeout(server.asked.wait())
             exchange.abort()
-            await patiently(server.closed.wait())
+            await with_timeout(server.closed.wait())
             await ended(exchange)
             self.assertIsNotNone(exchange.failure())
 
     async def test_abort_while_connecting_sends_nothing(self) -> None:
-        hanging = Unaccepting()
+        hanging = HangingListener()
         self.addCleanup(hanging.close)
         exchange = Exchange(self.client, post(hanging.url))
         await asyncio.sleep(0)
@@ -151,23 +151,23 @@
         self.assertEqual(b"", hanging.received)
         self.assertEqual(Verdict.NOT_RUN, exchange.verdict())
 
-    async def test_cancelled_caller_cuts_the_connection(self) -> None:
+    async def test_cancelled_caller_closes_the_connection(self) -> None:
         async with ScriptedServer(SMALL[:10], close=False) as server:
             task = asyncio.create_task(send(self.client, post(server.url, timeout_s=60)))
-            await patiently(server.asked.wait())
+            await with_timeout(server.asked.wait())
             task.cancel()
-            await patiently(server.closed.wait())
+            await with_timeout(server.closed.wait())
 
-    async def test_abort_of_a_finished_exchange_spares_the_next_one(self) -> None:
+    async def test_abort_of_a_finished_exchange_does_not_affect_the_next_one(self) -> None:
         async with ScriptedServer(SMALL, SMALL[:10], SMALL, close=False) as server:
             first = Exchange(self.client, post(server.url))
             await ended(first)
             server.asked.clear()
             second = Exchange(self.client, post(server.url, timeout_s=60))
-            await patiently(server.asked.wait())
+            await with_timeout(server.asked.wait())
             self.assertIs(first.curl, second.curl)
             first.abort()
-            # By the time a third one is through, a cut of the second would have been seen.
+            # When a third exchange has ended, a close of the second would have been detected.
             self.assertTrue((await send(self.client, post(server.url))).is_ok())
             self.assertFalse(second.future.done())
 
@@ -175,10 +175,10 @@
 class LimitTest(HttpCase):
     settings = HttpClientSettings(max_clients=1, header_bytes=1000, answer_bytes=1000)
 
-    async def test_full_client_refuses_at_once(self) -> None:
+    async def test_full_client_rejects_immediately(self) -> None:
         async with ScriptedServer(SMALL[:10], SMALL, close=False) as server:
             hanging = Exchange(self.client, post(server.url, timeout_s=60))
-            await patiently(server.asked.wait())
+            await with_timeout(server.asked.wait())
             failure = await self.failure(post(server.url))
             expected = (Verdict.NOT_RUN, ErrorCode.OVERLOADED)
             self.assertEqual(expected, (failure.verdict, failure.code))
@@ -186,12 +186,12 @@
             await ended(hanging)
             self.assertTrue((await send(self.client, post(server.url))).is_ok())
 
-    async def test_long_answer_is_refused(self) -> None:
+    async def test_long_answer_is_rejected(self) -> None:
         async with ScriptedServer(answer_bytes("200 OK", b"x" * 2000)) as server:
             failure = await self.failure(post(server.url))
         self.assertEqual(Verdict.MAY_HAVE_RUN, failure.verdict)
 
-    async def test_long_headers_are_refused(self) -> None:
+    async def test_long_headers_are_rejected(self) -> None:
         head = answer_bytes("200 OK", b"{}", f"Long: {'x' * 2000}\r\n")
         async with ScriptedServer(head[:-2], close=False) as server:
             failure = await self.failure(post(server.url, timeout_s=60))
--- a/waxwingglade/connection/tests/test_tool.py
+++ b/waxwingglade/connection/tests/test_tool.py
@@ -1,4 +1,4 @@
-"""Calls of tools: verdicts, and effects counted at the service."""
+"""Calls of tools: verdicts, and effects recorded by the service."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 class ToolCase(unittest.IsolatedAsyncioTestCase):
-    """Base: a service stand-in that honours fencing."""
+    """Base class with a service stand-in that supports fencing."""
 
     async def asyncSetUp(self) -> None:
         self.client = HttpClient(HttpClientSettings(max_clients=10))
@@ -53,7 +53,7 @@
         self.assertEqual([answer.result], [each.result for each in effects])
         self.assertEqual({"slot": "09:30"}, effects[0].arguments)
 
-    async def test_verdict_is_true_for_each_fault(self) -> None:
+    async def test_verdict_is_correct_for_each_fault(self) -> None:
         cases = [
             (ToolFaults(cut_before=True), Verdict.MAY_HAVE_RUN, 0),
             (ToolFaults(cut_after=True), Verdict.MAY_HAVE_RUN, 1),
@@ -66,7 +66,7 @@
             with self.subTest(faults):
                 key = f"call-{number}"
                 self.service.faults = ToolFaults()
-                # A kept connection is the harder case: the client may repeat by itself.
+                # A reused connection is the harder case, since libcurl may retry by itself.
                 (await self.call(f"before-{number}")).unwrap()
                 self.service.faults = faults
                 failure = (await self.call(key, timeout_s=0.2)).unwrap_err()
@@ -77,21 +77,21 @@
         await self.service.stop()
         self.assertEqual(Verdict.NOT_RUN, (await self.call()).unwrap_err().verdict)
 
-    async def test_errors_without_a_word_on_execution_may_have_run(self) -> None:
+    async def test_errors_without_a_clear_verdict_may_have_run(self) -> None:
         for body in (b"", b"<html>", b'{"verdict": "perhaps"}', b'{"verdict": "may_have_run"}'):
             for status in ("400 Bad Request", "429 Too Many Requests", "503 Unavailable"):
                 async with ScriptedServer(answer_bytes(status, body)) as server:
                     failure = (await self.call(url=server.url)).unwrap_err()
                 self.assertEqual(Verdict.MAY_HAVE_RUN, failure.verdict)
 
-    async def test_time_to_come_back_is_read(self) -> None:
+    async def test_retry_after_is_read(self) -> None:
         answer = answer_bytes("429 Busy", b'{"verdict": "not_run"}', "Retry-After: 3\r\n")
         async with ScriptedServer(answer) as server:
             failure = (await self.call(url=server.url)).unwrap_err()
         found = (failure.verdict, failure.code, failure.retry_after_s)
         self.assertEqual((Verdict.NOT_RUN, ErrorCode.OVERLOADED, 3.0), found)
 
-    async def test_old_fencing_number_did_not_run(self) -> None:
+    async def test_outdated_fencing_number_did_not_run(self) -> None:
         (await self.call("call-1", fencing=7)).unwrap()
         failure = (await self.call("call-2", fencing=6)).unwrap_err()
         self.assertEqual((Verdict.NOT_RUN, ErrorCode.FENCED), (failure.verdict, failure.code))
@@ -102,7 +102,7 @@
     async def ask(self, key: str) -> Outcome[ToolAnswer | None]:
         return await ask_outcome(self.client, service_target(self.service.url), BOOKING, key)
 
-    async def test_lost_answer_is_found_by_its_key(self) -> None:
+    async def test_outcome_of_a_lost_answer_is_found_by_its_key(self) -> None:
         self.service.faults = ToolFaults(cut_after=True)
         await self.call(KEY)
         found = (await self.ask(KEY)).unwrap()
@@ -111,13 +111,13 @@
     async def test_call_that_never_ran(self) -> None:
         self.assertIsNone((await self.ask(KEY)).unwrap())
 
-    async def test_not_found_of_the_path_is_no_answer(self) -> None:
-        # A service that cannot answer by key must not look like one that never ran the call.
+    async def test_not_found_of_the_path_is_no_outcome(self) -> None:
+        # A service without answers by key must not look like one that never ran the call.
         tool = BOOKING.__class__("order", "/order")
         outcome = await ask_outcome(self.client, service_target(self.service.url), tool, KEY)
         self.assertEqual(Verdict.MAY_HAVE_RUN, outcome.unwrap_err().verdict)
 
-    async def test_garbage_is_no_answer(self) -> None:
+    async def test_invalid_answer_is_no_outcome(self) -> None:
         for body in (b"", b"null", b"{}", b'{"found": 1}'):
             async with ScriptedServer(answer_bytes("200 OK", body)) as server:
                 target = service_target(server.url)
