--- a/waxwingglade/ledger/tests/test_node.py
+++ b/waxwingglade/ledger/tests/test_node.py
@@ -82,9 +82,9 @@
         await self.node.start()
         self.links = Links(self.node.context, self.node.codec)
         self.addCleanup(self.links.close)
-        port = self.node.server.port
-        assert port is not None
-        self.address = port.socket.getsockopt_string(zmq.LAST_ENDPOINT)
+        link_socket = self.node.server.link_socket
+        assert link_socket is not None
+        self.address = link_socket.socket.getsockopt_string(zmq.LAST_ENDPOINT)
         self.stopped: asyncio.Task[None] | None = None
         self.addAsyncCleanup(self.end)
 
