--- a/waxwingglade/transport/http1.py
+++ b/waxwingglade/transport/http1.py
@@ -205,7 +205,7 @@
             If the connection ends before the body does, or the bytes are not HTTP.
         """
         if self._has_no_body():
-            # The parser expects a body and cannot be told otherwise: the connection is not reused.
+            # The parser cannot know that the body is missing, so the connection is not reused.
             self._finish_response(ResponseEnd.CLOSING)
             return None
         event = await self._next_event()
--- a/waxwingglade/transport/pool.py
+++ b/waxwingglade/transport/pool.py
@@ -14,8 +14,8 @@
 """Seconds for which an idle connection is reused if the target does not state its timeout."""
 
 IDLE_MARGIN_S = 0.5
-"""Seconds before the stated timeout at which a connection is no longer used.  This prevents that a
-request is sent while the target closes the connection."""
+"""Seconds before the stated timeout at which a connection is no longer used, so that the target does
+not close it while a request is on its way."""
 
 
 class ConnectionPool:
@@ -105,8 +105,8 @@
                     retained.append(connection)
             self.idle[address] = retained
         if dropped:
-            silent_s = monotonic() - moment
-            logger.bind(dropped=dropped, silent_s=round(silent_s, 2)).warning(
+            unresponsive_s = monotonic() - moment
+            logger.bind(dropped=dropped, silent_s=round(unresponsive_s, 2)).warning(
                 "idle connections dropped"
             )
 
