--- a/waxwingglade/connection/caller_messages.py
+++ b/waxwingglade/connection/caller_messages.py
@@ -144,7 +144,7 @@
 
 
 class ProgramListing(msgspec.Struct, frozen=True, tag="program_listing"):
-    """Programs, and the entries that did not answer which programs they have.
+    """Programs, and the names of the entries that did not answer.
 
     `next_after` continues the listing; it is empty if nothing follows.
     """
--- a/waxwingglade/connection/caller_programs.py
+++ b/waxwingglade/connection/caller_programs.py
@@ -86,7 +86,7 @@
 async def answer_create(
     serve: Serve, handler: ApiHandler, tenant: TenantId, body: NewProgram | NewTenantProgram
 ) -> None:
-    """Create a program for an authenticated or validated tenant."""
+    """Create a program for a tenant whose name was validated."""
     request = body.request or CallId(new_nonce())
     failure = check_class(body.program_class) or check_call_id(request) or check_name(body.name)
     if failure is not None:
--- a/waxwingglade/connection/engine_events.py
+++ b/waxwingglade/connection/engine_events.py
@@ -80,7 +80,7 @@
     kv_used_fraction : float
         Fraction of the cache memory in use, from 0 to 1.
     stamp : float
-        Monotonic time at which the report was requested, in seconds; the reported load may be
+        Monotonic time at which the report was requested, in seconds; the load in it is
         older.
     """
 
--- a/waxwingglade/transport/links.py
+++ b/waxwingglade/transport/links.py
@@ -41,8 +41,8 @@
 
 HANDSHAKE_TIMEOUT_MS = 600
 """Milliseconds for the handshake of a new connection, before which there are no heartbeats.  A
-connection that became unresponsive during it separated its peers for 30 s, the default limit of
-ZeroMQ."""
+connection that became unresponsive during the handshake separated its peers for 30 s, the default
+limit of ZeroMQ."""
 
 RECONNECT_MS = 50
 RECONNECT_MAX_MS = 400
--- a/waxwingglade/transport/pool.py
+++ b/waxwingglade/transport/pool.py
@@ -14,8 +14,8 @@
 """Seconds for which an idle connection is reused if the target does not state its timeout."""
 
 IDLE_MARGIN_S = 0.5
-"""Seconds before the stated timeout at which a connection is no longer used, so that the target does
-not close it while a request is on its way."""
+"""Seconds before the stated timeout at which a connection is no longer used, so that the target
+does not close it while a request is in transit."""
 
 
 class ConnectionPool:
