--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,12 +1,13 @@
-"""Start a process on the platform: ``target/waxwingglade -S deploy/start.py ROLE``.
+"""Entry point of a platform process: ``target/waxwingglade -S deploy/start.py ROLE``.
 
-The signal that settings have changed ends a process that does not handle it yet.  Nothing is lost
-by ignoring it until then: the settings are read later.  The program that ``build_starter.py`` makes
-ignores it before the interpreter is loaded.  Run by a plain interpreter, this file and the option
-``-S`` bring the first line of ours as near to the start as a file of Python can.
+SIGHUP, which announces changed settings, terminates a process that has no handler for it yet.
+Ignoring the signal until then loses nothing, because the settings are read later.  The program
+built by ``build_starter.py`` ignores it before the interpreter is loaded.  Under a plain
+interpreter, the option ``-S`` and the imports below run the first statement of this file as early
+as Python code can run.
 """
 
-# Built into the interpreter: `signal` and `gc` load nothing that would come before the first line.
+# `_signal` and `gc` are built into the interpreter, so importing them loads no other module first.
 import _signal
 
 _signal.signal(_signal.SIGHUP, _signal.SIG_IGN)
@@ -14,18 +15,18 @@
 import gc  # noqa: E402
 import sys  # noqa: E402
 
-# What is loaded at the start stays; looking through it for garbage only makes the start longer.
+# Modules loaded at startup stay in memory; garbage collection would only lengthen the startup.
 gc.disable()
 
 BUILT_LIBRARIES = "target/deps"
 
 if not any(folder.endswith(BUILT_LIBRARIES) for folder in sys.path):
-    # The libraries are not where the build puts them, but installed for the interpreter.
+    # The build's library folder is not in use: the libraries are installed in the interpreter.
     import site
 
     site.main()
 
-# The path begins with this file's folder, where nothing is to be loaded from.
+# Python puts this file's folder first in the search path, but no module is loaded from there.
 sys.path[0] = __file__.rpartition("/deploy/")[0] or "."
 
 from waxwingglade.platform.process import main  # noqa: E402
--- a/deploy/starter.c
+++ b/deploy/starter.c
@@ -1,10 +1,11 @@
-/* Runs the Python interpreter with the signal of changed settings ignored from the start.
+/* Runs the Python interpreter with SIGHUP, which announces changed settings, ignored from the start.
  *
- * The signal ends a process that neither ignores nor handles it.  Python takes several milliseconds
- * to come to the first line of a script, most of them to load and initialise the interpreter; so
- * this program ignores the signal first, and loads the interpreter afterwards.
+ * The signal terminates a process that neither ignores nor handles it.  Python takes several
+ * milliseconds to reach the first line of a script, most of them to load and initialise the
+ * interpreter.  This program therefore ignores the signal first and loads the interpreter afterwards.
  *
- * LIBPYTHON is the path of the shared library of Python; without it Python is linked in.
+ * LIBPYTHON is the path of Python's shared library; where it is not defined, Python is linked
+ * statically.
  */
 
 #include <signal.h>
@@ -16,7 +17,7 @@
 static int run_python(int argc, char **argv)
 {
     int (*run)(int, char **) = NULL;
-    /* Modules written in C look the interpreter's names up in the whole program. */
+    /* Extension modules resolve the interpreter's symbols in the global scope. */
     void *library = dlopen(LIBPYTHON, RTLD_NOW | RTLD_GLOBAL);
 
     if (library != NULL)
