--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the package; none of this is needed to run it."""
+"""Benchmarks of the package; running the package requires none of them."""
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -1,4 +1,4 @@
-"""Processes under measurement: store, engines and entries, each its own process."""
+"""Clusters for benchmarks: store, engines and entries, each in its own process."""
 
 import contextlib
 import json
@@ -18,16 +18,16 @@
 from tests.processes import ZONES, Cluster, Process
 
 SLOTS = 100_000
-"""Calls that an engine takes at a time: more than any measurement sends."""
+"""Concurrent calls of an engine: more than any benchmark sends."""
 
 
 class BenchCluster(Cluster):
-    """Entries before cheap engines.
+    """Entries in front of lightweight engines.
 
     Parameters
     ----------
     folder : Path
-        Where settings and logs go.
+        Folder for settings and logs.
     zones : tuple of str
         Availability zone of each entry.
     overrides : dict
@@ -35,9 +35,9 @@
     step_s : float
         Seconds between the tokens of a stream.
     engine_count : int
-        Engine processes.
+        Number of engine processes.
     checkout : Path, optional
-        Folder of another checkout to run the entries from.
+        Root of another checkout from which the entries run.
     module : str
         Module that runs an entry: the command of the package, or `bench.entry`.
     """
@@ -79,7 +79,7 @@
         self.processes[name] = Process(arguments, log, self.module, self.checkout)
 
     def run_module(self, name: str, module: str, arguments: list[str]) -> None:
-        """Start a module of the bench under a name."""
+        """Start a benchmark module as a process with the given name."""
         self.processes[name] = Process(arguments, self.folder / f"{name}.log", module)
 
     def engines(self) -> list[dict[str, Any]]:
@@ -97,14 +97,14 @@
         ]
 
     def settings(self, number: int) -> dict[str, Any]:
-        """Return one entry's settings, without the plain service."""
+        """Return the settings of one entry, with a high limit for store calls."""
         settings = super().settings(number)
         settings["store"]["calls_per_second"] = 1000.0
         settings["log_level"] = "WARNING"
         return settings
 
     def service(self) -> dict[str, Any]:
-        """Return a service that nothing here calls."""
+        """Return the settings of a service that no benchmark calls."""
         return {
             "target": "tool-1",
             "kind": "service",
@@ -114,19 +114,19 @@
         }
 
     def store_counts(self) -> StoreCounts:
-        """Return what was asked of the store so far."""
+        """Return the number of store calls so far."""
         request = urllib.request.Request(self.urls["store"] + COUNTS_PATH, b"{}")
         with urllib.request.urlopen(request) as answer:
             return msgspec.json.decode(answer.read(), type=StoreCounts)
 
     def counts(self) -> Counts:
-        """Return what the engines have done so far, together."""
-        each = [self._counts_of(name) for name in self.engine_names]
+        """Return the totals of all engines so far."""
+        per_engine = [self._counts_of(name) for name in self.engine_names]
         return Counts(
-            calls=sum(counts.calls for counts in each),
-            tokens=sum(counts.tokens for counts in each),
-            running=sum(counts.running for counts in each),
-            prompt_bytes=sum(counts.prompt_bytes for counts in each),
+            calls=sum(counts.calls for counts in per_engine),
+            tokens=sum(counts.tokens for counts in per_engine),
+            running=sum(counts.running for counts in per_engine),
+            prompt_bytes=sum(counts.prompt_bytes for counts in per_engine),
         )
 
     def _counts_of(self, name: str) -> Counts:
@@ -145,24 +145,24 @@
     cluster: type[BenchCluster] = BenchCluster,
     **more: Any,
 ) -> Iterator[BenchCluster]:
-    """Run a cluster for the time of a measurement."""
+    """Run a cluster for the duration of a measurement."""
     with tempfile.TemporaryDirectory() as folder:
-        running = cluster(Path(folder), zones, overrides, **more)
+        benchmark_cluster = cluster(Path(folder), zones, overrides, **more)
         try:
-            running.start()
-            yield running
+            benchmark_cluster.start()
+            yield benchmark_cluster
         finally:
-            running.close()
+            benchmark_cluster.close()
 
 
 def start_load(url: str, arguments: Sequence[str]) -> subprocess.Popen:
-    """Start callers as a process of their own."""
+    """Start the callers of `bench.load` in a process of their own."""
     command = [sys.executable, "-m", "bench.load", url, *arguments]
     return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
 
 def load_result(process: subprocess.Popen) -> LoadResult:
-    """Wait for callers to end and return what they saw."""
+    """Wait for the callers to end and return their measurements."""
     output, _ = process.communicate()
     return msgspec.convert(json.loads(output), LoadResult)
 
--- a/bench/config_size.py
+++ b/bench/config_size.py
@@ -1,10 +1,10 @@
-"""Measure the configuration at size: bytes of a tree and of a change, and the time each takes.
+"""Size and processing time of the configuration: whole trees and single changes.
 
-Run from the root of the repository, where the package is importable::
+Run from the root of the repository, where the package can be imported::
 
     PYTHONPATH=. python bench/config_size.py
 
-Single process, no network.  The tree holds 320 tenants of 4 classes with 3 overrides each.
+It uses a single process and no network.  The tree has 320 tenants of 4 classes with 3 overrides.
 """
 
 import random
@@ -44,7 +44,7 @@
 
 
 def make_tree() -> Tree:
-    """Return a tree of the size of the brief's horizon, with values that do not repeat much."""
+    """Return a tree of the largest expected size, with values that seldom repeat."""
     levels: dict = {
         "operators": {f"operator-{number}": "approver" for number in range(20)},
         "firm": {"urgency": "normal", "deadline_s": 90.0, "budget.tokens": 200_000},
@@ -60,7 +60,7 @@
 
 
 def make_record(snapshot: ConfigSnapshot) -> VersionRecord:
-    """Return the record of a change of one value with two approvals."""
+    """Return the record of a change to one value with two approvals."""
     level = f"tenant:customer-{RANDOM.randrange(TENANTS):03d}/{RANDOM.choice(CLASSES)}"
     changes = [Change(level, "queue_limit", RANDOM.randint(10, 2000))]
     after = apply_changes(snapshot.tree, changes)
@@ -81,56 +81,56 @@
 
 
 def median_s(action: Callable[[], object], rounds: int = ROUNDS) -> float:
-    """Return the median time of an action in seconds."""
+    """Return the median duration of an action in seconds."""
     times = []
     for _ in range(rounds):
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         action()
-        times.append(time.perf_counter() - begun)
+        times.append(time.perf_counter() - started_at)
     return statistics.median(times)
 
 
-def report(what: str, value: float, unit: str) -> None:
-    """Print one figure."""
-    print(f"{what:58} {value:14,.4f} {unit}")
+def report(label: str, value: float, unit: str) -> None:
+    """Print one result."""
+    print(f"{label:58} {value:14,.4f} {unit}")
 
 
 def report_sizes(snapshot: ConfigSnapshot, records: list[VersionRecord]) -> None:
-    """Print sizes, and bytes a second of a node that gets every version once."""
+    """Print sizes, and the bytes per second of a node that receives every version once."""
     per_s = CHANGES_PER_DAY / SECONDS_PER_DAY
     record = records[-1]
-    whole = encoded_size(snapshot.tree)
-    packed = len(encode_snapshot(snapshot))
-    delta = len(encode_record(RecordKind.VERSIONS, VersionRecords([record])))
-    head = len(encode_record(RecordKind.HEAD, Head(record, SnapshotRef(100, record.hash))))
-    digest = len(msgspec.msgpack.encode(ConfigDigest(record.version, record.hash, True)))
+    tree_bytes = encoded_size(snapshot.tree)
+    compressed_bytes = len(encode_snapshot(snapshot))
+    change_bytes = len(encode_record(RecordKind.VERSIONS, VersionRecords([record])))
+    head_bytes = len(encode_record(RecordKind.HEAD, Head(record, SnapshotRef(100, record.hash))))
+    digest_bytes = len(msgspec.msgpack.encode(ConfigDigest(record.version, record.hash, True)))
     report("overrides in the tree", sum(map(len, snapshot.tree.levels.values())), "")
-    report("whole tree", whole, "bytes")
-    report("whole tree, compressed", packed, "bytes")
-    report("change as sent to a peer", delta, "bytes")
-    report("head as watched in the store", head, "bytes")
-    report("digest on a heartbeat", digest, "bytes")
+    report("whole tree", tree_bytes, "bytes")
+    report("whole tree, compressed", compressed_bytes, "bytes")
+    report("change as sent to a peer", change_bytes, "bytes")
+    report("head as watched in the store", head_bytes, "bytes")
+    report("digest on a heartbeat", digest_bytes, "bytes")
     report(f"versions a second at {CHANGES_PER_DAY} a day", per_s, "")
-    report("bytes a second, whole trees", whole * per_s, "B/s")
-    report("bytes a second, whole trees compressed", packed * per_s, "B/s")
-    report("bytes a second, changes", delta * per_s, "B/s")
+    report("bytes a second, whole trees", tree_bytes * per_s, "B/s")
+    report("bytes a second, whole trees compressed", compressed_bytes * per_s, "B/s")
+    report("bytes a second, changes", change_bytes * per_s, "B/s")
 
 
 def report_times(snapshot: ConfigSnapshot, records: list[VersionRecord]) -> None:
-    """Print times of what a node does for each version and for each call."""
+    """Print the duration of a node's work for each version and for each call."""
     per_s = CHANGES_PER_DAY / SECONDS_PER_DAY
     path = PolicyPath("zone-1", "customer-007", "booking", "appointment-chat")
     data = encode_record(RecordKind.VERSIONS, VersionRecords([records[0]]))
     packed = encode_snapshot(snapshot)
 
-    def take() -> None:
+    def receive_change() -> None:
         active = ActiveConfig(snapshot)
         received = decode_record(RecordKind.VERSIONS, data, VersionRecords)
         assert active.offer_records(received.records, Source.PEER)
 
-    taken_s = median_s(take)
-    report("take one change from a peer", taken_s * 1e6, "us")
-    report("  of a core, at that rate", taken_s * per_s * 100, "%")
+    received_s = median_s(receive_change)
+    report("take one change from a peer", received_s * 1e6, "us")
+    report("  of a core, at that rate", received_s * per_s * 100, "%")
     report("hash a tree", median_s(lambda: tree_hash(snapshot.tree)) * 1e6, "us")
     report("pack a whole tree", median_s(lambda: encode_snapshot(snapshot), 30) * 1e6, "us")
     report("unpack a whole tree", median_s(lambda: decode_snapshot(packed), 30) * 1e6, "us")
@@ -144,7 +144,7 @@
 
 
 def main() -> None:
-    """Build the tree and a day's part of changes, and print the figures."""
+    """Build the tree and a sample of a day's changes, and print the results."""
     logger.remove()
     snapshot = ConfigSnapshot(1, make_tree())
     records = []
--- a/bench/counting_store.py
+++ b/bench/counting_store.py
@@ -1,4 +1,4 @@
-"""The store's stand-in, with a count of its calls.
+"""The stand-in of the store, which also counts its calls.
 
 python -m bench.counting_store
 """
@@ -17,7 +17,7 @@
 
 
 class StoreCounts(msgspec.Struct, frozen=True):
-    """Calls so far, by path, and those of them that count as writes; watches that wait now."""
+    """Calls so far by path, the writes among them, and the open watches."""
 
     calls: dict[str, int]
     writes: int
@@ -25,25 +25,25 @@
 
 
 class CountingRates(CallRates):
-    """Counts the watches that wait."""
+    """Store limits that also count open watches."""
 
     def __init__(self) -> None:
         super().__init__(StoreLimits(NO_LIMIT, NO_LIMIT))
         self.waiting = 0
 
     def open_watch(self) -> bool:
-        """Count one more."""
+        """Count an opened watch."""
         self.waiting += 1
         return super().open_watch()
 
     def close_watch(self) -> None:
-        """Count one less."""
+        """Count a closed watch."""
         self.waiting -= 1
         super().close_watch()
 
 
 class CountingStore(StoreStandin):
-    """Counts every call that is run."""
+    """The stand-in with a count of all calls that it runs."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,7 +52,7 @@
         self.writes = 0
 
     def run(self, path: str, body: bytes) -> Reply:
-        """Run and count one call."""
+        """Run a call and count it."""
         if path == COUNTS_PATH:
             counts = StoreCounts(dict(self.calls), self.writes, self.rates.waiting)
             return Reply(200, msgspec.json.encode(counts))
@@ -62,7 +62,7 @@
 
 
 async def serve() -> None:
-    """Print the address and serve until killed."""
+    """Print the address and serve until the process is killed."""
     store = CountingStore()
     await store.start()
     print(store.url, flush=True)
--- a/bench/crowd.py
+++ b/bench/crowd.py
@@ -1,9 +1,9 @@
-"""Peers that do no more than send and answer heartbeats, many in one process.
+"""Peers that only send and answer heartbeats, many of them in one process.
 
     python -m bench.crowd ADDRESS FIRST COUNT ZONES PERIOD
 
-They beat to the entry at ADDRESS and tell it that all of them know the same entries.  The endpoints
-are printed as JSON; then a line with the entry's reference is read, as JSON.
+They send heartbeats to the entry at ADDRESS and report that all of them know the same entries.  The
+process prints the peers' references as JSON and then reads the known entries as a line of JSON.
 """
 
 import asyncio
@@ -22,22 +22,22 @@
 VERSION = ConfigVersion(0)
 
 
-class Everyone(msgspec.Struct):
-    """What the crowd is told once all have started."""
+class KnownEntries(msgspec.Struct):
+    """The entries that the simulated peers know; without `agree` their digest differs."""
 
     refs: list[EntryRef]
     agree: bool
 
 
 def ref_of(number: int, zones: int, address: str) -> EntryRef:
-    """Return the reference of the peer with a number, with names of usual length."""
+    """Return the reference of the peer with a number, with names of typical length."""
     zone = ZoneId(f"region-{number % zones // 3}-zone-{number % zones}")
     return EntryRef(
         EntryId(f"entry-{number:04d}"), Incarnation(f"{number:016x}"), zone, address, ""
     )
 
 
-class CrowdPeer:
+class SimulatedPeer:
     """One peer."""
 
     def __init__(self, context: zmq.asyncio.Context, number: int, zones: int) -> None:
@@ -46,13 +46,13 @@
         self.digest = 0
 
     async def answer(self, body: PeerBody, reply: Reply) -> None:
-        """Answer a heartbeat; nothing else is asked."""
+        """Answer a heartbeat; any other message gets a plain acknowledgement."""
         if isinstance(body, Heartbeat):
             await reply(HeartbeatReply(self.ref, EntryState.ALIVE, VERSION), True)
             return
         await reply(Noted(), True)
 
-    async def beat(self, links: PeerLinks, address: str, period_s: float) -> None:
+    async def send_heartbeats(self, links: PeerLinks, address: str, period_s: float) -> None:
         """Send heartbeats to the entry."""
         link = links.to(address, "")
         while True:
@@ -70,18 +70,20 @@
 
 
 async def run(address: str, first: int, count: int, zones: int, period_s: float) -> None:
-    """Play the peers until killed."""
+    """Run the peers until the process is killed."""
     context = zmq.asyncio.Context()
     context.set(zmq.MAX_SOCKETS, 4096)
-    peers = [CrowdPeer(context, number, zones) for number in range(first, first + count)]
+    peers = [SimulatedPeer(context, number, zones) for number in range(first, first + count)]
     print(msgspec.json.encode([peer.ref for peer in peers]).decode(), flush=True)
     line = await asyncio.to_thread(sys.stdin.readline)
-    everyone = msgspec.json.decode(line, type=Everyone)
-    digest = digest_of(everyone.refs) if everyone.agree else 1
+    known = msgspec.json.decode(line, type=KnownEntries)
+    digest = digest_of(known.refs) if known.agree else 1
     tasks = []
     for peer in peers:
         peer.digest = digest
-        tasks.append(asyncio.create_task(peer.beat(PeerLinks(context), address, period_s)))
+        tasks.append(
+            asyncio.create_task(peer.send_heartbeats(PeerLinks(context), address, period_s))
+        )
         await asyncio.sleep(period_s / count)
     await asyncio.gather(*tasks)
 
--- a/bench/daemon_cost.py
+++ b/bench/daemon_cost.py
@@ -1,12 +1,12 @@
-"""Measure what the daemons on the platform cost: a start, an idle second, a turn and a call.
+"""Measure the processor time of the platform daemons: start, idle second, turn and call.
 
     python -m bench.daemon_cost [--before CHECKOUT] [--rounds 5]
 
-Real processes run against stand-ins on loopback: two entries and three ledger processes.  With
-another checkout, rounds of both versions alternate, so that what else the machine does falls on
-both; the table gives the median of each.  Processor time is that of the kernel's scheduler, all
-threads of a process together.  A checkout that was built as on the platform runs on its own
-libraries, another one on those of this interpreter.
+Real processes run against stand-ins on the loopback address: two entries and three ledger
+processes.  With another checkout, the rounds of both versions alternate, so that other load on the
+machine affects both equally; the table shows the median of each.  Processor time is that of the
+kernel's scheduler, summed over all threads of a process.  A checkout that was built as on the
+platform runs with its own libraries, any other one with those of this interpreter.
 """
 
 import asyncio
@@ -23,19 +23,19 @@
 
 ENTRIES, LEDGERS = 2, 3
 IDLE_S = 4.0
-PROGRAMS, TURNS_OF_A_PROGRAM, CALLS_OF_A_TURN = 24, 5, 1
-AT_ONCE = 8
-"""Programs under way at the same moment."""
+PROGRAMS, TURNS_PER_PROGRAM, CALLS_PER_TURN = 24, 5, 1
+CONCURRENT_PROGRAMS = 8
+"""Programs that run at the same time."""
 
 BUDGET = 100_000
-STARTS = 6
-"""Starts of each kind in a round."""
+STARTS_PER_ROUND = 6
+"""Starts of each kind of process in a round."""
 
-LOOK_S = 0.002
+POLL_S = 0.002
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """Processor time of one round: milliseconds, and for idle processes that of a second."""
+    """Processor time of one round in milliseconds; idle times are those of one second."""
 
     entry_start_ms: float
     ledger_start_ms: float
@@ -44,60 +44,60 @@
     entry_turn_ms: float
     ledger_turn_ms: float
     entry_ready_ms: float
-    """From an entry's start to its first good answer to the balancer, by the wall clock."""
+    """Wall-clock time from an entry's start to its first positive answer to a health check."""
 
 
 def processor_ms(node: Node) -> float:
-    """Return the processor time of all threads of a process so far."""
+    """Return the processor time used by all threads of a process."""
     assert node.process is not None
     tasks = Path(f"/proc/{node.process.pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e6
 
 
-def total_ms(nodes: list[Node]) -> float:
-    """Return the processor time of processes together."""
+def total_processor_ms(nodes: list[Node]) -> float:
+    """Return the total processor time used by several processes."""
     return sum(processor_ms(node) for node in nodes)
 
 
-async def start_ms(node: Node) -> float:
-    """Start a process again and again, and return what it took until it said so, at the median."""
-    taken = []
-    for _ in range(STARTS):
+async def measure_start_ms(node: Node) -> float:
+    """Return the median processor time that a process uses until it reports its start."""
+    times_ms = []
+    for _ in range(STARTS_PER_ROUND):
         node.kill()
         node.start()
         while not node.has_started:
-            await asyncio.sleep(LOOK_S)
-        taken.append(processor_ms(node))
-    return statistics.median(taken)
+            await asyncio.sleep(POLL_S)
+        times_ms.append(processor_ms(node))
+    return statistics.median(times_ms)
 
 
 async def run_program(cluster: PlatformCluster, entry: Node, number: int) -> None:
-    """Play one program: turns in order, with a call after each."""
+    """Run one program: turns in order, each followed by a call."""
     previous: dict[str, str] = {}
-    for turn in range(TURNS_OF_A_PROGRAM):
-        name = f"program-{number}-{turn}"
+    for turn in range(TURNS_PER_PROGRAM):
+        turn_id = f"program-{number}-{turn}"
         fields = {"program_id": f"program-{number}", "token_budget": BUDGET, **previous}
-        answer = await cluster.turn(entry, name, b"x" * 3000, **fields)
+        answer = await cluster.turn(entry, turn_id, b"x" * 3000, **fields)
         if answer.status != 200:
-            raise RuntimeError(f"{name} was answered {answer.status}")
-        previous = {"previous_turn": name}
-        for _ in range(CALLS_OF_A_TURN):
+            raise RuntimeError(f"{turn_id} was answered {answer.status}")
+        previous = {"previous_turn": turn_id}
+        for _ in range(CALLS_PER_TURN):
             await cluster.call(entry, "POST", CALL)
 
 
 async def run_load(cluster: PlatformCluster) -> None:
-    """Play all programs, some of them at once, each through one entry."""
-    room = asyncio.Semaphore(AT_ONCE)
+    """Run all programs, a limited number of them concurrently, each through one entry."""
+    slots = asyncio.Semaphore(CONCURRENT_PROGRAMS)
 
     async def run_one(number: int) -> None:
-        async with room:
+        async with slots:
             await run_program(cluster, cluster.entries[number % ENTRIES], number)
 
     await asyncio.gather(*(run_one(number) for number in range(PROGRAMS)))
 
 
 async def measure(checkout: Path) -> Cost:
-    """Measure one version once."""
+    """Measure one version in one round."""
     built = checkout / "target" / "deps"
     libraries = built if built.exists() else None
     cluster = PlatformCluster(ENTRIES, LEDGERS, checkout, libraries)
@@ -105,14 +105,14 @@
         await cluster.start()
         entries, ledgers = cluster.entries, cluster.ledgers
         await asyncio.sleep(1.0)
-        idle = total_ms(entries), total_ms(ledgers)
+        idle = total_processor_ms(entries), total_processor_ms(ledgers)
         await asyncio.sleep(IDLE_S)
-        before = total_ms(entries), total_ms(ledgers)
+        before = total_processor_ms(entries), total_processor_ms(ledgers)
         await run_load(cluster)
-        after = total_ms(entries), total_ms(ledgers)
-        turns = PROGRAMS * TURNS_OF_A_PROGRAM
-        entry_start = await start_ms(entries[0])
-        ledger_start = await start_ms(ledgers[0])
+        after = total_processor_ms(entries), total_processor_ms(ledgers)
+        turns = PROGRAMS * TURNS_PER_PROGRAM
+        entry_start = await measure_start_ms(entries[0])
+        ledger_start = await measure_start_ms(ledgers[0])
         began_at = time.monotonic()
         entries[0].kill()
         entries[0].start()
@@ -131,7 +131,7 @@
         await cluster.stop()
 
 
-def report(name: str, costs: list[Cost]) -> None:
+def print_medians(name: str, costs: list[Cost]) -> None:
     """Print the medians of a version."""
     fields = [
         f"{field} {statistics.median(getattr(cost, field) for cost in costs):.2f}"
@@ -144,7 +144,7 @@
     before: Annotated[Path | None, typer.Option(help="another checkout")] = None,
     rounds: Annotated[int, typer.Option(help="rounds of each version")] = 5,
 ) -> None:
-    """Print what both versions cost; a turn includes the call after it."""
+    """Print the cost of both versions; a turn includes the call after it."""
     checkouts = {"before": before.resolve()} if before else {}
     checkouts["now"] = ROOT
     for checkout in checkouts.values():
@@ -154,7 +154,7 @@
         for name, checkout in checkouts.items():
             costs[name].append(asyncio.run(measure(checkout)))
     for name in checkouts:
-        report(name, costs[name])
+        print_medians(name, costs[name])
 
 
 if __name__ == "__main__":
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,10 +1,10 @@
-"""Queueing and routing against baselines, on fake engines in virtual time.
+"""Queueing and routing compared with baselines, on simulated engines in virtual time.
 
     python -m bench.decisions examples/bench-kettu.yaml [--seeds 5] [--scenario load-120] ...
 
-All policies meet the same programs in one run.  The report goes to ``bench/results`` as JSON, and a
-table of it to the screen.  Wasted cache is given by both definitions: the share of prompt tokens
-read again though an engine held them, and token-seconds held by programs that had ended.
+All policies receive the same programs in one run.  The report is written to ``bench/results`` as
+JSON, and printed as a table.  Wasted cache has two measures: the share of prompt tokens that were
+read again although an engine had them cached, and the token-seconds cached for ended programs.
 """
 
 import argparse
@@ -29,69 +29,71 @@
     "lost-engine": Scenario(0.8, lost_engine=True),
 }
 
-HUNDREDTHS = (50, 95, 99)
-MICROSECONDS_QUANTILES = (50, 99)
+PERCENTS = (50, 95, 99)
+DECISION_PERCENTS = (50, 99)
 
 
-def percentile(values: list[float], hundredth: int) -> float:
-    """Return a percentile by rank; 0 for no values."""
-    ordered = sorted(values)
-    if not ordered:
+def percentile(values: list[float], percent: int) -> float:
+    """Return a percentile by rank, or 0 if there are no values."""
+    ranked = sorted(values)
+    if not ranked:
         return 0.0
-    return ordered[min(len(ordered) - 1, len(ordered) * hundredth // 100)]
+    return ranked[min(len(ranked) - 1, len(ranked) * percent // 100)]
 
 
-def latency_of(program: ProgramResult, kind: ClassPlan) -> float:
-    """Return a program's latency in seconds; one that failed counts its deadline at least."""
-    return program.latency_s if program.finished else max(program.latency_s, kind.deadline_s)
+def latency_of(program: ProgramResult, class_plan: ClassPlan) -> float:
+    """Return the latency of a program in seconds, at least its deadline if it failed."""
+    return program.latency_s if program.finished else max(program.latency_s, class_plan.deadline_s)
 
 
-def class_report(kind: ClassPlan, runs: list[RunResult]) -> dict:
-    """Return what became of one class, over all seeds and by seed."""
-    by_seed = [[p for p in run.programs if p.program_class == kind.name] for run in runs]
+def class_report(class_plan: ClassPlan, runs: list[RunResult]) -> dict:
+    """Return the results of one class, over all seeds and by seed."""
+    by_seed = [[p for p in run.programs if p.program_class == class_plan.name] for run in runs]
     programs = [program for each in by_seed for program in each]
-    latencies = [latency_of(program, kind) for program in programs]
-    p95 = [percentile([latency_of(p, kind) for p in each], 95) for each in by_seed]
+    latencies = [latency_of(program, class_plan) for program in programs]
+    p95 = [percentile([latency_of(p, class_plan) for p in each], 95) for each in by_seed]
     return {
-        "urgency": kind.urgency.value,
+        "urgency": class_plan.urgency.value,
         "programs": len(programs),
         "finished": sum(program.finished for program in programs),
-        "late": sum(latency > kind.deadline_s for latency in latencies),
+        "late": sum(latency > class_plan.deadline_s for latency in latencies),
         "refusals": sum(program.refusals for program in programs),
-        **{f"p{hundredth}_s": percentile(latencies, hundredth) for hundredth in HUNDREDTHS},
+        **{f"p{percent}_s": percentile(latencies, percent) for percent in PERCENTS},
         "p95_s_by_seed": p95,
         "p95_s_spread": statistics.pstdev(p95),
     }
 
 
 def policy_report(workload: Workload, runs: list[RunResult], elapsed_s: float) -> dict:
-    """Return what one policy did in one scenario."""
-    prompt = sum(run.prompt_tokens for run in runs)
-    shares = [run.wasted_tokens / max(1, run.prompt_tokens) for run in runs]
+    """Return the results of one policy in one scenario."""
+    prompt_tokens = sum(run.prompt_tokens for run in runs)
+    wasted_shares = [run.wasted_tokens / max(1, run.prompt_tokens) for run in runs]
     decisions = [us for run in runs for us in run.decision_us]
     return {
-        "classes": {kind.name: class_report(kind, runs) for kind in workload.classes},
-        "prompt_tokens": prompt,
-        "wasted_share": sum(run.wasted_tokens for run in runs) / max(1, prompt),
-        "wasted_share_spread": statistics.pstdev(shares),
+        "classes": {
+            class_plan.name: class_report(class_plan, runs) for class_plan in workload.classes
+        },
+        "prompt_tokens": prompt_tokens,
+        "wasted_share": sum(run.wasted_tokens for run in runs) / max(1, prompt_tokens),
+        "wasted_share_spread": statistics.pstdev(wasted_shares),
         "ended_token_seconds": sum(run.ended_token_s for run in runs),
-        "decision_us": {f"p{q}": percentile(decisions, q) for q in MICROSECONDS_QUANTILES},
+        "decision_us": {f"p{q}": percentile(decisions, q) for q in DECISION_PERCENTS},
         "run_s": elapsed_s,
     }
 
 
 def run_scenario(workload: Workload, scenario: Scenario, seeds: int) -> dict[str, dict]:
-    """Run every policy over the seeds and return their reports."""
+    """Run every policy with all seeds and return their reports."""
     reports = {}
     for name, policy in POLICIES.items():
-        begin = time.monotonic()
+        started_at = time.monotonic()
         runs = [Run(workload, scenario, policy, seed).execute() for seed in range(seeds)]
-        reports[name] = policy_report(workload, runs, time.monotonic() - begin)
+        reports[name] = policy_report(workload, runs, time.monotonic() - started_at)
     return reports
 
 
 def print_table(scenario: str, reports: dict[str, dict]) -> None:
-    """Print a scenario's reports, one line for each policy and class."""
+    """Print the reports of a scenario, one line for each policy and class."""
     print(f"\n{scenario}")
     print(
         "policy         class         urgency    n  finished  p50 s  p95 s  p99 s "
@@ -99,17 +101,17 @@
     )
     for policy, report in reports.items():
         waste = f"{report['wasted_share']:7.4f} {report['ended_token_seconds'] / 1e6:9.2f}"
-        for name, line in report["classes"].items():
-            finished = line["finished"] / max(1, line["programs"])
-            times = " ".join(f"{line[f'p{hundredth}_s']:6.1f}" for hundredth in HUNDREDTHS)
+        for name, class_line in report["classes"].items():
+            finished = class_line["finished"] / max(1, class_line["programs"])
+            times = " ".join(f"{class_line[f'p{percent}_s']:6.1f}" for percent in PERCENTS)
             print(
-                f"{policy:14} {name:13} {line['urgency']:8} {line['programs']:4d}"
+                f"{policy:14} {name:13} {class_line['urgency']:8} {class_line['programs']:4d}"
                 f"  {finished:8.3f} {times} {waste}"
             )
 
 
 def main() -> None:
-    """Run and report."""
+    """Run the scenarios, print tables and write the report."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("workload", type=Path)
     parser.add_argument("--seeds", type=int, default=5)
--- a/bench/disk.py
+++ b/bench/disk.py
@@ -1,12 +1,12 @@
-"""What a data folder costs: ``python -m bench.disk``.
+"""Cost of a data folder: ``python -m bench.disk``.
 
-Senders add a record to one of several logs, wait until it is durable, and begin again.  Rounds of
-the ways that are compared follow each other in turn, each in a fresh folder:
+Each sender appends a record to one of several logs, waits until it is durable, and repeats.  Rounds
+of the compared ways alternate, each in a new folder:
 
-- group: as the entry does it; what is queued while a group is written makes up the next.
-- single: every record has a commit of its own.
-- unguarded: as group, but the index is not flushed.  It shows what the index costs.
-- large: as group, while one large log is opened over and over.  It shows what others wait for.
+- group: as in an entry; the changes that are queued during one write form the next group.
+- single: every record is committed separately.
+- unguarded: as group, but without flushing the index, which shows the cost of the index.
+- large: as group, while one large log is opened repeatedly, which shows the delay for the others.
 """
 
 import asyncio
@@ -36,22 +36,22 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What is put on the disk.
+    """Load on the disk.
 
     Parameters
     ----------
     senders : int
-        Records that are under way at the same time.
+        Concurrent records.
     logs : int
-        Logs that they go to.
+        Number of logs to which they are appended.
     record_bytes : int
         Size of a record.
     seconds : float
-        Length of a round.
+        Duration of a round.
     flush_s : float
-        Seconds added to each flush of a file, to stand in for a slower disk.
+        Seconds added to each flush of a file, to simulate a slower disk.
     large_bytes : int
-        Size of the log that is opened anew in the way `large`.
+        Size of the log that is opened repeatedly in the way `large`.
     """
 
     senders: int
@@ -63,7 +63,7 @@
 
 
 class Measured(msgspec.Struct):
-    """Result of one way; latencies in seconds."""
+    """Results of one way; latencies are in seconds."""
 
     latencies: list[float] = []
     opened: list[float] = []
@@ -71,20 +71,20 @@
 
     @property
     def rate(self) -> float:
-        """Records a second."""
+        """Records per second."""
         return len(self.latencies) / self.elapsed_s
 
-    def percentile(self, part: float) -> float:
-        """Return the latency that `part` of the records do not exceed."""
-        ordered = sorted(self.latencies)
-        return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    def percentile(self, fraction: float) -> float:
+        """Return the latency that a `fraction` of the records do not exceed."""
+        ranked = sorted(self.latencies)
+        return ranked[min(len(ranked) - 1, int(fraction * len(ranked)))]
 
 
 # --- ways ---------------------------------------------------------------------------------------
 
 
 def operations_for(load: Load, way: str) -> FileOperations:
-    """Return the operations of a way."""
+    """Return the file operations of a way."""
 
     def write(path: Path, offset: int, parts: Iterable[bytes]) -> None:
         if way == "unguarded" and offset and path.name == INDEX_NAME:
@@ -106,26 +106,26 @@
 
 
 def commit_for(disk: Disk, way: str) -> Commit:
-    """Return how a record is made durable."""
-    one_at_a_time = asyncio.Lock()
+    """Return the function that makes a record durable in a way."""
+    commit_lock = asyncio.Lock()
 
-    async def together(log: LogId, change: Callable[[], None]) -> None:
+    async def commit_group(log: LogId, change: Callable[[], None]) -> None:
         change()
         await disk.sync(log)
 
-    async def alone(log: LogId, change: Callable[[], None]) -> None:
-        async with one_at_a_time:
-            await together(log, change)
+    async def commit_single(log: LogId, change: Callable[[], None]) -> None:
+        async with commit_lock:
+            await commit_group(log, change)
 
-    return alone if way == "single" else together
+    return commit_single if way == "single" else commit_group
 
 
 # --- rounds -------------------------------------------------------------------------------------
 
 
 async def run_round(load: Load, way: str, seed: int, measured: Measured) -> None:
-    """Run one round in a fresh folder and add its latencies to `measured`."""
-    chooser = random.Random(seed)
+    """Run one round in a new folder and add its latencies to `measured`."""
+    rng = random.Random(seed)
     with tempfile.TemporaryDirectory(dir=Path.cwd()) as folder:
         disk = open_disk(Path(folder), operations_for(load, way))
         logs = [LogId(f"zone.entry.a1.{number}") for number in range(load.logs)]
@@ -133,53 +133,53 @@
             disk.open_epoch(log, LogCopy(Epoch(1), Epoch(1), OWNER, [OWNER]))
         await disk.sync()
         commit = commit_for(disk, way)
-        began = time.monotonic()
-        end = began + load.seconds
+        started_at = time.monotonic()
+        end = started_at + load.seconds
         senders = [
-            send(disk, chooser.choice(logs), load.record_bytes, commit, end, measured.latencies)
+            send(disk, rng.choice(logs), load.record_bytes, commit, end, measured.latencies)
             for _ in range(load.senders)
         ]
         if way == "large":
             senders.append(open_large(disk, load.large_bytes, end, measured.opened))
         await asyncio.gather(*senders)
-        measured.elapsed_s += time.monotonic() - began
+        measured.elapsed_s += time.monotonic() - started_at
         await disk.close()
 
 
 async def send(
     disk: Disk, log: LogId, size: int, commit: Commit, end: float, latencies: list[float]
 ) -> None:
-    """Add records to a log, one after the other, until the round ends."""
+    """Append records to a log, one after the other, until the round ends."""
     record = os.urandom(size)
 
     def add() -> None:
         disk.append(log, disk.queued_states[log].length, [record], [OWNER], False)
 
-    while (began := time.monotonic()) < end:
+    while (started_at := time.monotonic()) < end:
         await commit(log, add)
-        latencies.append(time.monotonic() - began)
+        latencies.append(time.monotonic() - started_at)
 
 
 async def open_large(disk: Disk, size: int, end: float, opened: list[float]) -> None:
-    """Open a large log again and again."""
+    """Open a large log repeatedly until the round ends."""
     records = [os.urandom(LARGE_RECORD_BYTES) for _ in range(size // LARGE_RECORD_BYTES)]
     epoch = 1
-    while (began := time.monotonic()) < end:
+    while (started_at := time.monotonic()) < end:
         disk.open_epoch(LARGE_LOG, LogCopy(Epoch(epoch), Epoch(epoch), OWNER, [OWNER], records))
         await disk.sync(LARGE_LOG)
-        opened.append(time.monotonic() - began)
+        opened.append(time.monotonic() - started_at)
         epoch += 1
 
 
 def report(results: dict[str, Measured]) -> None:
-    """Print a line for each way, as a ratio to `single` too."""
-    base = results["single"]
+    """Print a line for each way, including its ratio to `single`."""
+    baseline = results["single"]
     typer.echo("way        records  records/s   ratio    p50 ms    p99 ms    max ms")
     for way, measured in results.items():
-        latencies = [measured.percentile(part) * 1000 for part in (0.5, 0.99, 1.0)]
+        latencies = [measured.percentile(fraction) * 1000 for fraction in (0.5, 0.99, 1.0)]
         typer.echo(
             f"{way:10} {len(measured.latencies):7} {measured.rate:10.0f}"
-            f" {measured.rate / base.rate:7.2f}" + "".join(f"{ms:10.2f}" for ms in latencies)
+            f" {measured.rate / baseline.rate:7.2f}" + "".join(f"{ms:10.2f}" for ms in latencies)
         )
     opened = sorted(results["large"].opened)
     typer.echo(f"large log opened {len(opened)} times, median {opened[len(opened) // 2]:.3f} s")
@@ -195,7 +195,7 @@
     large_mb: Annotated[float, typer.Option(help="Size of the large log.")] = 20.0,
     seed: Annotated[int, typer.Option(help="Seed of the choice of logs.")] = 1,
 ) -> None:
-    """Compare group commits with a commit for each record."""
+    """Compare group commits with separate commits of each record."""
     load = Load(senders, logs, record_bytes, seconds, flush_ms / 1000, int(large_mb * 1_000_000))
     results = {way: Measured() for way in WAYS}
     for number in range(rounds):
--- a/bench/durable_turn.py
+++ b/bench/durable_turn.py
@@ -1,10 +1,10 @@
-"""What it costs to make a turn durable, by three ways, in one run.
+"""Cost of making a turn durable in three ways, compared in one run.
 
     python -m bench.durable_turn [--turns 300] [--programs 32]
 
-Ways: in memory only; a majority of three copies on other entries (as the product does it); one
-write to the store for each turn.  Entries and the store are tasks of one process that talk over
-the loopback address.  Two records of 2 kB make a turn.
+The ways are: in memory only; on a majority of three copies at other entries, as the product does;
+and one write to the store for each record.  Entries and the store are tasks of one process
+that communicate over the loopback address.  A turn consists of two records of 2 kB.
 """
 
 import argparse
@@ -46,7 +46,7 @@
 
 LOG = LogId("z.e.i.home0")
 TEXT = "x" * 2000
-ENOUGH_CALLS_PER_S = 1_000_000.0
+UNLIMITED_CALLS_PER_S = 1_000_000.0
 
 Turn = Callable[[int], Awaitable[None]]
 
@@ -61,33 +61,33 @@
 
 
 async def measure(turn: Turn, turns: int, programs: int) -> dict[str, float]:
-    """Return latency of single turns and turns a second with many programs at once."""
-    times = []
+    """Return the latency of sequential turns, and the rate of turns with concurrent programs."""
+    latencies = []
     for number in range(turns):
-        begin = time.perf_counter()
+        started_at = time.perf_counter()
         await turn(number)
-        times.append(time.perf_counter() - begin)
+        latencies.append(time.perf_counter() - started_at)
 
-    async def program(first: int) -> None:
+    async def run_program(first: int) -> None:
         for number in range(first, first + turns):
             await turn(number)
 
-    begin = time.perf_counter()
-    await asyncio.gather(*(program(turns * (1 + index)) for index in range(programs)))
-    elapsed = time.perf_counter() - begin
+    started_at = time.perf_counter()
+    await asyncio.gather(*(run_program(turns * (1 + index)) for index in range(programs)))
+    elapsed = time.perf_counter() - started_at
     return {
-        "p50_ms": 1000 * statistics.median(times),
-        "p99_ms": 1000 * statistics.quantiles(times, n=100)[98],
+        "p50_ms": 1000 * statistics.median(latencies),
+        "p99_ms": 1000 * statistics.quantiles(latencies, n=100)[98],
         "turns_per_s": turns * programs / elapsed,
     }
 
 
 async def with_copies(holders: int, turns: int, programs: int) -> dict[str, float]:
-    """Measure a log with a number of holders besides its owner."""
+    """Measure a log with a number of copy holders besides its owner."""
     context = zmq.asyncio.Context()
-    own = EntryRef(EntryId("e0"), Incarnation("i0"), ZoneId("z"), "")
+    owner = EntryRef(EntryId("e0"), Incarnation("i0"), ZoneId("z"), "")
     links = PeerLinks(context)
-    servers, refs = [], [own]
+    servers, refs = [], [owner]
     for number in range(1, holders + 1):
         copies = Copies(lambda _: None, lambda _: None)
 
@@ -95,15 +95,15 @@
             if isinstance(body, AppendRecords):
                 await reply(copies.append(body), True)
 
-        name = Incarnation(f"i{number}")
-        server = PeerServer(context, name.__eq__, answer)
+        incarnation = Incarnation(f"i{number}")
+        server = PeerServer(context, incarnation.__eq__, answer)
         address = server.start("127.0.0.1", 0)
         servers.append(server)
-        refs.append(EntryRef(EntryId(f"e{number}"), name, ZoneId("z"), address))
+        refs.append(EntryRef(EntryId(f"e{number}"), incarnation, ZoneId("z"), address))
     owned = OwnedLog(
         log=LOG,
         epoch=Epoch(1),
-        own=own,
+        own=owner,
         copies=refs,
         records=[],
         links=links,
@@ -116,39 +116,37 @@
         for body in records_of(number):
             (await owned.append(ProgramId(f"{LOG}.p"), body)).unwrap()
 
-    figures = await measure(turn, turns, programs)
-    figures["bytes_sent_per_turn"] = sum(link.bytes_sent for link in links.links.values()) / (
+    result = await measure(turn, turns, programs)
+    result["bytes_sent_per_turn"] = sum(link.bytes_sent for link in links.links.values()) / (
         turns * (programs + 1)
     )
     await owned.stop()
     await links.close()
     for server in servers:
         await server.stop()
-    return figures
+    return result
 
 
 async def with_store(turns: int, programs: int) -> dict[str, float]:
     """Measure one write to the store for each record."""
-    standin = StoreStandin(StoreLimits(ENOUGH_CALLS_PER_S, ENOUGH_CALLS_PER_S))
+    standin = StoreStandin(StoreLimits(UNLIMITED_CALLS_PER_S, UNLIMITED_CALLS_PER_S))
     await standin.start()
-    settings = StoreSettings(urls=[standin.url], calls_per_second=ENOUGH_CALLS_PER_S)
+    settings = StoreSettings(urls=[standin.url], calls_per_second=UNLIMITED_CALLS_PER_S)
     store = StoreClient(settings)
 
     async def turn(number: int) -> None:
         for index, _ in enumerate(records_of(number)):
             (await store.put_if(f"turns/{number}/{index}", TEXT.encode(), 0)).unwrap()
 
-    figures = await measure(turn, turns, programs)
-    figures["store_calls_per_turn"] = sum(store.calls_by_purpose.values()) / (
-        turns * (programs + 1)
-    )
+    result = await measure(turn, turns, programs)
+    result["store_calls_per_turn"] = sum(store.calls_by_purpose.values()) / (turns * (programs + 1))
     await store.close()
     await standin.stop()
-    return figures
+    return result
 
 
 async def run(turns: int, programs: int) -> dict:
-    """Measure the three ways and return their figures with ratios."""
+    """Measure the three ways and return their results and ratios."""
     memory = await with_copies(0, turns, programs)
     copies = await with_copies(2, turns, programs)
     store = await with_store(max(20, turns // 10), programs)
@@ -164,13 +162,13 @@
 
 
 def main() -> None:
-    """Run and print the figures as JSON."""
+    """Run the benchmark and print the results as JSON."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--turns", type=int, default=300)
     parser.add_argument("--programs", type=int, default=32)
     arguments = parser.parse_args()
-    figures = asyncio.run(run(arguments.turns, arguments.programs))
-    print(json.dumps(figures, indent=2))
+    result = asyncio.run(run(arguments.turns, arguments.programs))
+    print(json.dumps(result, indent=2))
 
 
 if __name__ == "__main__":
--- a/bench/early_signal.py
+++ b/bench/early_signal.py
@@ -1,10 +1,11 @@
-"""Measure until when a signal of changed settings still ends a process that starts.
+"""Measure how long after its start a process can still be terminated by SIGHUP.
 
     python -m bench.early_signal [--starts 20]
 
-Each way of starting is tried with the signal some milliseconds after the start, and the table
-counts the processes that it ended.  The first line ignores the signal, or the program that embeds
-the interpreter does so before; the process then waits to be ended by this one.
+SIGHUP announces changed settings.  Each way of starting is tested with the signal at several delays
+after the start, and the table counts the processes that were terminated.  The signal is ignored by
+the first line of the script, or earlier by the program that embeds the interpreter.  The process
+then sleeps until the benchmark kills it.
 """
 
 import shutil
@@ -23,8 +24,8 @@
 DELAYS_MS = (0.1, 0.3, 0.5, 0.7, 1, 2, 3, 4, 8, 12, 16, 20, 30, 60)
 STARTER = Path(__file__).parent.parent / "deploy" / "starter.c"
 LIBRARY = Path(sysconfig.get_config_var("LIBDIR"), sysconfig.get_config_var("INSTSONAME"))
-LINKED_IN = Path(sysconfig.get_config_var("LIBPL"), sysconfig.get_config_var("LIBRARY"))
-FLOOR = """
+STATIC_LIBRARY = Path(sysconfig.get_config_var("LIBPL"), sysconfig.get_config_var("LIBRARY"))
+MINIMAL_PROGRAM = """
 #include <signal.h>
 #include <unistd.h>
 int main(void) { signal(SIGHUP, SIG_IGN); sleep(60); return 0; }
@@ -33,7 +34,7 @@
 IGNORE = "import signal\nsignal.signal(signal.SIGHUP, signal.SIG_IGN)\n"
 IGNORE_BUILTIN = "import _signal\n_signal.signal(_signal.SIGHUP, _signal.SIG_IGN)\n"
 ENDED_S = 0.15
-"""Seconds after the signal by which a process that it ends is gone, beside load."""
+"""Seconds after the signal within which a terminated process has exited, also under load."""
 
 
 class Way(msgspec.Struct):
@@ -44,12 +45,12 @@
     options : tuple of str
         Options of the interpreter.
     lines : str
-        First lines of what it runs.
+        First lines of the script.
     compiled : tuple of str
-        Options of the compiler for the program that embeds the interpreter; none for the
-        interpreter's own program.
+        Compiler options for the program that embeds the interpreter; empty for the interpreter's own
+        executable.
     source : str
-        Another program to compile, that runs no Python.
+        Source of another program to compile, which does not run Python.
     """
 
     name: str
@@ -72,13 +73,13 @@
         "embeds, linked in",
         ("-S",),
         "",
-        compiled=("-O2", str(LINKED_IN), "-Wl,--export-dynamic", "-lm", "-ldl"),
+        compiled=("-O2", str(STATIC_LIBRARY), "-Wl,--export-dynamic", "-lm", "-ldl"),
     ),
     Way(
         "embeds, linked in, no PIE",
         ("-S",),
         "",
-        compiled=("-O2", "-no-pie", str(LINKED_IN), "-Wl,--export-dynamic", "-lm", "-ldl"),
+        compiled=("-O2", "-no-pie", str(STATIC_LIBRARY), "-Wl,--export-dynamic", "-lm", "-ldl"),
     ),
     Way(
         "embeds, library loaded",
@@ -86,12 +87,12 @@
         "",
         compiled=("-O2", "-no-pie", f'-DLIBPYTHON="{LIBRARY}"', "-ldl"),
     ),
-    Way("static C program", (), "", compiled=("-O2", "-static"), source=FLOOR),
+    Way("static C program", (), "", compiled=("-O2", "-static"), source=MINIMAL_PROGRAM),
 )
 
 
 def compiled(way: Way, folder: Path) -> str:
-    """Compile the program of a way, and return its path."""
+    """Compile the program of a way and return its path."""
     source = STARTER
     if way.source:
         source = folder / "program.c"
@@ -103,7 +104,7 @@
 
 
 def command(way: Way, folder: Path) -> list[str]:
-    """Return the command line of a way, with its program, file or package in a folder."""
+    """Create the files of a way in a folder, and return its command line."""
     if not way.as_module:
         (folder / "start.py").write_text(way.lines + WAIT)
         program = compiled(way, folder) if way.compiled else sys.executable
@@ -117,12 +118,12 @@
 
 
 def is_ended(arguments: list[str], folder: Path, delay_ms: float) -> bool:
-    """Start a process, signal it after a delay, and return whether that ended it."""
+    """Start a process, send the signal after a delay, and return whether the process exited."""
     process = subprocess.Popen(arguments, cwd=folder)
     started_at = time.perf_counter()
     try:
         while time.perf_counter() - started_at < delay_ms / 1e3:
-            pass  # A sleep takes longer than the shortest delays.
+            pass  # The shortest delays are shorter than a sleep.
         process.send_signal(signal.SIGHUP)
         time.sleep(ENDED_S)
         return process.poll() is not None
@@ -132,7 +133,7 @@
 
 
 def main(starts: Annotated[int, typer.Option(help="starts for each delay")] = 20) -> None:
-    """Print for each way and delay how many of the starts were ended."""
+    """Print the number of terminated processes for each way and delay."""
     print(f"ended of {starts}; ms after the start:")
     print(" " * 26 + " ".join(f"{delay_ms:4}" for delay_ms in DELAYS_MS))
     for way in WAYS:
--- a/bench/entry.py
+++ b/bench/entry.py
@@ -1,4 +1,4 @@
-"""An entry whose programs have budgets large enough for the longest histories.
+"""An entry whose program budgets suffice for the longest histories.
 
 python -m bench.entry SETTINGS.yaml
 """
@@ -22,7 +22,7 @@
 
 
 async def serve(path: Path) -> None:
-    """Run one entry until it is told to stop."""
+    """Run one entry until it receives a signal to stop."""
     settings = load_settings(path)
     start_logging(settings, lambda: ConfigVersion(0))
     daemon = Daemon(Entry(settings, lambda *_: ResolvedPolicy(POLICY, ConfigVersion(0))))
--- a/bench/fast_engine.py
+++ b/bench/fast_engine.py
@@ -1,7 +1,7 @@
-"""A cheap model engine that streams tokens at a fixed pace, to load an entry.
+"""A lightweight model engine that streams tokens at a fixed rate, to put load on an entry.
 
-One process plays many accelerators.  Each accelerator takes steps of its own, and every step sends
-one token to each of its streams, as an engine does that batches continuously.
+One process simulates many accelerators.  Each accelerator steps independently, and every step sends
+one token to each of its streams, as an engine with continuous batching does.
 
     python -m bench.fast_engine --step-s 0.028 --accelerators 32
 """
@@ -16,7 +16,7 @@
 import msgspec
 import typer
 
-TOKENS_ASKED = re.compile(rb"tokens=(\d+)")
+TOKENS_PARAMETER = re.compile(rb"tokens=(\d+)")
 TOKEN = "abc "
 DEFAULT_TOKENS = 16
 STREAM_HEAD = (
@@ -31,7 +31,7 @@
 
 
 class Counts(msgspec.Struct):
-    """What the engine has done so far."""
+    """Totals of the engine so far, and the calls that are running."""
 
     calls: int = 0
     tokens: int = 0
@@ -40,17 +40,17 @@
 
 
 class Stream(msgspec.Struct):
-    """One answer under way."""
+    """One answer in progress."""
 
     writer: asyncio.StreamWriter
-    wanted: int
+    token_limit: int
     sent: int
     prompt_tokens: int
     done: asyncio.Event
 
 
 class FastEngine:
-    """State of the engine.
+    """The engine with its streams.
 
     Parameters
     ----------
@@ -74,26 +74,26 @@
         await asyncio.gather(*steps)
 
     async def step_group(self, number: int) -> None:
-        """Send one token to each stream of a group, at a steady pace."""
+        """Send one token to each stream of a group, at a steady rate."""
         loop = asyncio.get_running_loop()
-        due = loop.time() + self.step_s * number / len(self.groups)
+        next_step_at = loop.time() + self.step_s * number / len(self.groups)
         while True:
-            await asyncio.sleep(max(0.0, due - loop.time()))
-            due += self.step_s
+            await asyncio.sleep(max(0.0, next_step_at - loop.time()))
+            next_step_at += self.step_s
             self.groups[number] = [each for each in self.groups[number] if self.step(each)]
 
     def step(self, stream: Stream) -> bool:
-        """Send one token; return whether the stream goes on."""
+        """Send one token; return whether the stream continues."""
         if stream.writer.is_closing():
             stream.done.set()
             return False
         stream.sent += 1
         self.counts.tokens += 1
-        last = stream.sent >= stream.wanted
-        stream.writer.write(_chunk(stream, last))
-        if last:
+        is_last = stream.sent >= stream.token_limit
+        stream.writer.write(_chunk(stream, is_last))
+        if is_last:
             stream.done.set()
-        return not last
+        return not is_last
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
@@ -114,10 +114,10 @@
         return _plain(b'{"programs": []}' if path == "/v1/cache/held" else b"{}")
 
     async def complete(self, writer: asyncio.StreamWriter, body: bytes) -> None:
-        """Stream one answer; ``tokens=N`` in the prompt's last message asks for a length."""
-        asked = TOKENS_ASKED.findall(body)
-        wanted = int(asked[-1]) if asked else DEFAULT_TOKENS
-        stream = Stream(writer, wanted, 0, len(body) // len(TOKEN), asyncio.Event())
+        """Stream one answer; the last ``tokens=N`` in the request sets its length."""
+        parameters = TOKENS_PARAMETER.findall(body)
+        token_limit = int(parameters[-1]) if parameters else DEFAULT_TOKENS
+        stream = Stream(writer, token_limit, 0, len(body) // len(TOKEN), asyncio.Event())
         self.counts.calls += 1
         self.counts.running += 1
         self.counts.prompt_bytes += len(body)
@@ -138,14 +138,14 @@
         yield head.split(b" ", 2)[1].decode(), body
 
 
-def _chunk(stream: Stream, last: bool) -> bytes:
+def _chunk(stream: Stream, is_last: bool) -> bytes:
     usage = {"prompt_tokens": stream.prompt_tokens, "completion_tokens": stream.sent}
-    choice = {"index": 0, "delta": {"content": TOKEN}, "finish_reason": "stop" if last else None}
+    choice = {"index": 0, "delta": {"content": TOKEN}, "finish_reason": "stop" if is_last else None}
     event = {"object": "chat.completion.chunk", "choices": [choice], "usage": usage}
     data = b"data: " + msgspec.json.encode(event) + b"\n\n"
-    if last:
+    if is_last:
         data += b"data: [DONE]\n\n"
-    ending = b"0\r\n\r\n" if last else b""
+    ending = b"0\r\n\r\n" if is_last else b""
     return b"%x\r\n%s\r\n%s" % (len(data), data, ending)
 
 
@@ -158,7 +158,7 @@
     step_s: Annotated[float, typer.Option(help="Seconds between the tokens of a stream.")] = 0.028,
     accelerators: Annotated[int, typer.Option(help="Groups that step together.")] = 32,
 ) -> None:
-    """Stream tokens at a fixed pace until killed."""
+    """Stream tokens at a fixed rate until the process is killed."""
     asyncio.run(FastEngine(step_s, accelerators).run())
 
 
--- a/bench/fit.py
+++ b/bench/fit.py
@@ -15,7 +15,7 @@
     error: float
 
     def times(self, factor: float) -> "Estimate":
-        """Return the coefficient and its error for `factor` units."""
+        """Return the estimate scaled by `factor`."""
         return Estimate(self.value * factor, self.error * abs(factor))
 
     def plus(self, other: "Estimate") -> "Estimate":
@@ -31,7 +31,7 @@
     coefficients : dict
         Estimate for each input by name, and for the intercept where there is one.
     r_squared : float
-        Part of the variance that the model explains.
+        Share of the variance that the model explains.
     points : int
         Number of measurements.
     """
@@ -45,11 +45,11 @@
 
     @property
     def intercept(self) -> Estimate:
-        """Value where every input is 0."""
+        """Value of the model where every input is 0."""
         return self.coefficients[INTERCEPT]
 
     def at(self, **inputs: float) -> float:
-        """Return the value that the model gives for some inputs."""
+        """Return the value that the model predicts for the given inputs."""
         base = self.coefficients.get(INTERCEPT, Estimate(0.0, 0.0)).value
         return base + sum(self.coefficients[name].value * x for name, x in inputs.items())
 
@@ -65,19 +65,19 @@
     Parameters
     ----------
     inputs : mapping of str to sequence of float
-        Every input's values, one for each measurement.
+        Values of each input, one for each measurement.
     values : sequence of float
-        What was measured.
+        Measured values.
     intercept : bool
         Whether the model has a constant term.
     relative : bool
-        Whether errors count relative to the value, so that large values do not drown small ones;
-        no value may be 0.
+        Whether to minimise relative errors, so that large values do not dominate; no value may be
+        0.
 
     Returns
     -------
     Fit
-        Coefficients with standard errors; errors are infinite where there are no more measurements
+        Coefficients with standard errors, which are infinite unless there are more measurements
         than coefficients.
     """
     names = [*inputs, INTERCEPT] if intercept else list(inputs)
@@ -91,7 +91,7 @@
         measured = numpy.ones(len(values))
     solution, _, rank, _ = numpy.linalg.lstsq(design, measured, rcond=None)
     if rank < len(names):
-        raise ValueError("the inputs do not tell the coefficients apart")
+        raise ValueError("the inputs are linearly dependent, so the coefficients are undetermined")
     residuals = measured - design @ solution
     errors = _errors(design, residuals)
     estimates = zip(solution, errors, strict=True)
@@ -109,15 +109,15 @@
 
 
 def _errors(design: numpy.ndarray, residuals: numpy.ndarray) -> numpy.ndarray:
-    freedom = design.shape[0] - design.shape[1]
-    if freedom <= 0:
+    degrees_of_freedom = design.shape[0] - design.shape[1]
+    if degrees_of_freedom <= 0:
         return numpy.full(design.shape[1], numpy.inf)
-    variance = float(residuals @ residuals) / freedom
+    variance = float(residuals @ residuals) / degrees_of_freedom
     return numpy.sqrt(variance * numpy.diag(numpy.linalg.inv(design.T @ design)))
 
 
 def _r_squared(measured: numpy.ndarray, residuals: numpy.ndarray) -> float:
-    spread = float(((measured - measured.mean()) ** 2).sum())
-    if spread == 0.0:
+    total_variation = float(((measured - measured.mean()) ** 2).sum())
+    if total_variation == 0.0:
         return 1.0
-    return 1.0 - float(residuals @ residuals) / spread
+    return 1.0 - float(residuals @ residuals) / total_variation
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""The size at which the fleet is expected to run, and what follows from it for one entry."""
+"""The target size of the fleet, and the resulting load on one entry."""
 
 import msgspec
 
@@ -8,7 +8,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What an entry may spend on control: cores, bytes of memory, bytes a second."""
+    """Resources that an entry may use for coordination: cores, memory, bytes per second."""
 
     cores: float = 0.021
     memory_bytes: int = 256 * MEGABYTE
@@ -21,15 +21,15 @@
     Parameters
     ----------
     entries, targets, zones : int
-        Entry VMs, model engines and availability zones.
+        Numbers of entry VMs, model engines and availability zones.
     calls_per_s, tokens_per_s : float
         Model calls and generated tokens a second.
     programs, turns, history_tokens : int
-        Open programs, and the most turns and tokens of history of one.
+        Open programs, and the largest number of turns and history tokens of one program.
     tenants : int
         Client accounts.
     config_changes_per_day, failures_per_day, replacements_per_day : int
-        Changes of configuration, entries that fail, entries restarted or replaced.
+        Configuration changes, failed entries, and restarted or replaced entries.
     copies, logs_per_entry : int
         Copies of each log, and logs that an entry keeps open for new programs.
     """
@@ -51,12 +51,12 @@
 
     @property
     def calls_per_entry(self) -> float:
-        """Calls a second that an entry owns, and as many that it is the door of."""
+        """Calls per second that an entry owns; it forwards as many for other owners."""
         return self.calls_per_s / self.entries
 
     @property
     def tokens_per_entry(self) -> float:
-        """Tokens a second that an entry owns."""
+        """Tokens per second that an entry owns."""
         return self.tokens_per_s / self.entries
 
     @property
@@ -65,8 +65,8 @@
         return self.tokens_per_s / self.calls_per_s
 
     @property
-    def passed_on(self) -> float:
-        """Part of the calls that reach another entry than the owner, if they reach any alike."""
+    def forwarded_share(self) -> float:
+        """Share of the calls that arrive at another entry than the owner, if all are equally likely."""
         return (self.entries - 1) / self.entries
 
     @property
@@ -86,25 +86,25 @@
 
     @property
     def reads_per_entry(self) -> float:
-        """Targets whose load an entry reads."""
+        """Number of targets whose load an entry reads."""
         return self.targets / self.entries
 
     @property
     def seconds_between_turns(self) -> float:
-        """Mean time between two calls of one program."""
+        """Mean time between two calls of the same program."""
         return self.programs / self.calls_per_s
 
     @property
     def holders(self) -> int:
-        """Copies of a log beside the owner's."""
+        """Copies of a log besides the owner's."""
         return self.copies - 1
 
     @property
     def entry_changes_per_s(self) -> float:
-        """Entries that go away in a second, on an ordinary day."""
+        """Entries that fail or are replaced, per second on an ordinary day."""
         return (self.failures_per_day + self.replacements_per_day) / SECONDS_PER_DAY
 
     @property
     def config_changes_per_s(self) -> float:
-        """Changes of configuration in a second."""
+        """Configuration changes per second."""
         return self.config_changes_per_day / SECONDS_PER_DAY
--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -1,9 +1,9 @@
-"""What membership costs one entry, by the number of its peers.
+"""Cost of membership for one entry, by the number of its peers.
 
-The entry under measurement runs alone in a process; the peers are played by a few others.
+The measured entry runs alone in a process; a few other processes simulate its peers.
 
     python -m bench.heartbeats
-    python -m bench.heartbeats --entry PERIOD SECONDS   (the entry; used by the former)
+    python -m bench.heartbeats --entry PERIOD SECONDS   (the entry; started by the first command)
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 import typer
 import zmq.asyncio
 
-from bench.crowd import Everyone, ref_of
+from bench.crowd import KnownEntries, ref_of
 from bench.fit import Fit, fit
 from bench.report import begin, finish
 from bench.usage import cpu_s, resident_bytes
@@ -30,8 +30,8 @@
 from waxwingglade.version import ConfigDigest
 
 PEERS = (4, 8, 16, 32, 64, 128)
-CROWDS = 3
-"""Processes that play the peers."""
+PEER_PROCESSES = 3
+"""Processes that simulate the peers."""
 
 ZONES = 21
 PERIOD_S = 0.5
@@ -42,9 +42,9 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What the entry used in a second; processor time in cores.
+    """Resources that the entry used per second; processor time in cores.
 
-    Bytes are those of the messages, without the frames of ZeroMQ and TCP.
+    Bytes are those of the messages, excluding the frames of ZeroMQ and TCP.
     """
 
     cores: float
@@ -55,7 +55,7 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One run; `agree` says whether the peers knew the same entries as the entry itself."""
+    """One run; `agree` tells whether the peers knew the same entries as the measured entry."""
 
     peers: int
     agree: bool
@@ -63,7 +63,7 @@
 
 
 class Entry:
-    """The parts of an entry that deal with membership."""
+    """The parts of an entry that implement membership."""
 
     def __init__(self, period_s: float, peers: Sequence[EntryRef]) -> None:
         context = zmq.asyncio.Context()
@@ -98,28 +98,28 @@
 
 
 async def run_entry(period_s: float, seconds: float) -> None:
-    """Be the entry: print its reference, read the peers', and print what it used."""
-    placeholder = Entry(period_s, [])
-    print(msgspec.json.encode(placeholder.members.own).decode(), flush=True)
+    """Run the entry: print its reference, read those of its peers, and print its usage."""
+    entry = Entry(period_s, [])
+    print(msgspec.json.encode(entry.members.own).decode(), flush=True)
     peers = msgspec.json.decode(await asyncio.to_thread(sys.stdin.readline), type=list[EntryRef])
-    placeholder.heartbeats.seeds = [peer.peer_address for peer in peers]
+    entry.heartbeats.seeds = [peer.peer_address for peer in peers]
     await asyncio.sleep(WARM_UP_S)
-    before, used = placeholder.traffic(), cpu_s(os.getpid())
+    before, used = entry.traffic(), cpu_s(os.getpid())
     await asyncio.sleep(seconds)
-    after, used_after = placeholder.traffic(), cpu_s(os.getpid())
+    after, used_after = entry.traffic(), cpu_s(os.getpid())
     usage = Usage(
         (used_after - used) / seconds,
         (after[0] - before[0]) / seconds,
         (after[1] - before[1]) / seconds,
-        len(placeholder.members.usable()),
+        len(entry.members.usable()),
         resident_bytes(os.getpid()),
     )
     print(msgspec.json.encode(usage).decode(), flush=True)
     os._exit(0)
 
 
-class Child:
-    """A process that is spoken to by lines of JSON."""
+class ChildProcess:
+    """A child process that communicates by lines of JSON."""
 
     def __init__(self, *arguments: str) -> None:
         command = [sys.executable, "-m", *arguments]
@@ -128,27 +128,29 @@
         )
 
     def read(self, model: type):
-        """Read one line."""
+        """Read and decode one line."""
         return msgspec.json.decode(self.popen.stdout.readline(), type=model)
 
     def write(self, value: object) -> None:
-        """Write one line."""
+        """Encode and write one line."""
         self.popen.stdin.write(msgspec.json.encode(value).decode() + "\n")
         self.popen.stdin.flush()
 
     def close(self) -> None:
-        """End it."""
+        """Kill the process and wait for its end."""
         self.popen.kill()
         self.popen.wait()
 
 
 def measure(peers: int, agree: bool = True) -> Point:
     """Measure the entry with a number of peers."""
-    entry = Child("bench.heartbeats", "--entry", f"--period-s={PERIOD_S}", f"--seconds={RUN_S}")
+    entry = ChildProcess(
+        "bench.heartbeats", "--entry", f"--period-s={PERIOD_S}", f"--seconds={RUN_S}"
+    )
     own = entry.read(EntryRef)
-    shares = [len(range(number, peers, CROWDS)) for number in range(CROWDS)]
-    crowds = [
-        Child(
+    shares = [len(range(number, peers, PEER_PROCESSES)) for number in range(PEER_PROCESSES)]
+    peer_processes = [
+        ChildProcess(
             "bench.crowd",
             own.peer_address,
             *map(str, (sum(shares[:number]), share, ZONES, PERIOD_S)),
@@ -157,18 +159,21 @@
         if share
     ]
     try:
-        refs = [ref for crowd in crowds for ref in crowd.read(list[EntryRef])]
-        for crowd in crowds:
-            crowd.write(Everyone([own, *refs], agree))
+        refs = [ref for process in peer_processes for ref in process.read(list[EntryRef])]
+        for process in peer_processes:
+            process.write(KnownEntries([own, *refs], agree))
         entry.write(refs)
         return Point(peers, agree, entry.read(Usage))
     finally:
-        for child in (entry, *crowds):
+        for child in (entry, *peer_processes):
             child.close()
 
 
 def slopes(points: Sequence[Point]) -> dict[str, Fit]:
-    """Fit processor time and bytes by peers; a digest costs each beat more with more peers."""
+    """Fit processor time and bytes by the number of peers.
+
+    Processor time has a quadratic term, as the digest of each heartbeat costs more with more peers.
+    """
     counts = [point.peers for point in points]
     inputs = {"peers": counts, "peers_squared": [count**2 for count in counts]}
     return {
@@ -191,12 +196,12 @@
         asyncio.run(run_entry(period_s, seconds))
     report = begin(" ".join(["python -m bench.heartbeats", *sys.argv[1:]]))
     points = [measure(peers) for _ in range(repetitions) for peers in PEERS]
-    apart = [measure(peers, agree=False) for peers in PEERS[2:6]]
+    disagreeing = [measure(peers, agree=False) for peers in PEERS[2:6]]
     report.results = {
         "period_s": PERIOD_S,
         "agreeing": slopes(points),
         "points": points,
-        "disagreeing": apart,
+        "disagreeing": disagreeing,
     }
     typer.echo(finish(report, name))
 
--- a/bench/holder.py
+++ b/bench/holder.py
@@ -1,4 +1,4 @@
-"""A process that only holds copies of logs; prints its endpoint.
+"""A process that only holds copies of logs, and prints its endpoint.
 
 python -m bench.holder INCARNATION
 """
@@ -15,7 +15,7 @@
 
 
 async def hold(incarnation: Incarnation) -> None:
-    """Hold copies until killed."""
+    """Hold copies until the process is killed."""
     copies = Copies(lambda _: None, lambda message: None)
 
     async def answer(body: PeerBody, reply: Reply) -> None:
--- a/bench/ledger.py
+++ b/bench/ledger.py
@@ -1,9 +1,9 @@
-"""Measure what the ledger takes: memory of a kept turn, processor time of a turn begun and kept.
+"""Measure the cost of the ledger: memory of a stored turn, and processor time of a complete turn.
 
     python -m bench.ledger
 
-Three replicas and a coordinator run in one process on the folders of a temporary directory, without
-links between them, so the figures leave out the sockets.  A turn has 3 kB of input.
+Three replicas and a coordinator run in one process, with their folders in a temporary directory.
+They are called directly, so the results exclude the cost of sockets.  A turn has 3 kB of input.
 """
 
 import asyncio
@@ -16,44 +16,44 @@
 from waxwingglade.ledger.tests.builders import FAR_FUTURE, Cluster
 
 TURNS = 3_000
-TURNS_OF_A_PROGRAM = 6
+TURNS_PER_PROGRAM = 6
 INPUT = b"x" * 3_000
 OUTPUT = b"y" * 1_500
 BUDGET = 10**6
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process, in bytes."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
 def processor_s() -> float:
-    """Return the processor time of this process."""
+    """Return the processor time of this process, in seconds."""
     return time.process_time()
 
 
-async def serve(cluster: Cluster, first: int, count: int) -> None:
-    """Begin and end turns, six of a program in a row."""
+async def run_turns(cluster: Cluster, first: int, count: int) -> None:
+    """Begin and end turns, six consecutive ones in each program."""
     coordinator = cluster.coordinator("vm-0")
     for number in range(first, first + count):
-        program = ProgramId(f"program-{number // TURNS_OF_A_PROGRAM}")
-        name = TurnId(f"turn-{number:012d}")
-        await coordinator.begin(BeginTurn(name, program, 300, BUDGET))
-        kept = Turn(name, None, INPUT, OUTPUT, FAR_FUTURE)
-        await coordinator.end(EndTurn(name, program, 250, kept))
+        program = ProgramId(f"program-{number // TURNS_PER_PROGRAM}")
+        turn_id = TurnId(f"turn-{number:012d}")
+        await coordinator.begin(BeginTurn(turn_id, program, 300, BUDGET))
+        stored_turn = Turn(turn_id, None, INPUT, OUTPUT, FAR_FUTURE)
+        await coordinator.end(EndTurn(turn_id, program, 250, stored_turn))
 
 
 async def measure(report: Callable[[str], None]) -> None:
-    """Run and report."""
+    """Run the turns and report the costs."""
     cluster = Cluster()
     await cluster.start()
     for replica in cluster.replicas.values():
-        # The cache of turns is bounded and not counted here.
+        # The cache of turns has a bounded size and is excluded from the measurement.
         replica._add_to_cache = lambda turn: None
-    await serve(cluster, 0, TURNS)
+    await run_turns(cluster, 0, TURNS)
     memory, processor = resident_bytes(), processor_s()
-    await serve(cluster, TURNS, TURNS)
+    await run_turns(cluster, TURNS, TURNS)
     memory, processor = resident_bytes() - memory, processor_s() - processor
     written = sum(replica.journal.flushed_bytes for replica in cluster.replicas.values())
     report(f"memory of a kept turn in one replica: {memory / TURNS / 3:.0f} B")
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,8 +1,8 @@
-"""Callers that follow streamed answers, as a process of their own.
+"""Callers that read streamed answers, in a process of their own.
 
     python -m bench.load URL --streams 100 --tokens 350 --seconds 10
 
-Prints one JSON line: answers, failures, seconds to the first token and between tokens.
+Prints one JSON line with the answers, failures, and seconds to the first token and between tokens.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class LoadResult(msgspec.Struct):
-    """What the callers saw; times are in seconds."""
+    """Measurements of all callers; times are in seconds."""
 
     answers: int = 0
     failures: int = 0
@@ -37,16 +37,16 @@
 
 
 class Samples(msgspec.Struct):
-    """Times of all streams, in seconds."""
+    """Times of all streams in seconds, and the failures."""
 
-    first: list[float] = []
-    between: list[float] = []
-    whole: list[float] = []
+    first_token_s: list[float] = []
+    between_tokens_s: list[float] = []
+    total_s: list[float] = []
     failures: list[str] = []
 
 
 class Connection:
-    """One connection of a caller, kept open between requests."""
+    """A caller's persistent connection."""
 
     def __init__(self, url: str) -> None:
         parts = urlsplit(url)
@@ -56,11 +56,11 @@
         self.writer: asyncio.StreamWriter | None = None
 
     async def open(self) -> None:
-        """Connect."""
+        """Open the connection."""
         self.reader, self.writer = await asyncio.open_connection(self.host, self.port)
 
     def send(self, path: str, body: dict, accept: str) -> None:
-        """Write one POST request."""
+        """Write a POST request."""
         data = json.dumps(body).encode()
         head = (
             f"POST {path} HTTP/1.1\r\nHost: {self.host}\r\nAuthorization: Bearer {TOKEN}\r\n"
@@ -70,45 +70,46 @@
         self.writer.write(head.encode() + data)
 
     async def head(self) -> tuple[int, int | None]:
-        """Read an answer's head; return its status and length, None where it is chunked."""
+        """Read the head of an answer; return its status and length, or None if it is chunked."""
         lines = (await self.reader.readuntil(b"\r\n\r\n")).split(b"\r\n")
         length = [line for line in lines if line.lower().startswith(b"content-length:")]
         return int(lines[0].split()[1]), int(length[0].split(b":")[1]) if length else None
 
     async def post(self, path: str, body: dict) -> dict:
-        """Send a request and return its JSON answer."""
+        """Send a request and return the decoded JSON answer."""
         self.send(path, body, "application/json")
         _, length = await self.head()
         return json.loads(await self.reader.readexactly(length or 0))
 
     async def stream(self, path: str, body: dict, samples: Samples) -> None:
-        """Send a request and follow its events to the end.
+        """Send a request and read its events to the end.
 
-        `samples.first` gets the seconds to the first event, and `samples.whole` those to the end.
+        The seconds to the first event are added to `samples.first_token_s`, and those to the end to
+        `samples.total_s`.
         """
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         self.send(path, body, "text/event-stream")
         _, length = await self.head()
         if length is not None:
             samples.failures.append((await self.reader.readexactly(length)).decode())
             return
-        before = 0.0
+        previous_at = 0.0
         tail = b""
         while not tail.endswith(END_OF_ANSWER):
-            piece = await self.reader.read(READ_BYTES)
-            if not piece:
-                raise ConnectionError("the answer broke off")
+            chunk = await self.reader.read(READ_BYTES)
+            if not chunk:
+                raise ConnectionError("the answer ended before its last chunk")
             now = time.monotonic()
-            if before:
-                samples.between.append(now - before)
+            if previous_at:
+                samples.between_tokens_s.append(now - previous_at)
             else:
-                samples.first.append(now - sent)
-            before = now
-            tail = (tail + piece)[-len(END_OF_ANSWER) - 200 :]
+                samples.first_token_s.append(now - sent_at)
+            previous_at = now
+            tail = (tail + chunk)[-len(END_OF_ANSWER) - 200 :]
         if b'"type":"failure"' in tail:
             samples.failures.append(tail.decode(errors="replace"))
             return
-        samples.whole.append(before - sent)
+        samples.total_s.append(previous_at - sent_at)
 
 
 async def caller(
@@ -116,7 +117,7 @@
 ) -> None:
     """Run programs one after the other, each of `turns` model calls, until `end_at`.
 
-    Programs are created at `url`; their calls go to the entries `via` in turn.
+    Programs are created at `url`; their calls are sent to the entries `via` in rotation.
     """
     creator = Connection(url)
     await creator.open()
@@ -134,7 +135,7 @@
 
 
 def model_call(turn: int, tokens: int, padding: int = 0) -> dict:
-    """Return the body of a call that asks for a number of tokens; `padding` is in characters."""
+    """Return the body of a call for a number of tokens; `padding` is in characters."""
     content = f"{'x' * padding} {secrets.token_hex(20)} tokens={tokens}"
     messages = [{"role": "user", "content": content}]
     call = f"m{turn}"
@@ -150,7 +151,7 @@
 async def run(
     url: str, via: list[str], streams: int, tokens: int, turns: int, seconds: float, ramp_s: float
 ) -> LoadResult:
-    """Run `streams` callers, started one after the other over `ramp_s` seconds."""
+    """Run `streams` callers, started at intervals over `ramp_s` seconds."""
     samples = Samples()
     end_at = time.monotonic() + seconds
     tasks = []
@@ -158,16 +159,16 @@
         tasks.append(asyncio.create_task(caller(url, via, tokens, turns, end_at, samples)))
         if number + 1 < streams:
             await asyncio.sleep(ramp_s / streams)
-    ended = await asyncio.gather(*tasks, return_exceptions=True)
-    samples.failures += [repr(each) for each in ended if isinstance(each, BaseException)]
+    outcomes = await asyncio.gather(*tasks, return_exceptions=True)
+    samples.failures += [repr(each) for each in outcomes if isinstance(each, BaseException)]
     return summary(samples)
 
 
 def summary(samples: Samples) -> LoadResult:
-    """Return the percentiles of what was sampled."""
-    first, between = samples.first or [0.0], samples.between or [0.0]
+    """Return the counts and percentiles of the samples."""
+    first, between = samples.first_token_s or [0.0], samples.between_tokens_s or [0.0]
     return LoadResult(
-        answers=len(samples.whole),
+        answers=len(samples.total_s),
         failures=len(samples.failures),
         first_failure=samples.failures[0] if samples.failures else "",
         first_token_p50=percentile(first, 0.5),
@@ -186,7 +187,7 @@
     seconds: float = 5.0,
     ramp_s: float = 1.0,
 ) -> None:
-    """Follow streams for a while and print what was seen."""
+    """Read streams for a while and print the measurements."""
     result = asyncio.run(run(url, via or [url], streams, tokens, turns, seconds, ramp_s))
     typer.echo(msgspec.json.encode(result).decode())
 
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,6 +1,6 @@
-"""Memory of an owner and of a holder by programs, turns and bytes of history.
+"""Memory of an owner and of a holder by programs, turns and length of history.
 
-Each point is a fresh cluster of three entries: one owns all programs, the others hold copies.
+Each point uses a new cluster of three entries: one owns all programs, the others hold copies.
 
     python -m bench.memory
 """
@@ -21,8 +21,8 @@
 from bench.usage import cpu_s, resident_bytes
 
 OWNER, HOLDER = 0, 1
-AT_A_TIME = 2
-"""Calls at a time: few, so that what a running call needs weighs little."""
+CONCURRENT_PROGRAMS = 2
+"""Programs that run concurrently: few, so that running calls use little of the memory."""
 
 SETTLE_S = 1.0
 IDLE_S = 3.0
@@ -30,7 +30,7 @@
 
 
 class Size(msgspec.Struct, frozen=True):
-    """Programs, turns of each, and tokens of history that each turn adds."""
+    """Number of programs, turns of each, and tokens that each turn adds to the history."""
 
     programs: int
     turns: int
@@ -52,15 +52,15 @@
     Size(40, 10, 19_000),
     Size(80, 10, 19_000),
 ]
-"""The last ones have histories of 190,000 tokens."""
+"""The last four sizes have histories of 190,000 tokens."""
 
 CHARACTERS_PER_TOKEN = 4
 
 
 class Point(msgspec.Struct, frozen=True):
-    """Memory with programs of a size, in bytes above that of the same process before.
+    """Memory growth of the processes after running programs of a size, in bytes.
 
-    `owner_idle_cores` is the processor time that the owner takes while no call runs.
+    `owner_idle_cores` is the processor time of the owner while no call runs.
     """
 
     size: Size
@@ -72,7 +72,7 @@
 
 
 def measure(size: Size) -> Point:
-    """Run the programs and measure."""
+    """Run the programs and measure the growth of memory."""
     with bench_cluster(step_s=STEP_S, module="bench.entry") as cluster:
         time.sleep(SETTLE_S)
         pids = [cluster.pid(number) for number in (OWNER, HOLDER)]
@@ -80,24 +80,26 @@
         samples = asyncio.run(fill(cluster.entry_urls()[OWNER], size))
         time.sleep(SETTLE_S)
         after = [resident_bytes(pid) for pid in pids]
-        used = cpu_s(pids[OWNER])
+        cpu_before_s = cpu_s(pids[OWNER])
         time.sleep(IDLE_S)
-        idle_cores = (cpu_s(pids[OWNER]) - used) / IDLE_S
-    grown = [late - early for early, late in zip(before, after, strict=True)]
+        idle_cores = (cpu_s(pids[OWNER]) - cpu_before_s) / IDLE_S
+    growth = [
+        after_bytes - before_bytes for before_bytes, after_bytes in zip(before, after, strict=True)
+    ]
     failures = len(samples.failures)
-    return Point(size, grown[0], grown[1], before[0], idle_cores, failures)
+    return Point(size, growth[0], growth[1], before[0], idle_cores, failures)
 
 
 async def fill(url: str, size: Size) -> Samples:
-    """Run all programs, some at a time, and leave them open."""
+    """Run all programs, a limited number concurrently, and leave them open."""
     samples = Samples()
-    free = asyncio.Semaphore(AT_A_TIME)
+    slots = asyncio.Semaphore(CONCURRENT_PROGRAMS)
 
-    async def one() -> None:
-        async with free:
+    async def run_one() -> None:
+        async with slots:
             await _run_program(url, size, samples)
 
-    await asyncio.gather(*(one() for _ in range(size.programs)))
+    await asyncio.gather(*(run_one() for _ in range(size.programs)))
     return samples
 
 
@@ -127,7 +129,7 @@
 def main(
     repetitions: Annotated[int, typer.Option(help="Measurements of every size.")] = 2,
 ) -> None:
-    """Measure, fit and write the result."""
+    """Run the measurements, fit them and write the result."""
     report = begin(" ".join(["python -m bench.memory", *sys.argv[1:]]))
     points = [measure(size) for _ in range(repetitions) for size in SIZES]
     report.results = {
--- a/bench/outcome.py
+++ b/bench/outcome.py
@@ -1,10 +1,10 @@
-"""What a run of a workload is given, and what it measures."""
+"""Input and results of one simulated run of a workload."""
 
 import msgspec
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """Load as a share of 100%, and what goes wrong with the first engine, if anything."""
+    """Load as a share of 100%, and the fault of the first engine, if any."""
 
     load: float
     slow_engine: bool = False
@@ -12,7 +12,7 @@
 
 
 class ProgramResult(msgspec.Struct):
-    """What became of a program; `latency_s` is counted up to its end or failure."""
+    """Result of a program; `latency_s` is the time to its end or failure."""
 
     program_class: str
     latency_s: float
@@ -21,7 +21,7 @@
 
 
 class RunResult(msgspec.Struct):
-    """What one run measured."""
+    """Measurements of one run."""
 
     programs: list[ProgramResult]
     prompt_tokens: int
@@ -32,7 +32,7 @@
 
 
 class ProgramFailed(Exception):
-    """The program cannot end in time."""
+    """Raised when a program cannot end before its deadline."""
 
 
 __all__ = ["ProgramFailed", "ProgramResult", "RunResult", "Scenario"]
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,8 +1,8 @@
-"""What a call through an entry costs beside the same call straight to the engine.
+"""Cost of a call through an entry compared with the same call sent directly to the engine.
 
-In turn, one after the other: straight to the engine, to an entry that keeps one copy, to the owner
-of a program with three copies, and to another entry, which passes the call on to the owner.  Then
-the same with longer histories.
+Four kinds of calls alternate: directly to the engine; to an entry that keeps a single copy; to the
+owner of a program with three copies; and to another entry, which forwards the call to the owner.
+The calls are then repeated with longer histories.
 
     python -m bench.overhead [--rounds 150]
 """
@@ -25,7 +25,7 @@
 from bench.usage import cpu_s
 from tests.processes import ZONES
 
-ONE_COPY = 3
+SINGLE_COPY_ENTRY = 3
 """Number of the entry without peers, whose programs have a single copy."""
 
 STEP_S = 0.002
@@ -34,13 +34,13 @@
 HISTORY_TOKENS = (1_000, 25_000, 50_000, 100_000, 190_000)
 CHARACTERS_PER_TOKEN = 4
 HISTORY_CALLS = 25
-PRIMING = 0
+PRIMING_CALL = 0
 
 Call = Callable[[Samples], Awaitable[None]]
 
 
 class Times(msgspec.Struct, frozen=True):
-    """Seconds of one way to make the call."""
+    """Times of one kind of call, in seconds."""
 
     first_p50: float
     first_p99: float
@@ -48,8 +48,8 @@
     whole_p99: float
 
 
-class Compared(msgspec.Struct, frozen=True):
-    """A way beside another in the same run: ratios, and differences in seconds."""
+class Comparison(msgspec.Struct, frozen=True):
+    """Ratios, and differences in seconds, between two kinds of calls in the same run."""
 
     first_p50_difference: float
     first_p50_ratio: float
@@ -60,22 +60,22 @@
 
 
 class OverheadCluster(BenchCluster):
-    """Three entries that copy to each other, and one alone."""
+    """Three entries that copy to each other, and one without peers."""
 
     def settings(self, number: int) -> dict[str, Any]:
-        """Return one entry's settings."""
+        """Return the settings of one entry."""
         settings = super().settings(number)
-        if number == ONE_COPY:
+        if number == SINGLE_COPY_ENTRY:
             settings["peers"] = []
             settings["durability"]["copies"] = 1
             return settings
-        alone = self.entry_name(ONE_COPY)
-        settings["peers"] = [peer for peer in settings["peers"] if peer["entry"] != alone]
+        single_copy = self.entry_name(SINGLE_COPY_ENTRY)
+        settings["peers"] = [peer for peer in settings["peers"] if peer["entry"] != single_copy]
         return settings
 
 
 class ProgramCalls:
-    """Makes one call after the other through entries, in a new program after every `TURNS`."""
+    """Makes sequential calls through an entry, in a new program after every `TURNS` calls."""
 
     def __init__(self, owner: Connection, via: Connection) -> None:
         self.owner = owner
@@ -84,12 +84,12 @@
         self.turn = 0
 
     async def begin(self, history_tokens: int = 0) -> None:
-        """Create a program with a history of a size."""
+        """Create a program, with a history of a given size."""
         created = await self.owner.post("/v1/programs", {"program_class": "load"})
         self.path = f"/v1/programs/{created['program']}/calls"
         self.turn = 0
         if history_tokens:
-            body = model_call(PRIMING, 1, history_tokens * CHARACTERS_PER_TOKEN)
+            body = model_call(PRIMING_CALL, 1, history_tokens * CHARACTERS_PER_TOKEN)
             await self.owner.stream(self.path, body, Samples())
 
     async def call(self, samples: Samples) -> None:
@@ -99,14 +99,14 @@
         self.turn += 1
         await self.via.stream(self.path, model_call(self.turn, TOKENS), samples)
 
-    async def call_again(self, samples: Samples) -> None:
-        """Make the next call of the same program."""
+    async def call_same_program(self, samples: Samples) -> None:
+        """Make the next call without creating a new program."""
         self.turn += 1
         await self.via.stream(self.path, model_call(self.turn, TOKENS), samples)
 
 
-def straight(engine: Connection, history: str = "") -> Call:
-    """Return a call to the engine."""
+def direct_call(engine: Connection, history: str = "") -> Call:
+    """Return a function that calls the engine directly."""
 
     async def call(samples: Samples) -> None:
         messages = [{"role": "user", "content": f"{history} tokens={TOKENS}"}]
@@ -117,13 +117,13 @@
 
 
 async def measure(cluster: BenchCluster, rounds: int) -> dict[str, Any]:
-    """Make every kind of call in turn and compare."""
-    engine, alone, owner, door = await connections(cluster)
+    """Make the four kinds of calls alternately and compare them."""
+    engine, single_copy, owner, forwarder = await connections(cluster)
     calls: dict[str, Call] = {
-        "straight": straight(engine),
-        "one_copy": ProgramCalls(alone, alone).call,
+        "straight": direct_call(engine),
+        "one_copy": ProgramCalls(single_copy, single_copy).call,
         "three_copies": ProgramCalls(owner, owner).call,
-        "passed_on": ProgramCalls(owner, door).call,
+        "passed_on": ProgramCalls(owner, forwarder).call,
     }
     samples = {name: Samples() for name in calls}
     for _ in range(rounds):
@@ -145,28 +145,28 @@
 
 
 async def measure_history(cluster: BenchCluster) -> dict[str, Any]:
-    """Measure first token and processor time of the owner by the length of the history."""
+    """Measure time to first token and processor time of the owner by length of the history."""
     engine, _, owner, _ = await connections(cluster)
     points = []
     for tokens in HISTORY_TOKENS:
         program = ProgramCalls(owner, owner)
         await program.begin(tokens)
-        direct = straight(engine, "x" * tokens * CHARACTERS_PER_TOKEN)
-        samples, beside = Samples(), Samples()
-        used = 0.0
+        call_engine = direct_call(engine, "x" * tokens * CHARACTERS_PER_TOKEN)
+        samples, baseline = Samples(), Samples()
+        owner_cpu_s = 0.0
         for _ in range(HISTORY_CALLS):
-            await direct(beside)
+            await call_engine(baseline)
             before = cpu_s(cluster.pid(0))
-            await program.call_again(samples)
-            used += cpu_s(cluster.pid(0)) - before
-        first = statistics.median(samples.first)
+            await program.call_same_program(samples)
+            owner_cpu_s += cpu_s(cluster.pid(0)) - before
+        first_s = statistics.median(samples.first_token_s)
         points.append(
             {
                 "history_tokens": tokens,
-                "first_p50": first,
-                "first_p50_difference": first - statistics.median(beside.first),
-                "owner_cpu_per_call_s": used / HISTORY_CALLS,
-                "failures": len(samples.failures) + len(beside.failures),
+                "first_p50": first_s,
+                "first_p50_difference": first_s - statistics.median(baseline.first_token_s),
+                "owner_cpu_per_call_s": owner_cpu_s / HISTORY_CALLS,
+                "failures": len(samples.failures) + len(baseline.failures),
             }
         )
     lengths = [point["history_tokens"] for point in points]
@@ -178,9 +178,12 @@
 
 
 async def connections(cluster: BenchCluster) -> list[Connection]:
-    """Return connections to the engine, the entry alone, the owner and another entry."""
+    """Return connections to the engine, the single-copy entry, the owner and another entry."""
     urls = cluster.entry_urls()
-    opened = [Connection(cluster.urls["engine-1"]), *map(Connection, (urls[ONE_COPY], *urls[:2]))]
+    opened = [
+        Connection(cluster.urls["engine-1"]),
+        *map(Connection, (urls[SINGLE_COPY_ENTRY], *urls[:2])),
+    ]
     for connection in opened:
         await connection.open()
     return opened
@@ -189,22 +192,22 @@
 def times_of(samples: Samples) -> Times:
     """Return medians and 99th percentiles."""
     return Times(
-        percentile(samples.first, 0.5),
-        percentile(samples.first, 0.99),
-        percentile(samples.whole, 0.5),
-        percentile(samples.whole, 0.99),
+        percentile(samples.first_token_s, 0.5),
+        percentile(samples.first_token_s, 0.99),
+        percentile(samples.total_s, 0.5),
+        percentile(samples.total_s, 0.99),
     )
 
 
-def compare(times: Times, beside: Times) -> Compared:
-    """Return ratios and differences of two ways."""
-    return Compared(
-        times.first_p50 - beside.first_p50,
-        times.first_p50 / beside.first_p50,
-        times.first_p99 - beside.first_p99,
-        times.whole_p50 - beside.whole_p50,
-        times.whole_p50 / beside.whole_p50,
-        times.whole_p99 - beside.whole_p99,
+def compare(times: Times, baseline: Times) -> Comparison:
+    """Return the differences and ratios to a baseline."""
+    return Comparison(
+        times.first_p50 - baseline.first_p50,
+        times.first_p50 / baseline.first_p50,
+        times.first_p99 - baseline.first_p99,
+        times.whole_p50 - baseline.whole_p50,
+        times.whole_p50 / baseline.whole_p50,
+        times.whole_p99 - baseline.whole_p99,
     )
 
 
@@ -212,7 +215,7 @@
     rounds: Annotated[int, typer.Option(help="Calls of every kind.")] = 150,
     repetitions: Annotated[int, typer.Option(help="Fresh clusters.")] = 3,
 ) -> None:
-    """Measure and write the result."""
+    """Run the measurements and write the result."""
     report = begin(" ".join(["python -m bench.overhead", *sys.argv[1:]]))
     runs = []
     for _ in range(repetitions):
--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of placing a turn, by the number of engines: ``python -m bench.placing_cost``."""
+"""Processor time for placing a turn by the number of engines: ``python -m bench.placing_cost``."""
 
 import time
 
@@ -22,19 +22,19 @@
 ZONES = 4
 
 
-def engines(number: int) -> TargetList:
-    """Return so many engines in four zones."""
-    made = [
+def make_engines(number: int) -> TargetList:
+    """Return a number of engines in four zones."""
+    targets = [
         Target(
             TargetId(f"i-{n:010x}"), ENGINES.name, f"10.0.0.1:{n + 1}", ZoneId(f"z{n % ZONES}"), 24
         )
         for n in range(number)
     ]
-    return TargetList(Revision(1), tuple(made))
+    return TargetList(Revision(1), tuple(targets))
 
 
-def turn(number: int) -> Call:
-    """Return one of three hundred programs' turns, with one of sixteen shared parts."""
+def make_turn(number: int) -> Call:
+    """Return a turn of one of 300 programs, with one of 16 shared prompt parts."""
     call = Call(RequestId(f"r{number}"), "POST", "/", "", [])
     call.program = ProgramId(f"p{number % 300}")
     shared = PromptPart(f"shared-{number % 16}", 2_560)
@@ -42,28 +42,28 @@
     return call
 
 
-def microseconds(number: int) -> float:
-    """Return the processor time of one turn among so many engines, from admission to its end."""
+def turn_cost_us(number: int) -> float:
+    """Return the processor time of one turn from admission to its end, in microseconds."""
     balancer = Balancer(ZoneId("z0"))
-    balancer.update(engines(number))
+    balancer.update(make_engines(number))
     history = History(IncarnationName("i-0000000003"))
-    calls = [turn(n) for n in range(TURNS)]
-    began_at = time.process_time()
+    calls = [make_turn(n) for n in range(TURNS)]
+    started_at = time.process_time()
     for call in calls:
-        pace = balancer.speed_of(ENGINES.name)
-        retry_after_s(pace, balancer.engines(ENGINES.name), AdmissionRequest(wait_limit_s=2.0))
+        speed = balancer.speed_of(ENGINES.name)
+        retry_after_s(speed, balancer.engines(ENGINES.name), AdmissionRequest(wait_limit_s=2.0))
         choice = balancer.choose(ENGINES, call, (), history)
         assert choice is not None
         balancer.record_sent(choice.target, call)
         balancer.record_turn(choice, 0.1, 0.5, 11)
         balancer.record_end(choice.target)
-    return (time.process_time() - began_at) / TURNS * 1e6
+    return (time.process_time() - started_at) / TURNS * 1e6
 
 
 def main() -> None:
     """Print a line for each number of engines."""
     for number in SIZES:
-        print(f"{number:4d} engines: {microseconds(number):8.0f} µs a turn")
+        print(f"{number:4d} engines: {turn_cost_us(number):8.0f} µs a turn")
 
 
 if __name__ == "__main__":
--- a/bench/replication.py
+++ b/bench/replication.py
@@ -1,7 +1,7 @@
-"""What it costs to copy the records of turns to two holders.
+"""Cost of copying the records of turns to two holders.
 
-The owner's log runs in this process, each holder in one of its own.  A turn is two records: a call
-that starts, with its message, and its outcome, with the answer.
+The owner's log runs in this process, each holder in its own process.  A turn consists of two
+records: the start of a call with its message, and its outcome with the answer.
 
     python -m bench.replication
 """
@@ -52,7 +52,7 @@
 LOG = LogId("home.zone-1.entry-1.owner.0")
 CONCURRENCIES = (1, 4, 16, 64)
 TURN_BYTES = (200, 1_400, 8_000)
-"""Bytes of message and answer together; 350 tokens are 1,400."""
+"""Total bytes of message and answer; 350 tokens are 1,400."""
 
 
 class Point(msgspec.Struct, frozen=True):
@@ -61,17 +61,17 @@
     Parameters
     ----------
     concurrency : int
-        Turns under way at a time.
+        Concurrent turns.
     turn_bytes : int
-        Bytes of text of a turn.
+        Bytes of text in a turn.
     turns : int
         Turns in the run.
     messages_per_turn, bytes_per_turn : float
-        Sent to both holders together, answers not included.
+        Sent to both holders together, excluding answers.
     answer_bytes_per_turn : float
-        Received from both holders.
+        Received from both holders together.
     owner_cpu_s, holder_cpu_s : float
-        Processor time for each turn, of the owner and of one holder.
+        Processor time per turn, of the owner and of one holder.
     turn_p50, turn_p99 : float
         Seconds that the two appends of a turn take together.
     """
@@ -89,7 +89,7 @@
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """What the links of the owner have carried so far."""
+    """Total traffic of the owner's links."""
 
     messages: int
     sent: int
@@ -97,7 +97,7 @@
 
 
 class Run(msgspec.Struct):
-    """Turns of one run and the seconds that each took."""
+    """Size of the turns of one run, and the seconds that each took."""
 
     turn_bytes: int
     seconds: list[float] = []
@@ -110,52 +110,59 @@
 
 
 def owned_log(links: PeerLinks, holders: Sequence[EntryRef]) -> OwnedLog:
-    """Return a log with copies here and at the holders."""
+    """Return a log with copies at the owner and the holders."""
     own = ref("owner", "zone-1", "")
     settings = DurabilitySettings()
     copies = [own, *holders]
     return OwnedLog(LOG, Epoch(1), own, copies, [], links, settings, lambda _: True)
 
 
-async def measure(addresses: Sequence[str], pids: Sequence[int], run: Run, turns: int) -> Point:
-    """Run `turns` turns at a time on a fresh log, and measure."""
+async def measure(
+    addresses: Sequence[str], pids: Sequence[int], run: Run, concurrency: int
+) -> Point:
+    """Run a number of concurrent turns on a new log and measure them."""
     links = PeerLinks(zmq.asyncio.Context())
     zones = ("zone-1", "zone-2")
     names = [f"holder-{number}" for number in range(HOLDERS)]
     holders = [ref(*each) for each in zip(names, zones, addresses, strict=True)]
     log = owned_log(links, holders)
     log.start()
-    workers = [asyncio.create_task(_work(log, number, run)) for number in range(turns)]
+    workers = [asyncio.create_task(_run_turns(log, number, run)) for number in range(concurrency)]
     await asyncio.sleep(WARM_UP_S)
-    opened = [links.to(holder.peer_address, holder.incarnation) for holder in holders]
-    before, used = traffic(opened), [cpu_s(os.getpid()), *map(cpu_s, pids)]
+    holder_links = [links.to(holder.peer_address, holder.incarnation) for holder in holders]
+    before, cpu_before = traffic(holder_links), [cpu_s(os.getpid()), *map(cpu_s, pids)]
     run.measuring = True
     await asyncio.sleep(RUN_S)
     run.measuring = False
-    after, used_after = traffic(opened), [cpu_s(os.getpid()), *map(cpu_s, pids)]
+    after, cpu_after = traffic(holder_links), [cpu_s(os.getpid()), *map(cpu_s, pids)]
     for worker in workers:
         worker.cancel()
     await asyncio.gather(*workers, return_exceptions=True)
     await log.stop()
     await links.close()
-    count = len(run.seconds)
-    cpu = [late - early for early, late in zip(used, used_after, strict=True)]
+    turn_count = len(run.seconds)
+    cpu_s_used = [
+        after_s - before_s for before_s, after_s in zip(cpu_before, cpu_after, strict=True)
+    ]
     return Point(
-        concurrency=turns,
+        concurrency=concurrency,
         turn_bytes=run.turn_bytes,
-        turns=count,
-        messages_per_turn=(after.messages - before.messages - HOLDERS) / count,
-        bytes_per_turn=(after.sent - before.sent) / count,
-        answer_bytes_per_turn=(after.received - before.received) / count,
-        owner_cpu_s=cpu[0] / count,
-        holder_cpu_s=sum(cpu[1:]) / HOLDERS / count,
+        turns=turn_count,
+        messages_per_turn=(after.messages - before.messages - HOLDERS) / turn_count,
+        bytes_per_turn=(after.sent - before.sent) / turn_count,
+        answer_bytes_per_turn=(after.received - before.received) / turn_count,
+        owner_cpu_s=cpu_s_used[0] / turn_count,
+        holder_cpu_s=sum(cpu_s_used[1:]) / HOLDERS / turn_count,
         turn_p50=percentile(run.seconds, 0.5),
         turn_p99=percentile(run.seconds, 0.99),
     )
 
 
 def traffic(links: Sequence[PeerLink]) -> Traffic:
-    """Return what links have carried; each look takes one number of every link."""
+    """Return the total traffic of some links.
+
+    Each call of this function uses up one message number of every link.
+    """
     return Traffic(
         messages=sum(next(link.numbers) for link in links),
         sent=sum(link.bytes_sent for link in links),
@@ -163,16 +170,16 @@
     )
 
 
-async def _work(log: OwnedLog, number: int, run: Run) -> None:
+async def _run_turns(log: OwnedLog, number: int, run: Run) -> None:
     program = ProgramId(f"{LOG}.{number}")
     await log.append(program, created())
     for turn in itertools.count():
-        started = time.monotonic()
+        started_at = time.monotonic()
         call = CallId(f"m{turn}")
         await log.append(program, call_started(call, "x" * (run.turn_bytes // 2)))
         await log.append(program, call_ended(call, "y" * (run.turn_bytes // 2)))
         if run.measuring:
-            run.seconds.append(time.monotonic() - started)
+            run.seconds.append(time.monotonic() - started_at)
 
 
 def created() -> Created:
@@ -188,20 +195,20 @@
 
 
 def call_started(call: CallId, text: str) -> CallStarted:
-    """Return the record of a model call that starts."""
+    """Return the record of a started model call."""
     model_call = ModelCall(call, ModelName("base"), [Message(MessageRole.USER, text)], 350)
     return CallStarted(model_call, Amount(700, 70_000), TargetId("engine-1"), 1.5e9, "0" * 16)
 
 
 def call_ended(call: CallId, text: str) -> CallEnded:
-    """Return the record of a model call that ended."""
+    """Return the record of a completed model call."""
     done = Done(text, usage=Usage(350, 300, 350))
     return CallEnded(call, done, Amount(700, 70_000), 1.5e9)
 
 
 @contextmanager
 def holder_processes() -> Iterator[list[Process]]:
-    """Run the holders for the time of a measurement."""
+    """Run the holders for the duration of a measurement."""
     with tempfile.TemporaryDirectory() as folder:
         processes = [
             Process([f"holder-{number}"], Path(folder) / f"{number}.log", "bench.holder")
@@ -215,20 +222,20 @@
 
 
 def measure_all() -> list[Point]:
-    """Measure every size and concurrency, each with fresh holders."""
+    """Measure every size and concurrency, each with new holder processes."""
     points = []
-    for turn_bytes, turns in itertools.product(TURN_BYTES, CONCURRENCIES):
+    for turn_bytes, concurrency in itertools.product(TURN_BYTES, CONCURRENCIES):
         with holder_processes() as processes:
             addresses = [process.first_line() for process in processes]
             pids = [process.popen.pid for process in processes]
-            points.append(asyncio.run(measure(addresses, pids, Run(turn_bytes), turns)))
+            points.append(asyncio.run(measure(addresses, pids, Run(turn_bytes), concurrency)))
     return points
 
 
 def main(
     repetitions: Annotated[int, typer.Option(help="Measurements of every size.")] = 3,
 ) -> None:
-    """Measure, fit and write the result."""
+    """Run the measurements, fit them and write the result."""
     report = begin(" ".join(["python -m bench.replication", *sys.argv[1:]]))
     points = [point for _ in range(repetitions) for point in measure_all()]
     inputs = {
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Results of measurements as JSON files."""
+"""Benchmark results as JSON files."""
 
 import datetime
 import os
@@ -13,7 +13,7 @@
 
 
 class Spread(msgspec.Struct, frozen=True):
-    """Median and range of repetitions."""
+    """Median and range of repeated measurements."""
 
     median: float
     least: float
@@ -22,19 +22,18 @@
 
 
 class Report(msgspec.Struct):
-    """One run of a measurement.
+    """One run of a benchmark.
 
     Parameters
     ----------
     command : str
-        What was run.
+        Command line of the run.
     date : str
         Day of the run.
     machine : str
         Class of the machine.
     load_before, load_after : float
-        Mean number of runnable processes on the machine in the minute before, to tell how much
-        else was running.
+        Load average of the machine over one minute, which shows how much else was running.
     results : dict
         Measurements and fits.
     """
@@ -48,18 +47,18 @@
 
 
 def spread(values: Sequence[float]) -> Spread:
-    """Return median and range."""
+    """Return the median, the range and the number of values."""
     return Spread(statistics.median(values), min(values), max(values), len(values))
 
 
 def percentile(values: Sequence[float], share: float) -> float:
-    """Return the value below which a `share` (0 to 1) of the values lie, by the nearest rank."""
+    """Return the value at rank ``share * count`` (`share` from 0 to 1) of the sorted values."""
     ranked = sorted(values)
     return ranked[min(len(ranked) - 1, int(share * len(ranked)))]
 
 
 def begin(command: str) -> Report:
-    """Start a report."""
+    """Return an empty report of a run that starts now."""
     machine = f"one {os.cpu_count()}-core machine"
     date = datetime.datetime.now(datetime.UTC).date().isoformat()
     return Report(command, date, machine, os.getloadavg()[0], 0.0, {})
--- a/bench/session.py
+++ b/bench/session.py
@@ -1,4 +1,4 @@
-"""The history of a program under way."""
+"""The conversation history of a running program."""
 
 import xxhash
 
@@ -7,7 +7,7 @@
 
 
 class Session:
-    """History of a program under way, as blocks of its prompt."""
+    """Conversation history of a running program, as blocks of its prompt."""
 
     def __init__(self, plan: ProgramPlan, block_tokens: int, parent: "Session | None") -> None:
         self.plan = plan
@@ -23,7 +23,7 @@
         self.refusals = 0
 
     def extend(self, tokens: int) -> None:
-        """Add to the history."""
+        """Append a number of tokens to the history."""
         self.tokens += tokens
         while (len(self.blocks) + 1) * self.block_tokens <= self.tokens:
             text = f"{self.name} {len(self.blocks)}"
--- a/bench/spread_worker.py
+++ b/bench/spread_worker.py
@@ -1,7 +1,7 @@
-"""Entries without callers, logs or targets, several to a process, for `bench.config_spread`.
+"""Entries without callers, logs or targets, several per process, for `bench.config_spread`.
 
-Peer sockets, heartbeats, the client of the store and the configuration are those of an entry.
-The process reads one JSON order a line and writes one JSON answer a line.
+They use the peer sockets, heartbeats, store client and configuration of a real entry.  The process
+reads one command as a line of JSON and writes the answer as a line of JSON.
 
     python -m bench.spread_worker
 """
@@ -46,11 +46,11 @@
     Parameters
     ----------
     numbers : list of int
-        Their numbers.
+        Numbers of the entries.
     zones : int
-        Availability zones of the whole system; entry N is in zone N modulo that.
+        Number of availability zones in the whole system; entry N is in zone N modulo `zones`.
     store_urls : list of str
-        The store, as each of the entries reaches it.
+        URL of the store for each of the entries.
     heartbeat_s, suspect_after_s : float
         As in the settings of an entry.
     """
@@ -62,19 +62,19 @@
     suspect_after_s: float
 
 
-class Order(msgspec.Struct, frozen=True):
-    """What the process is to do next; the first that is given of the fields.
+class Command(msgspec.Struct, frozen=True):
+    """Next step of the process; the first field that is set is carried out.
 
     Parameters
     ----------
     plan : Plan, optional
-        Open the entries' sockets.
+        Open the sockets of these entries.
     refs : list of EntryRef, optional
-        Greet these entries and follow the configuration.
+        Contact these entries and follow the configuration.
     seed : bool
-        Whether the first entry makes its tree version 1 before it greets.
+        Whether the first entry stores its tree as version 1 before it contacts the others.
     change : int, optional
-        Put a change forward at the first entry, and have it approved and accepted.
+        Propose a change at the first entry, and have it approved and accepted.
     """
 
     plan: Plan | None = None
@@ -84,10 +84,10 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What the process and its entries have used since their start.
+    """Resources used by the process and its entries since the start.
 
-    `fetches` and `fetch_bytes` are what peers have fetched of the configuration, the requests
-    included and without envelopes.
+    `fetches` and `fetch_bytes` count the fetches of the configuration by peers, including requests
+    and excluding envelopes.
     """
 
     at: float
@@ -100,7 +100,7 @@
 
 
 class InForce(msgspec.Struct, frozen=True, array_like=True):
-    """When a version, or a higher one, came into force at an entry, and from where."""
+    """Time at which a version came into force at an entry, and its source."""
 
     entry: EntryId
     version: ConfigVersion
@@ -109,10 +109,11 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Answer to an order; which fields are filled depends on the order.
+    """Answer to a command, which determines the fields that are set.
 
-    `accepted_at` is when the acceptance was answered, in monotonic seconds; `watchers` follow the
-    store, and `watched` is the sum over the entries of the peers that they send heartbeats to.
+    `accepted_at` is the time of the answer to the acceptance, in monotonic seconds.  `watchers` is
+    the number of entries that follow the store, and `watched` the sum over all entries of the peers
+    to which they send heartbeats.
     """
 
     usage: Usage | None = None
@@ -125,7 +126,7 @@
 
 
 class LightEntry:
-    """One entry."""
+    """One entry without callers, logs and targets."""
 
     def __init__(self, context: zmq.asyncio.Context, plan: Plan, index: int) -> None:
         number = plan.numbers[index]
@@ -145,10 +146,10 @@
         self.entry.set_addresses(self.server.start(LOCAL, 0), "")
         self.configuration = Configuration(self.entry)
         self.entry.configuration = self.configuration
-        self.seen: list[InForce] = []
+        self.versions_seen: list[InForce] = []
         self.fetches = 0
         self.fetch_bytes = 0
-        self.watch = start_task(self.note_versions())
+        self.watch = start_task(self.record_versions())
 
     async def answer(self, body: PeerBody, reply: Reply) -> None:
         """Answer a peer as an entry does."""
@@ -158,38 +159,38 @@
             self.fetch_bytes += sum(len(msgspec.msgpack.encode(each)) for each in (body, answer))
         await answer_peer(self.entry, body, reply)
 
-    async def note_versions(self) -> None:
-        """Note when each version comes into force."""
+    async def record_versions(self) -> None:
+        """Record the time at which each version comes into force."""
         active = self.entry.config
         while True:
             changed = active.changed
             version, source = active.current.version, active.source.value
-            self.seen.append(InForce(self.entry.own.entry, version, monotonic(), source))
+            self.versions_seen.append(InForce(self.entry.own.entry, version, monotonic(), source))
             await changed.wait()
 
-    def greet(self, refs: list[EntryRef]) -> None:
-        """Learn of some entries of each zone, begin to send heartbeats and follow the store."""
+    def join(self, refs: list[EntryRef]) -> None:
+        """Add some entries of each zone as members, start heartbeats and follow the store."""
         entry = self.entry
-        entry.members.add_reported(known_of(entry.own.zone, refs))
+        entry.members.add_reported(initially_known(entry.own.zone, refs))
         entry.heartbeats = Heartbeats(
             entry.members, entry.links, [], entry.config.digest, self.configuration.on_peer_digest
         )
         self.configuration.start()
 
     async def seed(self) -> None:
-        """Make the first tree version 1."""
+        """Store the initial tree as version 1."""
         records = self.configuration.service.config_store
         (await seed_store(records, self.entry.config, self.entry.own)).unwrap()
 
     async def change(self, number: int) -> Answer:
-        """Bring one change from proposal to acceptance."""
+        """Propose, approve and accept one change."""
         service = self.configuration.service
         change = Change(LevelPath("firm"), SettingName("queue_limit"), 100 + number)
-        name = ProposalId(f"change-{number}")
+        proposal_id = ProposalId(f"change-{number}")
         base = self.entry.config.current.version
-        made = (await service.propose(name, PROPOSER, base, [change])).unwrap()
-        (await service.approve(name, APPROVER, digest_of(made.text))).unwrap()
-        record = (await service.accept(name, PROPOSER)).unwrap()
+        proposal = (await service.propose(proposal_id, PROPOSER, base, [change])).unwrap()
+        (await service.approve(proposal_id, APPROVER, digest_of(proposal.text))).unwrap()
+        record = (await service.accept(proposal_id, PROPOSER)).unwrap()
         return Answer(version=record.version, accepted_at=monotonic())
 
     def bytes(self) -> tuple[int, int]:
@@ -203,16 +204,16 @@
         return calls[Purpose.CONFIG] + calls[Purpose.WATCH] + calls[Purpose.LEASE]
 
 
-def known_of(zone: ZoneId, refs: list[EntryRef]) -> list[EntryRef]:
-    """Return the entries that one of a zone knows: its own zone, and a few of each other."""
+def initially_known(zone: ZoneId, refs: list[EntryRef]) -> list[EntryRef]:
+    """Return the entries that a member of a zone knows: its own zone, and a few of each other."""
     by_zone: dict[ZoneId, list[EntryRef]] = {}
     for ref in random.sample(refs, len(refs)):
         by_zone.setdefault(ref.zone, []).append(ref)
     few = [
         ref
-        for other, there in by_zone.items()
+        for other, zone_refs in by_zone.items()
         if other != zone
-        for ref in there[:MEMBERS_PER_REMOTE_ZONE]
+        for ref in zone_refs[:MEMBERS_PER_REMOTE_ZONE]
     ]
     return [*by_zone[zone], *few]
 
@@ -225,29 +226,29 @@
         self.context.set(zmq.MAX_SOCKETS, MAX_SOCKETS)
         self.entries: list[LightEntry] = []
 
-    async def obey(self, order: Order) -> Answer:
-        """Carry out an order; one without content asks for what was seen and used."""
-        if order.plan is not None:
-            plan = order.plan
+    async def execute(self, command: Command) -> Answer:
+        """Carry out a command; one without content requests the report."""
+        if command.plan is not None:
+            plan = command.plan
             random.seed(plan.numbers[0])
             indexes = range(len(plan.numbers))
             self.entries = [LightEntry(self.context, plan, index) for index in indexes]
             return Answer(refs=[each.entry.own for each in self.entries])
-        if order.refs is not None:
-            if order.seed:
+        if command.refs is not None:
+            if command.seed:
                 await self.entries[0].seed()
             for each in self.entries:
-                each.greet(order.refs)
+                each.join(command.refs)
             return Answer()
-        if order.change is not None:
-            return await self.entries[0].change(order.change)
+        if command.change is not None:
+            return await self.entries[0].change(command.change)
         return self.report()
 
     def report(self) -> Answer:
-        """Return what the entries saw and used."""
+        """Return the versions seen and the resources used by the entries."""
         sent, received = zip(*(each.bytes() for each in self.entries), strict=True)
         calls = sum(each.store_calls() for each in self.entries)
-        used = Usage(
+        usage = Usage(
             monotonic(),
             time.process_time(),
             list(sent),
@@ -256,21 +257,21 @@
             sum(each.fetches for each in self.entries),
             sum(each.fetch_bytes for each in self.entries),
         )
-        seen = [each for entry in self.entries for each in entry.seen]
+        versions_seen = [each for entry in self.entries for each in entry.versions_seen]
         watched = sum(len(each.entry.members.watched_since) for each in self.entries)
         watchers = sum(each.configuration.is_watcher() for each in self.entries)
-        return Answer(usage=used, in_force=seen, watchers=watchers, watched=watched)
+        return Answer(usage=usage, in_force=versions_seen, watchers=watchers, watched=watched)
 
 
 async def main() -> None:
-    """Obey until the orders end."""
+    """Execute commands until the input ends."""
     logger.remove()
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 24)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     worker = Worker()
     while line := await reader.readline():
-        answer = await worker.obey(msgspec.json.decode(line, type=Order))
+        answer = await worker.execute(msgspec.json.decode(line, type=Command))
         sys.stdout.write(msgspec.json.encode(answer).decode() + "\n")
         sys.stdout.flush()
 
--- a/bench/store_calls.py
+++ b/bench/store_calls.py
@@ -1,8 +1,9 @@
-"""Calls to the store by what they are for, and the time of a takeover.
+"""Calls to the store by their cause, and the duration of a takeover.
 
-Six entries in three zones.  Counted: calls of a fleet at rest, calls for programs and turns, for
-logs, and for what follows the loss of an entry (logs that change hands, logs that change holders).
-Timed: from the kill of an entry to the first call that each of its programs is served.
+The cluster has six entries in three zones.  Counted are the calls of an idle fleet, the calls for
+programs and turns, for logs, and for the consequences of losing an entry (logs that get a new
+owner, logs that get new holders).  Timed is the interval from the kill of an entry to the first
+successful call of each of its programs.
 
     python -m bench.store_calls
 """
@@ -25,27 +26,27 @@
 from tests.processes import ZONES, wait_until
 
 ENTRIES = (*ZONES, *ZONES)
-KILLED, ASKED = 0, 1
-REST_S = 10.0
+KILLED_ENTRY, CALLED_ENTRY = 0, 1
+IDLE_S = 10.0
 STEP_S = 0.001
 POLL_S = 0.02
 LOOKUP_CALLS = 10
 LOOKUP_PAUSE_S = 2.2
-PATIENCE_S = 60.0
+WAIT_LIMIT_S = 60.0
 DURABILITY = {
     "heartbeat_s": 0.5,
     "suspect_after_s": 2.5,
     "takeover_period_s": 0.5,
     "append_timeout_s": 5.0,
 }
-"""The defaults of the package, not the short times of the tests."""
+"""The defaults of the package instead of the short times of the tests."""
 
 CHARACTERS_PER_TOKEN = 4
 LOOKUPS = re.compile(r'waxwingglade_store_calls_total\{purpose="lookup"\} ([0-9.e+]+)')
 
 
 class Calls(msgspec.Struct, frozen=True):
-    """Calls to the store in some time."""
+    """Calls to the store during an interval."""
 
     reads: int
     writes: int
@@ -53,7 +54,7 @@
 
 
 class Size(msgspec.Struct, frozen=True):
-    """What the killed entry owned."""
+    """Logs, programs, turns and tokens per turn of the killed entry."""
 
     logs: int
     programs: int
@@ -62,7 +63,7 @@
 
 
 class Loss(msgspec.Struct, frozen=True):
-    """What followed the kill of an entry; times are in seconds since the kill."""
+    """Consequences of killing an entry; times are in seconds since the kill."""
 
     size: Size
     taken_over: int
@@ -86,7 +87,7 @@
 ]
 
 LARGE = [Size(1, 40, 10, 19_000), Size(1, 96, 10, 19_000)]
-"""All programs in one log of 30 and 73 MB; 64 MiB are the most that a message may have."""
+"""All programs in one log of 30 and 73 MB; the largest allowed message has 64 MiB."""
 
 
 def between(before: StoreCounts, after: StoreCounts) -> Calls:
@@ -101,13 +102,13 @@
     return {"durability": {**DURABILITY, "logs_per_entry": logs}}
 
 
-def started(cluster: BenchCluster, logs: int) -> None:
-    """Wait until every log is named in the store with all its copies."""
+def wait_until_registered(cluster: BenchCluster, logs: int) -> None:
+    """Wait until the store names every log with all its copies."""
 
     def complete() -> bool:
         records = cluster.log_records()
-        whole = [each for each in records if len(each.copies) == 3]
-        return len(whole) >= logs * len(ENTRIES) == len(whole)
+        fully_copied = [each for each in records if len(each.copies) == 3]
+        return len(fully_copied) >= logs * len(ENTRIES) == len(fully_copied)
 
     wait_until(complete, "the logs to be registered")
 
@@ -134,74 +135,74 @@
 # --- counts -------------------------------------------------------------------------------------
 
 
-def measure_rest(logs: int) -> dict[str, Any]:
-    """Count the calls of a fleet at rest, and those of its start."""
+def measure_idle(logs: int) -> dict[str, Any]:
+    """Count the calls of an idle fleet, and those of its start."""
     with bench_cluster(ENTRIES, settings(logs), step_s=STEP_S) as cluster:
-        started(cluster, logs)
+        wait_until_registered(cluster, logs)
         start = cluster.store_counts()
-        time.sleep(REST_S)
-        rest = between(start, cluster.store_counts())
+        time.sleep(IDLE_S)
+        idle_calls = between(start, cluster.store_counts())
         return {
             "logs_per_entry": logs,
             "entries": len(ENTRIES),
             "zones": len(ZONES),
             "calls_of_start": between(StoreCounts({}, 0, 0), start),
-            "calls_of_rest": rest,
-            "seconds": REST_S,
+            "calls_of_rest": idle_calls,
+            "seconds": IDLE_S,
             "watches": start.watches,
         }
 
 
 def measure_turns(programs: int, turns: int) -> dict[str, Any]:
-    """Count the calls for programs and turns, less those of a fleet at rest."""
+    """Count the calls for programs and turns, and those of the idle fleet in the same time."""
     with bench_cluster(ENTRIES, settings(4), step_s=STEP_S) as cluster:
-        started(cluster, 4)
-        before, began = cluster.store_counts(), time.monotonic()
-        asyncio.run(run_programs(cluster.entry_urls()[KILLED], Size(4, programs, turns, 50)))
-        calls, seconds = between(before, cluster.store_counts()), time.monotonic() - began
+        wait_until_registered(cluster, 4)
+        before, started_at = cluster.store_counts(), time.monotonic()
+        asyncio.run(run_programs(cluster.entry_urls()[KILLED_ENTRY], Size(4, programs, turns, 50)))
+        calls, seconds = between(before, cluster.store_counts()), time.monotonic() - started_at
         before = cluster.store_counts()
         time.sleep(seconds)
-        rest = between(before, cluster.store_counts())
+        idle_calls = between(before, cluster.store_counts())
         return {
             "programs": programs,
             "turns": programs * turns,
             "seconds": seconds,
             "calls": calls,
-            "calls_at_rest_in_that_time": rest,
+            "calls_at_rest_in_that_time": idle_calls,
         }
 
 
 def measure_lookups() -> dict[str, Any]:
-    """Count the calls to the store for calls to a program that has changed hands.
+    """Count the store calls that are caused by calls to a program whose owner has changed.
 
-    The calls come one after the other through one entry that has no part in the program's log.
+    The calls are sequential and go through one entry that is neither owner nor holder of the log.
     """
     with bench_cluster(ENTRIES, settings(1), step_s=STEP_S) as cluster:
-        started(cluster, 1)
-        (path,) = asyncio.run(run_programs(cluster.entry_urls()[KILLED], Size(1, 1, 1, 50)))
-        name = cluster.entry_name(KILLED)
+        wait_until_registered(cluster, 1)
+        (path,) = asyncio.run(run_programs(cluster.entry_urls()[KILLED_ENTRY], Size(1, 1, 1, 50)))
+        name = cluster.entry_name(KILLED_ENTRY)
         cluster.processes[name].kill()
-        asyncio.run(wait_served(cluster.entry_urls()[ASKED], [path]))
-        _wait_settled(cluster, name)
-        time.sleep(REST_S)
+        asyncio.run(seconds_until_served(cluster.entry_urls()[CALLED_ENTRY], [path]))
+        _wait_for_new_holders(cluster, name)
+        time.sleep(IDLE_S)
         (log,) = [each for each in cluster.log_records() if each.log in path]
-        taking_part = {ref.entry for ref in (log.owner, *log.copies)}
-        doors = [n for n in range(1, len(ENTRIES)) if cluster.entry_name(n) not in taking_part]
-        url = cluster.entry_urls()[doors[0]]
+        involved = {ref.entry for ref in (log.owner, *log.copies)}
+        uninvolved = [n for n in range(1, len(ENTRIES)) if cluster.entry_name(n) not in involved]
+        url = cluster.entry_urls()[uninvolved[0]]
         before = _lookups(url)
-        asyncio.run(_slow_calls(url, path))
+        asyncio.run(_spaced_calls(url, path))
         return {"calls": LOOKUP_CALLS, "lookups": _lookups(url) - before}
 
 
 def _lookups(url: str) -> float:
-    """Return how often an entry asked the store for the owner of a log so far."""
+    """Return how often an entry has asked the store for the owner of a log."""
     with urllib.request.urlopen(url + "/metrics") as answer:
         found = LOOKUPS.search(answer.read().decode())
     assert found is not None
     return float(found[1])
 
 
-async def _slow_calls(url: str, path: str) -> None:
+async def _spaced_calls(url: str, path: str) -> None:
     connection, samples = Connection(url), Samples()
     await connection.open()
     for number in range(LOOKUP_CALLS):
@@ -215,53 +216,55 @@
 
 
 def measure_loss(size: Size) -> Loss:
-    """Kill the entry that owns all programs, and see what follows."""
+    """Kill the entry that owns all programs and measure the consequences."""
     with bench_cluster(
         ENTRIES, settings(size.logs), step_s=STEP_S, module="bench.entry"
     ) as cluster:
-        started(cluster, size.logs)
-        paths = asyncio.run(run_programs(cluster.entry_urls()[KILLED], size))
-        name = cluster.entry_name(KILLED)
+        wait_until_registered(cluster, size.logs)
+        paths = asyncio.run(run_programs(cluster.entry_urls()[KILLED_ENTRY], size))
+        name = cluster.entry_name(KILLED_ENTRY)
         records = cluster.log_records()
         owned = sum(each.owner.entry == name for each in records)
         held = sum(any(ref.entry == name for ref in each.copies) for each in records) - owned
         before = cluster.store_counts()
         cluster.processes[name].kill()
-        served = asyncio.run(wait_served(cluster.entry_urls()[ASKED], paths))
-        settled = _wait_settled(cluster, name)
+        times_to_serve = asyncio.run(
+            seconds_until_served(cluster.entry_urls()[CALLED_ENTRY], paths)
+        )
+        settled = _wait_for_new_holders(cluster, name)
         calls = between(before, cluster.store_counts())
-        times = sorted(each for each in served if each is not None) or [PATIENCE_S]
-        unserved = served.count(None)
+        times = sorted(each for each in times_to_serve if each is not None) or [WAIT_LIMIT_S]
+        unserved = times_to_serve.count(None)
         return Loss(size, owned, held, calls, times[0], times[-1], unserved, settled)
 
 
-def _wait_settled(cluster: BenchCluster, entry: str) -> bool:
-    """Wait until all logs have other holders than the lost entry; return whether they came to."""
+def _wait_for_new_holders(cluster: BenchCluster, entry: str) -> bool:
+    """Wait until no log names the lost entry as a holder; return whether that happened in time."""
     try:
-        wait_until(lambda: not _names(cluster, entry), "all logs to have other holders")
+        wait_until(lambda: not _is_holder(cluster, entry), "all logs to have other holders")
     except AssertionError:
         return False
     return True
 
 
-def _names(cluster: BenchCluster, entry: str) -> bool:
+def _is_holder(cluster: BenchCluster, entry: str) -> bool:
     return any(ref.entry == entry for each in cluster.log_records() for ref in each.copies)
 
 
-async def wait_served(url: str, paths: list[str]) -> list[float | None]:
-    """Make one call to every program until it is served; return the seconds it took."""
-    killed = time.monotonic()
-    return await asyncio.gather(*(_served(url, path, killed) for path in paths))
+async def seconds_until_served(url: str, paths: list[str]) -> list[float | None]:
+    """Call every program until it is served; return the seconds each took, None if never."""
+    killed_at = time.monotonic()
+    return await asyncio.gather(*(_seconds_until_served(url, path, killed_at) for path in paths))
 
 
-async def _served(url: str, path: str, killed: float) -> float | None:
-    while time.monotonic() < killed + PATIENCE_S:
+async def _seconds_until_served(url: str, path: str, killed_at: float) -> float | None:
+    while time.monotonic() < killed_at + WAIT_LIMIT_S:
         connection, samples = Connection(url), Samples()
         await connection.open()
         await connection.stream(path, model_call(10_000, 1), samples)
         connection.writer.close()
-        if samples.whole:
-            return time.monotonic() - killed
+        if samples.total_s:
+            return time.monotonic() - killed_at
         await asyncio.sleep(POLL_S)
     return None
 
@@ -269,27 +272,27 @@
 def main(
     repetitions: Annotated[int, typer.Option(help="Losses of every size.")] = 2,
 ) -> None:
-    """Measure, fit and write the result."""
+    """Run the measurements, fit them and write the result."""
     report = begin(" ".join(["python -m bench.store_calls", *sys.argv[1:]]))
-    rests = [measure_rest(logs) for logs in (1, 4, 8)]
+    idle_runs = [measure_idle(logs) for logs in (1, 4, 8)]
     turns = [measure_turns(*each) for each in ((8, 2), (8, 20), (64, 2))]
     losses = [measure_loss(size) for _ in range(repetitions) for size in LOSSES]
     large = [measure_loss(size) for size in LARGE]
-    logs = [each["logs_per_entry"] * each["entries"] for each in rests]
+    logs = [each["logs_per_entry"] * each["entries"] for each in idle_runs]
     changes = {
         "taken_over": [loss.taken_over for loss in losses],
         "holder_changes": [loss.holder_changes for loss in losses],
     }
     report.results = {
         "durability": DURABILITY,
-        "rest": rests,
+        "rest": idle_runs,
         "turns": turns,
         "lookups": measure_lookups(),
         "losses": losses,
         "losses_of_large_logs": large,
         "start_calls_by_log": {
-            "writes": line(logs, [each["calls_of_start"].writes for each in rests]),
-            "reads": line(logs, [each["calls_of_start"].reads for each in rests]),
+            "writes": line(logs, [each["calls_of_start"].writes for each in idle_runs]),
+            "reads": line(logs, [each["calls_of_start"].reads for each in idle_runs]),
         },
         "loss_calls": {
             "writes": fit(changes, [loss.calls.writes for loss in losses]),
--- a/bench/stream_rate.py
+++ b/bench/stream_rate.py
@@ -1,8 +1,8 @@
 """Processor time of an entry for streamed tokens and for calls.
 
-Entries, engine, store and callers are processes of their own.  The calls go either to the entry
-that owns the programs, or to another entry, which passes them on (the *door*).  Several rates of
-tokens and calls give the slopes.
+Entries, engine, store and callers run as separate processes.  Calls are sent either to the entry
+that owns the programs, or to another entry, which forwards them and is named the door in the
+results.  The costs per token and per call are fitted from measurements at several rates.
 
     python -m bench.stream_rate [--repetitions 3] [--baseline CHECKOUT]
 """
@@ -25,36 +25,36 @@
 from bench.report import Report, begin, finish, spread
 from bench.usage import cpu_s
 
-OWNER, DOOR, HOLDER = range(3)
+OWNER, FORWARDER, HOLDER = range(3)
 WARM_UP_S = 4.0
 WINDOW_S = 4.0
 RAMP_S = 2.0
 STEP_S = 0.028
-"""Seconds between the tokens of one stream, as at the target size."""
+"""Seconds between the tokens of a stream, as at the target size of the fleet."""
 
 
 class Way(Enum):
-    """Which entry the calls are sent to."""
+    """Entry to which the calls are sent."""
 
     OWNER = "owner"
-    DOOR = "door"
+    FORWARDER = "door"
 
 
 class Load(msgspec.Struct, frozen=True):
-    """Callers at a time, and tokens that each answer has."""
+    """Number of concurrent callers, and tokens of each answer."""
 
     streams: int
     tokens: int
 
 
 LOADS = [Load(30, 350), Load(100, 350), Load(200, 350), Load(20, 10), Load(40, 20), Load(80, 40)]
-HEAVY = Load(200, 350)
-FULL = [Load(streams, 350) for streams in (250, 300, 350, 400)]
-"""Loads about the target size (300 streams are 10,700 tokens a second)."""
+HEAVY_LOAD = Load(200, 350)
+TARGET_LOADS = [Load(streams, 350) for streams in (250, 300, 350, 400)]
+"""Loads around the target size (300 streams are 10,700 tokens a second)."""
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One measured load; processor time is in cores."""
+    """Measurement of one load; processor time is in cores."""
 
     way: Way
     load: Load
@@ -67,20 +67,22 @@
 
 
 def measure(cluster: BenchCluster, way: Way, load: Load) -> Point:
-    """Run callers for a while and measure the entries in the middle of it."""
+    """Run callers and measure the entries after a warm-up."""
     urls = cluster.entry_urls()
     arguments = [f"--streams={load.streams}", f"--tokens={load.tokens}", f"--ramp-s={RAMP_S}"]
     arguments.append(f"--seconds={WARM_UP_S + WINDOW_S}")
-    if way is Way.DOOR:
-        arguments.append(f"--via={urls[DOOR]}")
+    if way is Way.FORWARDER:
+        arguments.append(f"--via={urls[FORWARDER]}")
     callers = start_load(urls[OWNER], arguments)
     time.sleep(WARM_UP_S)
-    pids = [cluster.pid(number) for number in (OWNER, DOOR, HOLDER)]
+    pids = [cluster.pid(number) for number in (OWNER, FORWARDER, HOLDER)]
     before, counts, started = [cpu_s(pid) for pid in pids], cluster.counts(), time.monotonic()
     time.sleep(WINDOW_S)
     after, counts_after = [cpu_s(pid) for pid in pids], cluster.counts()
     elapsed_s = time.monotonic() - started
-    cores = [(late - early) / elapsed_s for early, late in zip(before, after, strict=True)]
+    cores = [
+        (after_s - before_s) / elapsed_s for before_s, after_s in zip(before, after, strict=True)
+    ]
     return Point(
         way,
         load,
@@ -92,34 +94,34 @@
 
 
 def measure_all(loads: Sequence[Load], ways: Sequence[Way], checkout: Path | None) -> list[Point]:
-    """Measure every load in every way on a fresh cluster."""
+    """Measure every load in every way on a new cluster."""
     with bench_cluster(step_s=STEP_S, checkout=checkout) as cluster:
         return [measure(cluster, way, load) for way, load in itertools.product(ways, loads)]
 
 
 def slopes(points: Sequence[Point], way: Way, attribute: str) -> Fit:
-    """Fit the processor time of one entry by tokens and calls a second."""
-    chosen = [point for point in points if point.way is way]
+    """Fit the processor time of one entry by tokens and calls per second."""
+    selected = [point for point in points if point.way is way]
     inputs = {
-        "tokens_per_s": [point.tokens_per_s for point in chosen],
-        "calls_per_s": [point.calls_per_s for point in chosen],
+        "tokens_per_s": [point.tokens_per_s for point in selected],
+        "calls_per_s": [point.calls_per_s for point in selected],
     }
-    return fit(inputs, [getattr(point, attribute) for point in chosen])
+    return fit(inputs, [getattr(point, attribute) for point in selected])
 
 
 def compare(report: Report, repetitions: int, baseline: Path) -> None:
-    """Measure this version and another in turn, under the same load."""
-    here: list[Point] = []
-    there: list[Point] = []
+    """Measure this version and another alternately, under the same load."""
+    current_points: list[Point] = []
+    baseline_points: list[Point] = []
     for _ in range(repetitions):
-        there += measure_all([HEAVY], list(Way), baseline)
-        here += measure_all([HEAVY], list(Way), None)
+        baseline_points += measure_all([HEAVY_LOAD], list(Way), baseline)
+        current_points += measure_all([HEAVY_LOAD], list(Way), None)
     report.results["comparison"] = {
         f"{way.value}.{attribute}": {
-            "baseline": spread(_values(there, way, attribute)),
-            "this": spread(_values(here, way, attribute)),
-            "ratio": statistics.median(_values(here, way, attribute))
-            / statistics.median(_values(there, way, attribute)),
+            "baseline": spread(_values(baseline_points, way, attribute)),
+            "this": spread(_values(current_points, way, attribute)),
+            "ratio": statistics.median(_values(current_points, way, attribute))
+            / statistics.median(_values(baseline_points, way, attribute)),
         }
         for way in Way
         for attribute in ("owner_cores", "door_cores")
@@ -135,21 +137,21 @@
     baseline: Annotated[Path | None, typer.Option(help="Checkout to compare with.")] = None,
     name: Annotated[str, typer.Option(help="Name of the result.")] = "stream_rate",
 ) -> None:
-    """Measure, fit and write the result."""
+    """Run the measurements, fit them and write the result."""
     report = begin(" ".join(["python -m bench.stream_rate", *sys.argv[1:]]))
     if baseline is not None:
         compare(report, repetitions, baseline)
         typer.echo(finish(report, name))
         return
     points = [each for _ in range(repetitions) for each in measure_all(LOADS, list(Way), None)]
-    full = measure_all(FULL, list(Way), None)
+    target_size_points = measure_all(TARGET_LOADS, list(Way), None)
     report.results = {
         "owner_when_called": slopes(points, Way.OWNER, "owner_cores"),
-        "owner_behind_door": slopes(points, Way.DOOR, "owner_cores"),
-        "door": slopes(points, Way.DOOR, "door_cores"),
+        "owner_behind_door": slopes(points, Way.FORWARDER, "owner_cores"),
+        "door": slopes(points, Way.FORWARDER, "door_cores"),
         "holder": slopes(points, Way.OWNER, "holder_cores"),
         "points": points,
-        "full": full,
+        "full": target_size_points,
     }
     typer.echo(finish(report, name))
 
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -1,4 +1,4 @@
-"""An asyncio event loop whose clock jumps to the next timer instead of waiting for it."""
+"""An asyncio event loop whose clock advances to the next timer instead of waiting for it."""
 
 import asyncio
 import selectors
@@ -6,25 +6,25 @@
 from typing import Any
 
 
-class JumpingSelector(selectors.SelectSelector):
-    """A selector that passes the time it was asked to wait to `loop` and returns at once."""
+class ClockAdvancingSelector(selectors.SelectSelector):
+    """A selector that advances the clock of `loop` by the requested timeout and returns at once."""
 
     loop: "VirtualTimeLoop"
 
     def select(self, timeout: float | None = None) -> list[Any]:
         """Advance the loop's clock by `timeout`."""
         if timeout is None:
-            raise RuntimeError("nothing is scheduled: the run would wait for ever")
+            raise RuntimeError("nothing is scheduled: the run would never end")
         if timeout > 0:
             self.loop.now += timeout
         return []
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Event loop with a clock of its own, starting at zero; it does no input or output."""
+    """An event loop with a clock that starts at zero; it performs no input or output."""
 
     def __init__(self) -> None:
-        selector = JumpingSelector()
+        selector = ClockAdvancingSelector()
         selector.loop = self
         self.now = 0.0
         super().__init__(selector)
@@ -35,13 +35,13 @@
 
 
 def run_virtual(main: Coroutine[Any, Any, Any], loop: VirtualTimeLoop) -> Any:
-    """Run `main` to its end on `loop`, end what it left behind, and close the loop."""
+    """Run `main` to completion on `loop`, cancel the remaining tasks, and close the loop."""
     try:
         result = loop.run_until_complete(main)
-        left = asyncio.all_tasks(loop)
-        for task in left:
+        unfinished = asyncio.all_tasks(loop)
+        for task in unfinished:
             task.cancel()
-        loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+        loop.run_until_complete(asyncio.gather(*unfinished, return_exceptions=True))
         return result
     finally:
         loop.close()
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -1,4 +1,4 @@
-"""The workload of a measurement: its settings file, and the programs drawn from it by a seed."""
+"""The workload of a benchmark: its settings file, and the programs drawn from it with a seed."""
 
 import random
 
@@ -14,10 +14,10 @@
 
 
 class EngineSettings(Strict):
-    """Fake model servers: their number, speed, memory, and how late they say what they do.
+    """Simulated model servers: number, speed, cache size, and delay of their reports.
 
-    A step of the batch takes `step_s` plus `step_per_call_s` for each call in it, plus the time
-    of the prompt tokens that are read in it, at most `chunk_tokens`.
+    A batch step takes `step_s`, plus `step_per_call_s` for each call in the batch, plus the time for
+    the prompt tokens that are read during the step, at most `chunk_tokens`.
     """
 
     count: int = 6
@@ -38,7 +38,7 @@
 
 
 class ServiceSettings(Strict):
-    """Fake application servers."""
+    """Simulated application servers."""
 
     count: int = 3
     slots: int = 8
@@ -47,8 +47,8 @@
 class ToolPlan(Strict):
     """A tool that programs of a class call.
 
-    `chance` is the probability of a call after each turn; a tool with `at_end` is called once,
-    after the last turn.  A tool `by_hand` is a person: it takes no place at a service.
+    `chance` is the probability of a call after each turn; a tool with `at_end` is called once, after
+    the last turn.  A tool with `by_hand` is a person and takes no slot at a service.
     """
 
     tool: str
@@ -60,7 +60,7 @@
 
 
 class ClassPlan(Strict):
-    """What programs of one class do."""
+    """Distribution of the programs of one class."""
 
     name: str
     share: float
@@ -78,7 +78,7 @@
 
 
 class Workload(Strict):
-    """A firm's mix; `programs_per_s` is what the best baseline can carry, taken as 100% load."""
+    """Traffic of a firm; `programs_per_s` is the capacity of the best baseline, and is 100% load."""
 
     firm: str
     programs_per_s: float
@@ -96,14 +96,14 @@
 
 
 class ModelStep(msgspec.Struct, frozen=True):
-    """A turn: `message` tokens are added to the history and `output` tokens are generated."""
+    """A turn that adds `message` tokens to the history and generates `output` tokens."""
 
     message: int
     output: int
 
 
 class ToolStep(msgspec.Struct, frozen=True):
-    """A tool call of `seconds`."""
+    """A tool call that takes `seconds`."""
 
     tool: ToolName
     seconds: float
@@ -111,14 +111,14 @@
 
 
 class ReplyStep(msgspec.Struct, frozen=True):
-    """A person, the caller or another, thinks for `seconds`."""
+    """A pause of `seconds` while a person, the caller or another, prepares a reply."""
 
     tool: ToolName
     seconds: float
 
 
 class SubAgentsStep(msgspec.Struct, frozen=True):
-    """Sub-agents with the history so far, at the same time; the program waits for all."""
+    """Concurrent sub-agents that start with the current history; the program waits for all."""
 
     plans: list["ProgramPlan"]
 
@@ -127,7 +127,7 @@
 
 
 class ProgramPlan(msgspec.Struct, frozen=True):
-    """One program, the same for every policy that is measured."""
+    """One program, identical for every measured policy."""
 
     program: ProgramId
     tenant: TenantId
@@ -141,66 +141,70 @@
 
 
 def draw_programs(workload: Workload, load: float, seed: int) -> list[ProgramPlan]:
-    """Return the programs of one run: open-loop Poisson arrivals at `load` times 100%."""
+    """Return the programs of one run, with open-loop Poisson arrivals at `load` times 100%."""
     rng = random.Random(f"{workload.firm}-{seed}")
     plans = []
     arrival = rng.expovariate(load * workload.programs_per_s)
     while arrival < workload.seconds:
         shares = [plan.share for plan in workload.classes]
-        kind = rng.choices(workload.classes, shares)[0]
+        class_plan = rng.choices(workload.classes, shares)[0]
         name = f"{workload.firm}-{len(plans)}"
-        plans.append(_draw_program(workload, kind, rng, arrival, name))
+        plans.append(_draw_program(workload, class_plan, rng, arrival, name))
         arrival += rng.expovariate(load * workload.programs_per_s)
     return plans
 
 
 def _draw_program(
-    workload: Workload, kind: ClassPlan, rng: random.Random, arrival: float, name: str
+    workload: Workload, class_plan: ClassPlan, rng: random.Random, arrival: float, name: str
 ) -> ProgramPlan:
     policy = ProgramPolicy(
-        urgency=kind.urgency,
+        urgency=class_plan.urgency,
         latency_weight=workload.latency_weight,
-        deadline_s=kind.deadline_s,
+        deadline_s=class_plan.deadline_s,
         queue_limit=workload.queue_limit,
     )
     entry = rng.randrange(workload.entries)
     plan = ProgramPlan(
         ProgramId(name),
         TenantId(f"tenant-{rng.randrange(workload.tenants)}"),
-        ClassName(kind.name),
+        ClassName(class_plan.name),
         policy,
         arrival,
         entry,
-        rng.randrange(kind.shared_prompts),
-        kind.shared_tokens,
+        rng.randrange(class_plan.shared_prompts),
+        class_plan.shared_tokens,
         [],
     )
-    turns = _whole(rng, kind.turns)
+    turns = _draw_int(rng, class_plan.turns)
     fork_after = turns // 2
     for turn in range(turns):
-        plan.steps.append(_draw_turn(kind, rng))
+        plan.steps.append(_draw_turn(class_plan, rng))
         plan.steps.extend(
-            _draw_tool(tool, rng) for tool in kind.tools if rng.random() < tool.chance
+            _draw_tool(tool, rng) for tool in class_plan.tools if rng.random() < tool.chance
         )
-        if turn == fork_after and kind.sub_agents[1]:
-            plan.steps.append(_draw_sub_agents(plan, kind, rng))
-        if turn < turns - 1 and kind.reply_s[1]:
-            plan.steps.append(ReplyStep(CALLER, rng.uniform(*kind.reply_s)))
-    plan.steps.extend(_draw_tool(tool, rng) for tool in kind.tools if tool.at_end)
+        if turn == fork_after and class_plan.sub_agents[1]:
+            plan.steps.append(_draw_sub_agents(plan, class_plan, rng))
+        if turn < turns - 1 and class_plan.reply_s[1]:
+            plan.steps.append(ReplyStep(CALLER, rng.uniform(*class_plan.reply_s)))
+    plan.steps.extend(_draw_tool(tool, rng) for tool in class_plan.tools if tool.at_end)
     return plan
 
 
-def _draw_sub_agents(plan: ProgramPlan, kind: ClassPlan, rng: random.Random) -> SubAgentsStep:
+def _draw_sub_agents(plan: ProgramPlan, class_plan: ClassPlan, rng: random.Random) -> SubAgentsStep:
     children = []
-    for number in range(_whole(rng, kind.sub_agents)):
-        steps: list[Step] = [_draw_turn(kind, rng) for _ in range(_whole(rng, kind.sub_turns))]
+    for number in range(_draw_int(rng, class_plan.sub_agents)):
+        steps: list[Step] = [
+            _draw_turn(class_plan, rng) for _ in range(_draw_int(rng, class_plan.sub_turns))
+        ]
         name = ProgramId(f"{plan.program}/{number}")
         children.append(msgspec.structs.replace(plan, program=name, steps=steps))
     return SubAgentsStep(children)
 
 
-def _draw_turn(kind: ClassPlan, rng: random.Random) -> ModelStep:
-    return ModelStep(_whole(rng, kind.message_tokens), _whole(rng, kind.output_tokens))
+def _draw_turn(class_plan: ClassPlan, rng: random.Random) -> ModelStep:
+    return ModelStep(
+        _draw_int(rng, class_plan.message_tokens), _draw_int(rng, class_plan.output_tokens)
+    )
 
 
 def _draw_tool(tool: ToolPlan, rng: random.Random) -> Step:
@@ -209,5 +213,5 @@
     return ToolStep(ToolName(tool.tool), rng.uniform(*tool.seconds), tool.idempotent)
 
 
-def _whole(rng: random.Random, bounds: Range) -> int:
+def _draw_int(rng: random.Random, bounds: Range) -> int:
     return rng.randint(int(bounds[0]), int(bounds[1]))
--- a/bench/zone_duties.py
+++ b/bench/zone_duties.py
@@ -1,7 +1,7 @@
-"""What reading the targets' load, choosing entries and choosing targets cost an entry.
+"""Cost for an entry of reading the load of targets, choosing entries and choosing targets.
 
-Three entries of one zone at rest share the reading of the zone's targets.  The choices are timed
-in this process, by the number of entries or targets to choose from.
+Three idle entries of one zone share the reading of the zone's targets.  The choices are timed in
+this process, by the number of entries or targets to choose from.
 
     python -m bench.zone_duties
 """
@@ -32,7 +32,7 @@
 
 ZONES = ("zone-1", "zone-1", "zone-1")
 TARGETS = (0, 100, 300, 600)
-CHOSEN_FROM = (10, 30, 100, 200, 389)
+CANDIDATES = (10, 30, 100, 200, 389)
 WARM_UP_S = 3.0
 RUN_S = 6.0
 TIMED_S = 0.2
@@ -40,7 +40,7 @@
 
 
 class Point(msgspec.Struct, frozen=True):
-    """One run: cores and bytes a second of one entry; `reads` are its targets read a second."""
+    """One run: cores and bytes per second of one entry; `reads` is its share of the targets."""
 
     targets: int
     reads: float
@@ -49,7 +49,7 @@
 
 
 class ManyTargets(BenchCluster):
-    """Entries with many targets, all played by one engine.
+    """Entries with many targets that are all served by one engine.
 
     Parameters
     ----------
@@ -67,7 +67,7 @@
         return [{**engine, "target": f"engine-{n:05d}"} for n in range(self.target_count)]
 
     def settings(self, number: int) -> dict[str, Any]:
-        """Return one entry's settings, with the package's own periods."""
+        """Return the settings of one entry, with the default periods of the package."""
         settings = super().settings(number)
         settings["durability"] = {"heartbeat_s": 0.5, "suspect_after_s": 2.5}
         return settings
@@ -77,14 +77,14 @@
     """Measure an entry that shares a number of targets with two others."""
     with bench_cluster(ZONES, cluster=ManyTargets, target_count=targets) as cluster:
         time.sleep(WARM_UP_S)
-        before, used = _sent(cluster), cpu_s(cluster.pid(0))
+        before, cpu_before_s = _sent_bytes(cluster), cpu_s(cluster.pid(0))
         time.sleep(RUN_S)
-        sent, used_after = _sent(cluster) - before, cpu_s(cluster.pid(0))
+        sent, cpu_after_s = _sent_bytes(cluster) - before, cpu_s(cluster.pid(0))
         reads = targets / len(ZONES)
-        return Point(targets, reads, (used_after - used) / RUN_S, sent / RUN_S)
+        return Point(targets, reads, (cpu_after_s - cpu_before_s) / RUN_S, sent / RUN_S)
 
 
-def _sent(cluster: BenchCluster) -> float:
+def _sent_bytes(cluster: BenchCluster) -> float:
     with urllib.request.urlopen(cluster.entry_urls()[0] + "/metrics") as answer:
         found = PEER_BYTES.search(answer.read().decode())
     assert found is not None
@@ -94,27 +94,27 @@
 # --- choices ------------------------------------------------------------------------------------
 
 
-def timed(function: Callable[[], object]) -> float:
-    """Return the seconds that one call takes: the best of several repetitions."""
+def best_time_s(function: Callable[[], object]) -> float:
+    """Return the duration of one call in seconds: the shortest of several repetitions."""
     number, seconds = timeit.Timer(function).autorange()
     repeat = max(3, int(TIMED_S / seconds))
     return min(timeit.Timer(function).repeat(repeat, number)) / number
 
 
-def choice_of_reader(entries: int) -> float:
-    """Return the seconds to choose which entry reads one target."""
+def reader_choice_s(entries: int) -> float:
+    """Return the seconds to choose the entry that reads one target."""
     refs = [ref_of(number, 1, "tcp://10.0.0.1:7000") for number in range(entries)]
-    return timed(lambda: rank(LogId("engine-00001"), refs)[0])
+    return best_time_s(lambda: rank(LogId("engine-00001"), refs)[0])
 
 
-def choice_of_holders(entries: int) -> float:
+def holder_choice_s(entries: int) -> float:
     """Return the seconds to choose the holders of one log."""
     refs = [ref_of(number, 21, "tcp://10.0.0.1:7000") for number in range(entries)]
     log = make_log_id(refs[0], "home", 0)
-    return timed(lambda: choose_copies(log, refs[0], refs[1:], 3))
+    return best_time_s(lambda: choose_copies(log, refs[0], refs[1:], 3))
 
 
-def choice_of_target(targets: int) -> float:
+def target_choice_s(targets: int) -> float:
     """Return the seconds to choose the target of one call."""
     table = TargetTable(DecisionSettings(), ZoneId("zone-1"), monotonic)
     for number in range(targets):
@@ -138,17 +138,17 @@
         service_received_s=0.0,
         prompt_tokens=1000,
     )
-    return timed(lambda: choose(table, work))
+    return best_time_s(lambda: choose(table, work))
 
 
 def load_bytes(loads: int) -> int:
-    """Return the bytes of a message with the loads of some targets."""
+    """Return the size in bytes of a message with the loads of some targets."""
     each = [TargetLoad(TargetId(f"engine-{n:05d}"), 7, 3, 0.4375, 0.00213) for n in range(loads)]
     return len(encode_envelope(Envelope(1, 100_000, "0123456789abcdef", LoadReports(each))))
 
 
 def fitted(sizes: Sequence[int], function: Callable[[int], float]) -> dict[str, Any]:
-    """Return measured values by size, and their line."""
+    """Return the measured values by size, and a line fitted to them."""
     values = [function(size) for size in sizes]
     return {"sizes": list(sizes), "values": values, "fit": line(sizes, values)}
 
@@ -156,7 +156,7 @@
 def main(
     repetitions: Annotated[int, typer.Option(help="Measurements of every size.")] = 2,
 ) -> None:
-    """Measure, fit and write the result."""
+    """Run the measurements, fit them and write the result."""
     report = begin(" ".join(["python -m bench.zone_duties", *sys.argv[1:]]))
     points = [measure(targets) for _ in range(repetitions) for targets in TARGETS]
     reads = {"reads": [point.reads for point in points]}
@@ -165,9 +165,9 @@
         "cores_by_reads": fit(reads, [point.cores for point in points]),
         "sent_bytes_by_reads": fit(reads, [point.sent_bytes for point in points]),
         "load_message_bytes": fitted((1, 10, 30, 100), load_bytes),
-        "reader_choice_s": fitted(CHOSEN_FROM[:3], choice_of_reader),
-        "holder_choice_s": fitted(CHOSEN_FROM, choice_of_holders),
-        "target_choice_s": fitted(CHOSEN_FROM, choice_of_target),
+        "reader_choice_s": fitted(CANDIDATES[:3], reader_choice_s),
+        "holder_choice_s": fitted(CANDIDATES, holder_choice_s),
+        "target_choice_s": fitted(CANDIDATES, target_choice_s),
     }
     typer.echo(finish(report, "zone_duties"))
 
