--- a/bench/config_size.py
+++ b/bench/config_size.py
@@ -44,7 +44,7 @@
 
 
 def make_tree() -> Tree:
-    """Return a tree of the largest expected size, with values that seldom repeat."""
+    """Return a tree at the target size of the fleet, with values that seldom repeat."""
     levels: dict = {
         "operators": {f"operator-{number}": "approver" for number in range(20)},
         "firm": {"urgency": "normal", "deadline_s": 90.0, "budget.tokens": 200_000},
--- a/bench/early_signal.py
+++ b/bench/early_signal.py
@@ -47,8 +47,8 @@
     lines : str
         First lines of the script.
     compiled : tuple of str
-        Compiler options for the program that embeds the interpreter; empty for the interpreter's own
-        executable.
+        Compiler options for the program that embeds the interpreter; empty for the interpreter's
+        own executable.
     source : str
         Source of another program to compile, which does not run Python.
     """
@@ -123,7 +123,7 @@
     started_at = time.perf_counter()
     try:
         while time.perf_counter() - started_at < delay_ms / 1e3:
-            pass  # The shortest delays are shorter than a sleep.
+            pass  # Busy wait: a sleep takes longer than the shortest delays.
         process.send_signal(signal.SIGHUP)
         time.sleep(ENDED_S)
         return process.poll() is not None
--- a/bench/fake_cache.py
+++ b/bench/fake_cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of a fake engine: blocks by least recent use, and which programs used them."""
+"""Prefix cache of a simulated engine: blocks in order of last use, and the programs using them."""
 
 import itertools
 from collections import Counter, OrderedDict
@@ -8,17 +8,17 @@
 from waxwingglade.decisions import BlockHash, CacheEvents
 
 SHARED = ProgramId("")
-"""User of the blocks that a class of programs has in common; it never ends."""
+"""Pseudo-program that uses the blocks shared by a class of programs; it never ends."""
 
 
 class PrefixCache:
-    """Blocks of one engine; counts the block-seconds for which ended programs held blocks."""
+    """Cached blocks of one engine, with the block-seconds cached only for ended programs."""
 
     def __init__(self, capacity: int, clock: Clock) -> None:
         self.capacity = capacity
         self.clock = clock
         self.users: OrderedDict[BlockHash, set[ProgramId]] = OrderedDict()
-        self.used: dict[ProgramId, set[BlockHash]] = {}
+        self.blocks_by_program: dict[ProgramId, set[BlockHash]] = {}
         self.pins: Counter[BlockHash] = Counter()
         self.ended: set[ProgramId] = set()
         self.ended_blocks = 0
@@ -27,17 +27,17 @@
         self.changed: set[BlockHash] = set()
         self.sequence = 0
 
-    def held(self, blocks: Sequence[BlockHash]) -> int:
-        """Return how many leading blocks are held."""
+    def cached_prefix(self, blocks: Sequence[BlockHash]) -> int:
+        """Return the number of leading blocks that are cached."""
         for count, block in enumerate(blocks):
             if block not in self.users:
                 return count
         return len(blocks)
 
     def use(self, program: ProgramId, blocks: Sequence[BlockHash]) -> None:
-        """Store `blocks`, or mark them as just used, by `program`."""
+        """Store `blocks` for `program`, or mark them as just used by it."""
         self.accrue()
-        used = self.used.setdefault(program, set())
+        program_blocks = self.blocks_by_program.setdefault(program, set())
         for block in blocks:
             users = self.users.setdefault(block, set())
             self.users.move_to_end(block)
@@ -46,22 +46,22 @@
             elif users <= self.ended:
                 self.ended_blocks -= 1
             users.add(program)
-            used.add(block)
+            program_blocks.add(block)
             self.ended_blocks += users <= self.ended
 
     def pin(self, blocks: Sequence[BlockHash]) -> None:
-        """Keep `blocks` until they are unpinned."""
+        """Protect `blocks` from eviction until they are unpinned."""
         self.pins.update(blocks)
 
     def unpin(self, blocks: Sequence[BlockHash]) -> None:
-        """Undo a `pin`."""
+        """Undo one `pin` of `blocks`."""
         for block in blocks:
             self.pins[block] -= 1
             if self.pins[block] <= 0:
                 del self.pins[block]
 
     def shrink(self) -> None:
-        """Evict what was used longest ago until the cache fits."""
+        """Evict the least recently used unpinned blocks until the cache fits its capacity."""
         excess = len(self.users) - self.capacity
         if excess <= 0:
             return
@@ -70,9 +70,9 @@
             self.remove(block)
 
     def release(self, program: ProgramId) -> None:
-        """Drop the blocks that no other program uses."""
+        """Remove `program` as a user, and evict its unpinned blocks that have no other user."""
         self.accrue()
-        for block in self.used.pop(program, ()):
+        for block in self.blocks_by_program.pop(program, ()):
             users = self.users[block]
             self.ended_blocks -= users <= self.ended
             users.discard(program)
@@ -81,29 +81,29 @@
                 self.remove(block)
 
     def program_ended(self, program: ProgramId) -> None:
-        """Count as wasted from now on what only ended programs used."""
+        """Start to count the blocks that only ended programs use as wasted."""
         self.accrue()
         self.ended.add(program)
-        for block in self.used.get(program, ()):
+        for block in self.blocks_by_program.get(program, ()):
             self.ended_blocks += self.users[block] <= self.ended
 
     def remove(self, block: BlockHash) -> None:
-        """Drop a block."""
+        """Evict a block."""
         self.accrue()
         users = self.users.pop(block)
         self.ended_blocks -= users <= self.ended
         self.changed.add(block)
         for program in users:
-            self.used[program].discard(block)
+            self.blocks_by_program[program].discard(block)
 
     def clear(self) -> None:
-        """Drop everything, as a restart does."""
+        """Evict all blocks, as a restart does."""
         self.pins.clear()
         for block in list(self.users):
             self.remove(block)
 
     def next_events(self) -> CacheEvents:
-        """Return the net changes since the last call."""
+        """Return the net changes since the preceding call."""
         self.sequence += 1
         changed, self.changed = self.changed, set()
         stored = [block for block in changed if block in self.users]
@@ -111,7 +111,7 @@
         return CacheEvents(self.sequence, stored, removed)
 
     def accrue(self) -> None:
-        """Bring the count of wasted block-seconds up to now."""
+        """Add the wasted block-seconds since the last update."""
         now = self.clock()
         self.ended_block_s += self.ended_blocks * (now - self.accrued_at)
         self.accrued_at = now
--- a/bench/fake_engines.py
+++ b/bench/fake_engines.py
@@ -1,8 +1,8 @@
-"""In-process fakes of model engines and plain services, in virtual time.
+"""In-process simulations of model engines and plain services, in virtual time.
 
-An engine batches continuously, keeps a prefix cache of limited size, honours priorities in its
-own queue, imports cache from another engine, and says of its load and cache only late and with
-gaps.  Times come from `EngineSettings`; nothing else is modelled.
+An engine batches continuously, has a prefix cache of limited size, honours priorities in its own
+queue, and imports cached blocks from other engines.  Its reports of load and cache arrive late, and
+some cache events are lost.  Times are set by `EngineSettings`; nothing else is modelled.
 """
 
 import asyncio
@@ -18,18 +18,18 @@
 
 
 class Request:
-    """One model call inside an engine.
+    """One model call at an engine.
 
     Parameters
     ----------
     program : ProgramId
-        Whose call it is.
-    blocks, after : tuple of BlockHash
-        Whole blocks of the prompt, and those that the answer adds.
+        Program that makes the call.
+    blocks, answer_blocks : tuple of BlockHash
+        Complete blocks of the prompt, and those that the answer adds.
     shared : int
-        How many of `blocks` are common to the class of the program.
+        Number of `blocks` that are common to the class of the program.
     prompt, output : int
-        Tokens.
+        Tokens of the prompt and of the answer.
     """
 
     def __init__(
@@ -37,14 +37,14 @@
         program: ProgramId,
         *,
         blocks: tuple[BlockHash, ...],
-        after: tuple[BlockHash, ...],
+        answer_blocks: tuple[BlockHash, ...],
         shared: int,
         prompt: int,
         output: int,
     ) -> None:
         self.program = program
         self.blocks = blocks
-        self.after = after
+        self.answer_blocks = answer_blocks
         self.shared = shared
         self.prompt = prompt
         self.output = output
@@ -56,7 +56,7 @@
         self.done = asyncio.get_running_loop().create_future()
 
     def fail(self, error: Exception) -> None:
-        """End the call with `error`, whether or not it has begun."""
+        """Fail the call with `error` in any state."""
         for future in (self.first, self.done):
             if not future.done():
                 future.set_exception(error)
@@ -64,38 +64,38 @@
 
 
 class TargetLost(Exception):
-    """The target is gone; `began` says whether it had taken the call."""
+    """The target has crashed; `was_started` tells whether the call was already in its batch."""
 
-    def __init__(self, began: bool) -> None:
+    def __init__(self, was_started: bool) -> None:
         super().__init__("target lost")
-        self.began = began
+        self.was_started = was_started
 
 
 class FakeEngine:
-    """A model server: queue, batch, prefix cache and reports."""
+    """A simulated model server with queue, batch, prefix cache and reports."""
 
     def __init__(self, target: TargetId, settings: EngineSettings, clock: Clock) -> None:
         self.target = target
         self.settings = settings
         self.cache = PrefixCache(settings.cache_tokens // settings.block_tokens, clock)
-        self.slowness = 1.0
+        self.slowdown = 1.0
         self.alive = True
         self.waiting: list[tuple[int, int, Request]] = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         self.batch: list[Request] = []
-        self.wake = asyncio.Event()
+        self.work_available = asyncio.Event()
         self.prefilled = 0
         self.on_admit: Callable[[FakeEngine, Request], None] = lambda engine, request: None
 
     def submit(self, request: Request, priority: int) -> None:
-        """Put a call into the engine's own queue."""
+        """Add a call to the engine's own queue."""
         if not self.alive:
-            raise TargetLost(began=False)
-        heapq.heappush(self.waiting, (priority, next(self.order), request))
-        self.wake.set()
+            raise TargetLost(was_started=False)
+        heapq.heappush(self.waiting, (priority, next(self.sequence), request))
+        self.work_available.set()
 
     def cancel(self, request: Request) -> None:
-        """Drop a call, waiting or running."""
+        """Remove a waiting or running call."""
         self.waiting = [item for item in self.waiting if item[2] is not request]
         heapq.heapify(self.waiting)
         if request in self.batch:
@@ -103,37 +103,37 @@
             self.cache.unpin(request.pinned)
 
     def store(self, request: Request, blocks: tuple[BlockHash, ...]) -> None:
-        """Keep blocks of a call in the cache."""
+        """Store blocks of a call in the cache."""
         common = min(request.shared, len(blocks)) if blocks[:1] == request.blocks[:1] else 0
         self.cache.use(SHARED, blocks[:common])
         self.cache.use(request.program, blocks[common:])
 
-    def lose(self) -> None:
-        """Die: fail every call and forget the cache."""
+    def crash(self) -> None:
+        """Stop, fail every call and clear the cache."""
         self.alive = False
         for _, _, request in self.waiting:
-            request.fail(TargetLost(began=False))
+            request.fail(TargetLost(was_started=False))
         for request in self.batch:
-            request.fail(TargetLost(began=True))
+            request.fail(TargetLost(was_started=True))
         self.waiting, self.batch = [], []
         self.cache.clear()
 
-    def return_empty(self) -> None:
-        """Come back after `lose`, as a freshly started process."""
+    def restart(self) -> None:
+        """Start again after a crash, as a new process."""
         self.cache.sequence = 0
         self.alive = True
-        self.wake.set()
+        self.work_available.set()
 
     def load(self) -> tuple[int, int, float]:
-        """Return calls running, calls waiting, and the share of the cache in use."""
+        """Return the running calls, the waiting calls and the share of the cache in use."""
         return len(self.batch), len(self.waiting), len(self.cache.users) / self.cache.capacity
 
     async def run(self) -> None:
-        """Serve for ever."""
+        """Serve until cancelled."""
         while True:
             if not self.alive or not (self.batch or self.waiting):
-                self.wake.clear()
-                await self.wake.wait()
+                self.work_available.clear()
+                await self.work_available.wait()
                 continue
             self._admit()
             await self._step()
@@ -141,17 +141,17 @@
     def _admit(self) -> None:
         while self.waiting and len(self.batch) < self.settings.slots:
             request = self.waiting[0][2]
-            need = len(request.blocks) + len(request.after) + 1
-            if self.batch and len(self.cache.pins) + need > self.cache.capacity:
+            needed_blocks = len(request.blocks) + len(request.answer_blocks) + 1
+            if self.batch and len(self.cache.pins) + needed_blocks > self.cache.capacity:
                 return
             heapq.heappop(self.waiting)
             self.on_admit(self, request)
-            held = request.blocks[: self.cache.held(request.blocks)]
-            request.cached = len(held) * self.settings.block_tokens
+            cached_blocks = request.blocks[: self.cache.cached_prefix(request.blocks)]
+            request.cached = len(cached_blocks) * self.settings.block_tokens
             request.to_prefill = max(1, request.prompt - request.cached)
             self.prefilled += request.to_prefill
-            self.store(request, held)
-            self._pin(request, held)
+            self.store(request, cached_blocks)
+            self._pin(request, cached_blocks)
             self.batch.append(request)
 
     async def _step(self) -> None:
@@ -160,26 +160,26 @@
         prefilled = self._prefill()
         tokens = 1
         if not prefilled:
-            left = min(request.output - request.generated for request in decoding)
-            tokens = max(1, min(self.settings.burst_tokens, left))
+            remaining_tokens = min(request.output - request.generated for request in decoding)
+            tokens = max(1, min(self.settings.burst_tokens, remaining_tokens))
         duration = tokens * (self.settings.step_s + len(decoding) * self.settings.step_per_call_s)
         duration += prefilled / self.settings.prefill_tokens_per_s
-        await asyncio.sleep(duration * self.slowness)
+        await asyncio.sleep(duration * self.slowdown)
         for request in decoding:
             if request in self.batch:
                 self._generate(request, tokens)
 
     def _prefill(self) -> int:
-        """Read up to a chunk of the prompts of the batch; return the tokens read."""
+        """Read up to one chunk from the prompts of the batch; return the number of tokens read."""
         prefilled = 0
         for request in self.batch:
-            part = min(request.to_prefill, self.settings.chunk_tokens - prefilled)
-            request.to_prefill -= part
-            prefilled += part
-            if part and not request.to_prefill:
-                fresh = request.blocks[len(request.pinned) :]
+            chunk = min(request.to_prefill, self.settings.chunk_tokens - prefilled)
+            request.to_prefill -= chunk
+            prefilled += chunk
+            if chunk and not request.to_prefill:
+                new_blocks = request.blocks[len(request.pinned) :]
                 self.store(request, request.blocks)
-                self._pin(request, fresh)
+                self._pin(request, new_blocks)
                 self.cache.shrink()
         return prefilled
 
@@ -190,7 +190,7 @@
         if request.generated < request.output:
             return
         self.batch.remove(request)
-        self.cache.use(request.program, request.after)
+        self.cache.use(request.program, request.answer_blocks)
         self.cache.unpin(request.pinned)
         self.cache.shrink()
         request.done.set_result(None)
@@ -201,7 +201,7 @@
 
 
 class FakeService:
-    """A plain service: `slots` calls at once, the rest in order of arrival."""
+    """A plain service: `slots` concurrent calls, others wait in order of arrival."""
 
     def __init__(self, target: TargetId, slots: int) -> None:
         self.target = target
@@ -210,7 +210,7 @@
         self.running = 0
 
     async def serve(self, seconds: float) -> None:
-        """Serve one call that takes `seconds` once it has begun."""
+        """Serve one call that takes `seconds` once it has a slot."""
         self.calls += 1
         try:
             async with self.slots:
@@ -223,7 +223,7 @@
             self.calls -= 1
 
     def load(self) -> tuple[int, int, float]:
-        """Return calls running and calls waiting."""
+        """Return the running calls, the waiting calls and 0 for the cache."""
         return self.running, self.calls - self.running, 0.0
 
 
@@ -233,16 +233,16 @@
     rng: random.Random,
     listeners: list[Callable[[TargetId, LoadReport], None]],
 ) -> None:
-    """Report load for ever, late, to each listener."""
+    """Report the load to each listener with a delay, until cancelled."""
     loop = asyncio.get_running_loop()
     while True:
         await asyncio.sleep(settings.report_period_s)
         if isinstance(target, FakeEngine) and not target.alive:
             continue
-        running, waiting, used = target.load()
+        running, waiting, cache_share = target.load()
         for listener in listeners:
             delay = rng.uniform(*settings.report_lag_s)
-            report = LoadReport(running, waiting, used, delay)
+            report = LoadReport(running, waiting, cache_share, delay)
             loop.call_later(delay, listener, target.target, report)
 
 
@@ -252,13 +252,13 @@
     rng: random.Random,
     listeners: list[Callable[[TargetId, CacheEvents], None]],
 ) -> None:
-    """Publish numbered batches of cache events for ever, late and with gaps."""
+    """Publish numbered batches of cache events with delays and losses, until cancelled."""
     loop = asyncio.get_running_loop()
-    arrival = 0.0
+    arrival_at = 0.0
     while True:
         await asyncio.sleep(settings.event_period_s)
         batch = engine.cache.next_events()
-        arrival = max(arrival, loop.time() + rng.uniform(*settings.event_lag_s))
+        arrival_at = max(arrival_at, loop.time() + rng.uniform(*settings.event_lag_s))
         for listener in listeners:
             if rng.random() >= settings.event_loss:
-                loop.call_at(arrival, listener, engine.target, batch)
+                loop.call_at(arrival_at, listener, engine.target, batch)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -66,7 +66,7 @@
 
     @property
     def forwarded_share(self) -> float:
-        """Share of the calls that arrive at another entry than the owner, if all are equally likely."""
+        """Share of the calls that arrive at another entry than the owner, spread evenly."""
         return (self.entries - 1) / self.entries
 
     @property
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,8 +1,9 @@
-"""What an entry does with its calls: the package's dispatcher, and the baselines to beat.
+"""The entry's policy for its calls: the package's dispatcher, and baselines for comparison.
 
-The baselines get the same view of load (reports corrected by own sends), the same places at the
-targets and the same limits of waiting calls, and they pass over a target for a while after it
-failed.  They know nothing of urgency, deadlines or caches, but for what affinity by hash implies.
+The baselines have the same view of load (reports corrected by the entry's own calls), the same
+slots at the targets and the same limits on waiting calls, and they skip a target for some time
+after it failed.  They ignore urgency, deadlines and caches, except that hashing implies cache
+affinity.
 """
 
 import asyncio
@@ -38,11 +39,11 @@
 from waxwingglade.program.messages import Usage
 
 SKIP_AFTER_FAILURE_S = 5.0
-BASELINE_ROOM = 1.25
+BASELINE_CAPACITY_FACTOR = 1.25
 
 
 class Entry(msgspec.Struct):
-    """The functions of one entry that a run drives."""
+    """The functions of one entry that a simulated run calls."""
 
     acquire: Callable[[Work], Awaitable[Outcome[Grant]]]
     report_load: Callable[[TargetId, LoadReport], None]
@@ -55,19 +56,19 @@
 
 
 Policy = Callable[[TargetTable, list[float]], Entry]
-"""Makes an entry from its targets; the list takes the microseconds of each decision."""
+"""Creates an entry from its targets; the list collects the microseconds of each decision."""
 
-Pick = Callable[[TargetTable, Work, list[TargetView]], TargetView | None]
+Picker = Callable[[TargetTable, Work, list[TargetView]], TargetView | None]
 
 
 def dispatcher_policy(chooser: Callable[[TargetTable, Work], Choice | None] = choose) -> Policy:
-    """Return the policy under test."""
+    """Return the policy of the package."""
 
-    def make(table: TargetTable, decision_us: list[float]) -> Entry:
+    def make_entry(table: TargetTable, decision_us: list[float]) -> Entry:
         def timed(table: TargetTable, work: Work) -> Choice | None:
-            before = time.perf_counter()
+            started_at = time.perf_counter()
             choice = chooser(table, work)
-            decision_us.append(1e6 * (time.perf_counter() - before))
+            decision_us.append(1e6 * (time.perf_counter() - started_at))
             return choice
 
         dispatcher = Dispatcher(table, table.clock, timed)
@@ -82,11 +83,11 @@
             dispatcher.releases.due,
         )
 
-    return make
+    return make_entry
 
 
 class BaselineGrant:
-    """The part of `Grant` that a run uses."""
+    """The parts of `Grant` that a simulated run uses."""
 
     def __init__(self, baseline: "Baseline", view: TargetView) -> None:
         self.baseline = baseline
@@ -97,57 +98,57 @@
         self.granted_at = baseline.table.clock()
 
     def first_token(self) -> None:
-        """Do nothing: baselines learn no speeds."""
+        """Do nothing, because baselines do not estimate speeds."""
 
     def finished(self, usage: Usage) -> None:
-        """Free the place."""
-        self.baseline.leave(self.view)
+        """Release the slot."""
+        self.baseline.release_slot(self.view)
 
     def failed(self, failure: Failure) -> None:
-        """Free the place, and pass over a target that is at fault."""
+        """Release the slot, and skip the target for some time if it caused the failure."""
         if failure.code is not ErrorCode.CANCELLED:
             self.view.ejected_until = self.baseline.table.clock() + SKIP_AFTER_FAILURE_S
-        self.baseline.leave(self.view)
+        self.baseline.release_slot(self.view)
 
 
 class Baseline:
-    """Calls in order of arrival: for the picked target, or for whichever has room (`central`)."""
+    """Serves calls in order of arrival, at the picked target or at any free one (`central`)."""
 
-    def __init__(self, table: TargetTable, pick: Pick, central: bool) -> None:
+    def __init__(self, table: TargetTable, pick: Picker, central: bool) -> None:
         self.table = table
         self.pick = pick
         self.central = central
         self.queue: deque[tuple[Work, TargetView | None, asyncio.Future[BaselineGrant]]] = deque()
 
     async def acquire(self, work: Work) -> Outcome[BaselineGrant]:
-        """Wait for a place until the deadline."""
+        """Wait for a slot until the deadline."""
         waiting = sum(item[0].tenant == work.tenant for item in self.queue)
         if waiting >= work.policy.queue_limit:
             return not_run(ErrorCode.OVERLOADED, "queue full", 1.0)
         picked = None if self.central else self._pick(work)
         future: asyncio.Future[BaselineGrant] = asyncio.get_running_loop().create_future()
         self.queue.append((work, picked, future))
-        self.pump()
-        left = work.deadline_at - self.table.clock()
-        await asyncio.wait([future], timeout=max(0.0, left))
+        self.dispatch()
+        remaining_s = work.deadline_at - self.table.clock()
+        await asyncio.wait([future], timeout=max(0.0, remaining_s))
         if future.done():
             return Ok(future.result())
         future.cancel()
         return not_run(ErrorCode.DEADLINE, "deadline passed")
 
-    def leave(self, view: TargetView) -> None:
-        """Free a place and use it."""
+    def release_slot(self, view: TargetView) -> None:
+        """Release a slot and dispatch waiting calls."""
         view.record_in_flight(self.table.clock(), -1)
-        self.pump()
+        self.dispatch()
 
     def report_load(self, target: TargetId, report: LoadReport) -> None:
-        """Take in a report and use the room it shows."""
+        """Record a load report and dispatch waiting calls."""
         self.table.report_load(target, report)
-        self.pump()
+        self.dispatch()
 
-    def pump(self) -> None:
-        """Grant in order of arrival what has room."""
-        kept = deque()
+    def dispatch(self) -> None:
+        """Grant waiting calls in order of arrival where there is capacity."""
+        still_queued = deque()
         full: set[TargetView | None] = set()
         while self.queue:
             work, picked, future = self.queue.popleft()
@@ -156,58 +157,60 @@
             if picked is not None and not self.table.usable(picked):
                 picked = self._pick(work)
             key = picked or work.pool
-            view = None if key in full else (picked or self._pick(work, room=True))
-            if view is None or not self._room(view):
+            view = None if key in full else (picked or self._pick(work, needs_capacity=True))
+            if view is None or not self._has_capacity(view):
                 full.add(key)
-                kept.append((work, picked, future))
+                still_queued.append((work, picked, future))
                 continue
             view.record_in_flight(self.table.clock(), 1)
             future.set_result(BaselineGrant(self, view))
-        self.queue = kept
+        self.queue = still_queued
 
-    def _pick(self, work: Work, room: bool = False) -> TargetView | None:
+    def _pick(self, work: Work, needs_capacity: bool = False) -> TargetView | None:
         views = [view for view in self.table.pools[work.pool].values() if self.table.usable(view)]
-        if room:
-            views = [view for view in views if self._room(view)]
+        if needs_capacity:
+            views = [view for view in views if self._has_capacity(view)]
         return self.pick(self.table, work, views) if views else None
 
-    def _room(self, view: TargetView) -> bool:
-        return self.table.usable(view) and view.load < BASELINE_ROOM * view.slots
+    def _has_capacity(self, view: TargetView) -> bool:
+        return self.table.usable(view) and view.load < BASELINE_CAPACITY_FACTOR * view.slots
 
 
-def round_robin() -> Pick:
-    """Return a pick of each target in turn."""
-    turns: dict[tuple[int, str], int] = {}
+def round_robin() -> Picker:
+    """Return a picker that cycles through the targets."""
+    next_indexes: dict[tuple[int, str], int] = {}
 
     def pick(table: TargetTable, work: Work, views: list[TargetView]) -> TargetView:
-        turn = turns.get((id(table), work.pool), table.rng.randrange(len(views)))
-        turns[id(table), work.pool] = turn + 1
-        return views[turn % len(views)]
+        index = next_indexes.get((id(table), work.pool), table.rng.randrange(len(views)))
+        next_indexes[id(table), work.pool] = index + 1
+        return views[index % len(views)]
 
     return pick
 
 
 def least_loaded(table: TargetTable, work: Work, views: list[TargetView]) -> TargetView:
-    """Pick the target with the least load; ties by chance, or entries would herd."""
+    """Pick the target with the least load; random among equals, so entries do not herd."""
     least = min(view.load for view in views)
     return table.rng.choice([view for view in views if view.load == least])
 
 
-def any_target(table: TargetTable, work: Work, views: list[TargetView]) -> TargetView:
-    """Pick by chance."""
+def random_target(table: TargetTable, work: Work, views: list[TargetView]) -> TargetView:
+    """Pick a random target."""
     return table.rng.choice(views)
 
 
 def by_hash(table: TargetTable, work: Work, views: list[TargetView]) -> TargetView:
-    """Pick by the program's name (rendezvous hashing), so that its calls stay together."""
-    root = work.program.partition("/")[0]
-    return max(views, key=lambda view: xxhash.xxh3_64_intdigest(f"{root} {view.target}".encode()))
+    """Pick by rendezvous hashing of the program's name, so that its calls stay together."""
+    root_program = work.program.partition("/")[0]
+    return max(
+        views, key=lambda view: xxhash.xxh3_64_intdigest(f"{root_program} {view.target}".encode())
+    )
 
 
-def baseline_policy(pick: Pick, central: bool = False) -> Policy:
-    """Return a baseline."""
+def baseline_policy(pick: Picker, central: bool = False) -> Policy:
+    """Return the policy of a baseline."""
 
-    def make(table: TargetTable, decision_us: list[float]) -> Entry:
+    def make_entry(table: TargetTable, decision_us: list[float]) -> Entry:
         baseline = Baseline(table, pick, central)
         return Entry(
             baseline.acquire,
@@ -220,13 +223,13 @@
             list,
         )
 
-    return make
+    return make_entry
 
 
 POLICIES: dict[str, Policy] = {
     "round robin": baseline_policy(round_robin()),
     "least loaded": baseline_policy(least_loaded),
-    "fifo": baseline_policy(any_target, central=True),
+    "fifo": baseline_policy(random_target, central=True),
     "hash affinity": baseline_policy(by_hash),
     "waxwingglade": dispatcher_policy(),
 }
--- a/bench/simulate.py
+++ b/bench/simulate.py
@@ -1,4 +1,7 @@
-"""One run of a workload: programs as tasks, entries with their own views, fakes as targets."""
+"""One simulated run of a workload, with programs as tasks and simulated targets.
+
+Each entry has its own view of the targets.
+"""
 
 import asyncio
 import random
@@ -45,8 +48,8 @@
 RELEASE_PERIOD_S = 0.5
 SLOW_FACTOR = 4.0
 CANCELLED = Failure(Verdict.MAY_HAVE_RUN, ErrorCode.CANCELLED, "the deadline passed")
-NOT_TAKEN = Failure(Verdict.NOT_RUN, ErrorCode.UNAVAILABLE, "connection refused")
-CUT_OFF = Failure(Verdict.MAY_HAVE_RUN, ErrorCode.UNAVAILABLE, "connection lost")
+CONNECTION_REFUSED = Failure(Verdict.NOT_RUN, ErrorCode.UNAVAILABLE, "connection refused")
+CONNECTION_LOST = Failure(Verdict.MAY_HAVE_RUN, ErrorCode.UNAVAILABLE, "connection lost")
 
 
 class Run:
@@ -75,7 +78,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def execute(self) -> RunResult:
-        """Run to the end of the last program."""
+        """Run until the last program ends."""
         return run_virtual(self._main(), self.loop)
 
     async def _main(self) -> RunResult:
@@ -90,7 +93,7 @@
             self.entries.append(self.policy(table, self.result.decision_us))
             self._spawn(self._release_due(self.entries[-1]))
         self._publish()
-        self._break_first_engine()
+        self._schedule_fault()
         programs = []
         for plan in self.plans:
             await asyncio.sleep(plan.arrival - self.clock())
@@ -123,13 +126,13 @@
             self._spawn(publish_cache(engine, settings, self.rng, caches))
 
     def _cache_listener(self, number: int) -> Callable[[TargetId, CacheEvents], None]:
-        def listen(target: TargetId, events: CacheEvents) -> None:
+        def apply_events(target: TargetId, events: CacheEvents) -> None:
             gap = self.entries[number].apply_cache_events(target, events)
             if gap and (number, target) not in self.resyncing:
                 self.resyncing.add((number, target))
                 self._spawn(self._resync(number, target))
 
-        return listen
+        return apply_events
 
     async def _resync(self, number: int, target: TargetId) -> None:
         await asyncio.sleep(RESYNC_S)
@@ -139,18 +142,18 @@
         self.resyncing.discard((number, target))
         self.entries[number].resync(target, sequence, blocks)
 
-    def _break_first_engine(self) -> None:
+    def _schedule_fault(self) -> None:
         engine = next(iter(self.engines.values()))
         if self.scenario.slow_engine:
-            self.loop.call_at(self.workload.seconds / 4, setattr, engine, "slowness", SLOW_FACTOR)
+            self.loop.call_at(self.workload.seconds / 4, setattr, engine, "slowdown", SLOW_FACTOR)
         if self.scenario.lost_engine:
-            self.loop.call_at(self.workload.seconds / 3, engine.lose)
-            self.loop.call_at(2 * self.workload.seconds / 3, engine.return_empty)
+            self.loop.call_at(self.workload.seconds / 3, engine.crash)
+            self.loop.call_at(2 * self.workload.seconds / 3, engine.restart)
 
     def _count_waste(self, engine: FakeEngine, request: Request) -> None:
-        """Count prompt tokens that are read again though another engine holds them."""
-        held = max(other.cache.held(request.blocks) for other in self.engines.values())
-        missed = held - engine.cache.held(request.blocks)
+        """Count the prompt tokens that are read again although another engine has them cached."""
+        cached = max(other.cache.cached_prefix(request.blocks) for other in self.engines.values())
+        missed = cached - engine.cache.cached_prefix(request.blocks)
         self.result.wasted_tokens += missed * engine.settings.block_tokens
         self.result.prompt_tokens += request.prompt
 
@@ -228,7 +231,7 @@
 
     @contextmanager
     def _pause(self, session: Session, tool: ToolName) -> Iterator[None]:
-        """Tell the entry of a pause, and send the releases that it decides on."""
+        """Notify the entry of a pause, and send the releases that it decides on."""
         entry, program = self.entries[session.plan.entry], session.plan.program
         self._release(entry.program_paused(program, tool))
         try:
@@ -243,10 +246,10 @@
         idempotent: bool,
         avoid: tuple[TargetId, ...] = (),
     ) -> Grant:
-        """Ask until granted or too late, as a caller that minds Retry-After."""
+        """Retry until the call is granted or too late, as a caller that honours Retry-After."""
         plan = session.plan
         deadline = plan.arrival + plan.policy.deadline_s
-        model = pool == MODEL
+        is_model = pool == MODEL
         while True:
             work = Work(
                 plan.program,
@@ -257,8 +260,8 @@
                 plan.arrival,
                 deadline,
                 session.service_s,
-                tuple(session.blocks) if model else (),
-                session.tokens if model else 0,
+                tuple(session.blocks) if is_model else (),
+                session.tokens if is_model else 0,
                 idempotent=idempotent,
                 avoid=avoid,
             )
@@ -266,20 +269,20 @@
             if not isinstance(outcome, Err):
                 return outcome.ok_value
             session.refusals += 1
-            back = outcome.err_value.retry_after_s
-            if back is None or self.clock() + back >= deadline:
+            retry_after_s = outcome.err_value.retry_after_s
+            if retry_after_s is None or self.clock() + retry_after_s >= deadline:
                 raise ProgramFailed
-            await asyncio.sleep(back)
+            await asyncio.sleep(retry_after_s)
 
     async def _serve(self, session: Session, step: ModelStep, grant: Grant) -> bool:
-        """Run one granted model call; return whether it ran to its end."""
+        """Run one granted model call; return whether it completed."""
         engine = self.engines[grant.target]
-        prompt, known = session.tokens, len(session.blocks)
+        prompt, prompt_blocks = session.tokens, len(session.blocks)
         session.extend(step.output)
         request = Request(
             session.plan.program,
-            blocks=tuple(session.blocks[:known]),
-            after=tuple(session.blocks[known:]),
+            blocks=tuple(session.blocks[:prompt_blocks]),
+            answer_blocks=tuple(session.blocks[prompt_blocks:]),
             shared=session.shared,
             prompt=prompt,
             output=step.output,
@@ -290,15 +293,15 @@
             if grant.source is not None:
                 await self._import(request, self.engines[grant.source], engine)
             engine.submit(request, grant.priority)
-            await self._until_deadline(session, engine, request, request.first)
+            await self._wait_until_deadline(session, engine, request, request.first)
             await asyncio.sleep(delay)
             grant.first_token()
-            await self._until_deadline(session, engine, request, request.done)
+            await self._wait_until_deadline(session, engine, request, request.done)
             await asyncio.sleep(delay)
-        except TargetLost as lost:
+        except TargetLost as error:
             session.tokens = prompt
-            del session.blocks[known:]
-            grant.failed(CUT_OFF if lost.began else NOT_TAKEN)
+            del session.blocks[prompt_blocks:]
+            grant.failed(CONNECTION_LOST if error.was_started else CONNECTION_REFUSED)
             return False
         except ProgramFailed:
             grant.failed(CANCELLED)
@@ -306,7 +309,7 @@
         grant.finished(Usage(request.prompt, request.cached, request.output))
         return True
 
-    async def _until_deadline(
+    async def _wait_until_deadline(
         self,
         session: Session,
         engine: FakeEngine,
@@ -314,8 +317,8 @@
         future: "asyncio.Future[None]",
     ) -> None:
         plan = session.plan
-        left = plan.arrival + plan.policy.deadline_s - self.clock()
-        await asyncio.wait([future], timeout=max(0.0, left))
+        remaining_s = plan.arrival + plan.policy.deadline_s - self.clock()
+        await asyncio.wait([future], timeout=max(0.0, remaining_s))
         if not future.done():
             engine.cancel(request)
             raise ProgramFailed
@@ -323,21 +326,21 @@
 
     async def _import(self, request: Request, source: FakeEngine, engine: FakeEngine) -> None:
         settings = self.workload.engines
-        held = source.cache.held(request.blocks)
-        missing = held - engine.cache.held(request.blocks)
-        if missing <= 0:
+        cached_blocks = source.cache.cached_prefix(request.blocks)
+        missing_blocks = cached_blocks - engine.cache.cached_prefix(request.blocks)
+        if missing_blocks <= 0:
             return
-        tokens = missing * settings.block_tokens
+        tokens = missing_blocks * settings.block_tokens
         await asyncio.sleep(
             self.workload.decisions.import_delay_s + tokens / settings.import_tokens_per_s
         )
         if engine.alive:
-            engine.store(request, request.blocks[:held])
+            engine.store(request, request.blocks[:cached_blocks])
             engine.cache.shrink()
 
     def _delay(self, session: Session, grant: Grant) -> float:
-        home = self.workload.zones[session.plan.entry % len(self.workload.zones)]
-        return LOCAL_DELAY_S if grant.view.zone == home else self.workload.zone_delay_s
+        entry_zone = self.workload.zones[session.plan.entry % len(self.workload.zones)]
+        return LOCAL_DELAY_S if grant.view.zone == entry_zone else self.workload.zone_delay_s
 
     def _spawn(self, coroutine) -> None:
         task = asyncio.create_task(coroutine)
@@ -346,7 +349,7 @@
 
 
 def target_settings(workload: Workload) -> list[TargetSettings]:
-    """Return the targets of a workload, spread over its zones."""
+    """Return the targets of a workload, distributed over its zones."""
     tools = sorted(
         {tool.tool for plan in workload.classes for tool in plan.tools if not tool.by_hand}
     )
--- a/bench/workload.py
+++ b/bench/workload.py
@@ -17,7 +17,7 @@
     """Simulated model servers: number, speed, cache size, and delay of their reports.
 
     A batch step takes `step_s`, plus `step_per_call_s` for each call in the batch, plus the time for
-    the prompt tokens that are read during the step, at most `chunk_tokens`.
+    the prompt tokens that are read during it, at most `chunk_tokens`.
     """
 
     count: int = 6
@@ -47,7 +47,7 @@
 class ToolPlan(Strict):
     """A tool that programs of a class call.
 
-    `chance` is the probability of a call after each turn; a tool with `at_end` is called once, after
+    `chance` is the probability of a call after each turn; a tool with `at_end` is called once after
     the last turn.  A tool with `by_hand` is a person and takes no slot at a service.
     """
 
@@ -78,7 +78,7 @@
 
 
 class Workload(Strict):
-    """Traffic of a firm; `programs_per_s` is the capacity of the best baseline, and is 100% load."""
+    """Traffic of a firm; 100% load is `programs_per_s`, the capacity of the best baseline."""
 
     firm: str
     programs_per_s: float
