--- a/bench/store_calls.py
+++ b/bench/store_calls.py
@@ -224,8 +224,10 @@
         paths = asyncio.run(run_programs(cluster.entry_urls()[KILLED_ENTRY], size))
         name = cluster.entry_name(KILLED_ENTRY)
         records = cluster.log_records()
-        owned = sum(each.owner.entry == name for each in records)
-        held = sum(any(ref.entry == name for ref in each.copies) for each in records) - owned
+        taken_over = sum(each.owner.entry == name for each in records)
+        holder_changes = (
+            sum(any(ref.entry == name for ref in each.copies) for each in records) - taken_over
+        )
         before = cluster.store_counts()
         cluster.processes[name].kill()
         times_to_serve = asyncio.run(
@@ -235,7 +237,7 @@
         calls = between(before, cluster.store_counts())
         times = sorted(each for each in times_to_serve if each is not None) or [WAIT_LIMIT_S]
         unserved = times_to_serve.count(None)
-        return Loss(size, owned, held, calls, times[0], times[-1], unserved, settled)
+        return Loss(size, taken_over, holder_changes, calls, times[0], times[-1], unserved, settled)
 
 
 def _wait_for_new_holders(cluster: BenchCluster, entry: str) -> bool:
--- a/deploy/starter.c
+++ b/deploy/starter.c
@@ -1,8 +1,8 @@
-/* Runs the Python interpreter with SIGHUP, which announces changed settings, ignored from the start.
+/* Runs the Python interpreter and ignores SIGHUP, the signal of changed settings, from the start.
  *
  * The signal terminates a process that neither ignores nor handles it.  Python takes several
  * milliseconds to reach the first line of a script, most of them to load and initialise the
- * interpreter.  This program therefore ignores the signal first and loads the interpreter afterwards.
+ * interpreter.  This program therefore ignores the signal before it loads the interpreter.
  *
  * LIBPYTHON is the path of Python's shared library; where it is not defined, Python is linked
  * statically.
