--- a/waxwingglade/ingress/tests/test_late_beginning.py
+++ b/waxwingglade/ingress/tests/test_delayed_begin.py
@@ -16,20 +16,20 @@
 NOT_RUN = 503
 
 
-class LateLinks:
+class DelayedBeginLinks:
     """Links to replicas that begin turns only after a delay.
 
     Parameters
     ----------
-    late_s : float
+    delay_s : float
         Seconds from the first request until turns begin.
     """
 
-    def __init__(self, late_s: float) -> None:
-        self.late_s = late_s
+    def __init__(self, delay_s: float) -> None:
+        self.delay_s = delay_s
         self.begins_at: float | None = None
 
-    def to(self, address: str) -> "LateLinks":
+    def to(self, address: str) -> "DelayedBeginLinks":
         """Return the link to a replica."""
         return self
 
@@ -38,19 +38,19 @@
         if not isinstance(message, BeginTurn):
             return TurnEnded(True, True)
         if self.begins_at is None:
-            self.begins_at = time.monotonic() + self.late_s
+            self.begins_at = time.monotonic() + self.delay_s
         if time.monotonic() >= self.begins_at:
             return TurnBegun()
         return Unavailable("no majority in time")
 
 
-class LateBeginningTest(unittest.IsolatedAsyncioTestCase):
-    async def call(self, late_s: float) -> tuple[int, float]:
+class DelayedBeginTest(unittest.IsolatedAsyncioTestCase):
+    async def call(self, delay_s: float) -> tuple[int, float]:
         """Send a turn that begins late; return the status and the seconds until its answer."""
         entry = EntryUnderTest(FakeTarget(Behaviour.EVENTS), timeout_s=ROUTE_S)
         self.addAsyncCleanup(entry.stop)
         replicas = [Replica(f"d{n}", f"vm-{n}", f"a-{n}", ZoneId("zone-a")) for n in range(3)]
-        ledger = LedgerClient(LateLinks(late_s), lambda: replicas, ZoneId("zone-a"))
+        ledger = LedgerClient(DelayedBeginLinks(delay_s), lambda: replicas, ZoneId("zone-a"))
         self.addAsyncCleanup(ledger.finish, 0.0)
         entry.ledger.begun.clear()
         await entry.start()
--- a/waxwingglade/ingress/tests/test_late_keeping.py
+++ b/waxwingglade/ingress/tests/test_delayed_storing.py
@@ -16,25 +16,25 @@
 ROUTE_S = 4.0
 """Timeout of the route in seconds."""
 
-LATE_S = 2.5
+STORING_DELAY_S = 2.5
 """Seconds for which no majority stores a turn."""
 
 
-class LateLinks:
+class DelayedStoringLinks:
     """Links to replicas that begin turns at once and store them only after a delay.
 
     Parameters
     ----------
-    late_s : float
+    delay_s : float
         Seconds from the first request until turns are stored.
     """
 
-    def __init__(self, late_s: float) -> None:
-        self.late_s = late_s
-        self.keeps_at: float | None = None
+    def __init__(self, delay_s: float) -> None:
+        self.delay_s = delay_s
+        self.stores_at: float | None = None
         self.asked = 0
 
-    def to(self, address: str) -> "LateLinks":
+    def to(self, address: str) -> "DelayedStoringLinks":
         """Return the link to a replica."""
         return self
 
@@ -45,23 +45,23 @@
         if not isinstance(message, EndTurn) or message.kept is None:
             return TurnEnded(False, True)
         self.asked += 1
-        if self.keeps_at is None:
-            self.keeps_at = time.monotonic() + self.late_s
-        if time.monotonic() >= self.keeps_at:
+        if self.stores_at is None:
+            self.stores_at = time.monotonic() + self.delay_s
+        if time.monotonic() >= self.stores_at:
             return TurnEnded(True, True)
         await asyncio.sleep(timeout_s)
         raise LinkFailed("gave no answer", sent=True)
 
 
-class LateStoringTest(unittest.IsolatedAsyncioTestCase):
+class DelayedStoringTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.entry = EntryUnderTest(FakeTarget(Behaviour.EVENTS), timeout_s=ROUTE_S)
         self.addAsyncCleanup(self.entry.stop)
 
-    async def call(self, late_s: float) -> float:
+    async def call(self, delay_s: float) -> float:
         """Send a turn that is stored late; return the seconds until its complete answer."""
         replicas = [Replica(f"d{n}", f"vm-{n}", f"a-{n}", ZoneId("zone-a")) for n in range(3)]
-        ledger = LedgerClient(LateLinks(late_s), lambda: replicas, ZoneId("zone-a"))
+        ledger = LedgerClient(DelayedStoringLinks(delay_s), lambda: replicas, ZoneId("zone-a"))
         self.addAsyncCleanup(ledger.finish, 0.0)
         self.entry.ledger.begun.clear()
         await self.entry.start()
@@ -71,7 +71,7 @@
         return seconds
 
     async def test_a_complete_answer_is_not_aborted_while_its_caller_has_time_left(self) -> None:
-        self.assertGreaterEqual(await self.call(LATE_S), LATE_S)
+        self.assertGreaterEqual(await self.call(STORING_DELAY_S), STORING_DELAY_S)
 
     async def test_an_answer_whose_turn_is_not_stored_in_time_is_truncated(self) -> None:
         began_at = time.monotonic()
--- a/waxwingglade/ingress/tests/test_caller_gone.py
+++ b/waxwingglade/ingress/tests/test_disconnected_caller.py
@@ -32,7 +32,7 @@
 WAIT_LIMIT_S = 5.0
 
 
-class CallerGoneTest(unittest.IsolatedAsyncioTestCase):
+class DisconnectedCallerTest(unittest.IsolatedAsyncioTestCase):
     async def begin(self, *fakes: FakeTarget) -> EntryUnderTest:
         """Start an entry with some targets."""
         entry = EntryUnderTest(*fakes)
@@ -40,7 +40,7 @@
         await entry.start()
         return entry
 
-    async def leave_when(self, entry: EntryUnderTest, path: str, condition: Any) -> None:
+    async def disconnect_when(self, entry: EntryUnderTest, path: str, condition: Any) -> None:
         """Send a request, and close its connection once a condition holds."""
         connection = await entry.send(path)
         self.assertTrue(await until(condition, WAIT_LIMIT_S), "the state was not reached")
@@ -58,7 +58,7 @@
             with self.subTest(path):
                 fake = FakeTarget(Behaviour.HOLD)
                 entry = await self.begin(fake)
-                await self.leave_when(entry, path, lambda fake=fake: fake.arrived)
+                await self.disconnect_when(entry, path, lambda fake=fake: fake.arrived)
                 await self.expect_end(entry, fake)
                 self.assertEqual(len(fake.arrived), 1)
 
@@ -76,7 +76,7 @@
         fake = FakeTarget(Behaviour.EVENT)
         entry = await self.begin(fake)
         entry.ledger.may_begin.clear()
-        await self.leave_when(entry, TURNS, lambda: entry.ledger.begun)
+        await self.disconnect_when(entry, TURNS, lambda: entry.ledger.begun)
         await self.expect_end(entry)
         entry.ledger.may_begin.set()
         await asyncio.sleep(0.05)
@@ -88,7 +88,7 @@
         fake = FakeTarget(Behaviour.EVENTS)
         entry = await self.begin(fake)
         entry.ledger.may_end.clear()
-        await self.leave_when(entry, TURNS, lambda: entry.ledger.ended)
+        await self.disconnect_when(entry, TURNS, lambda: entry.ledger.ended)
         await self.expect_end(entry)
         self.assertEqual([settled.used_tokens for settled in entry.ledger.settled], [1])
 
@@ -99,13 +99,13 @@
         proceed = asyncio.Event()
         open_connection = pool.open_connection
 
-        async def open_late(address: str, timeout_s: float) -> Any:
+        async def open_delayed(address: str, timeout_s: float) -> Any:
             opening.append(address)
             await proceed.wait()
             return await open_connection(address, timeout_s)
 
-        with mock.patch.object(pool, "open_connection", open_late):
-            await self.leave_when(entry, ONCE, lambda: opening)
+        with mock.patch.object(pool, "open_connection", open_delayed):
+            await self.disconnect_when(entry, ONCE, lambda: opening)
             await self.expect_end(entry)
             proceed.set()
             await asyncio.sleep(0.05)
@@ -114,7 +114,7 @@
     async def test_between_two_targets(self) -> None:
         fakes = FakeTarget(Behaviour.REFUSE), FakeTarget(Behaviour.REFUSE)
         entry = await self.begin(*fakes)
-        await self.leave_when(entry, ONCE, lambda: any(fake.arrived for fake in fakes))
+        await self.disconnect_when(entry, ONCE, lambda: any(fake.arrived for fake in fakes))
         await self.expect_end(entry)
         for fake in fakes:
             fake.proceed.set()
@@ -161,7 +161,7 @@
         connection.close()
 
 
-class CallerGoneOnDaemonLoopTest(OnDaemonLoop, CallerGoneTest):
+class DisconnectedCallerOnDaemonLoopTest(OnDaemonLoop, DisconnectedCallerTest):
     """The same tests on the event loop of the daemons."""
 
 
--- a/waxwingglade/ingress/tests/test_patience.py
+++ b/waxwingglade/ingress/tests/test_wait_limits.py
@@ -27,9 +27,9 @@
         """Return a connection whose request fails with the next error."""
         return mock.Mock(read_head=mock.AsyncMock(side_effect=self.errors.pop(0)))
 
-    def watch(self, _connection: Any, patience: WaitLimits) -> None:
+    def watch(self, _connection: Any, limits: WaitLimits) -> None:
         """Record how long a connection may be unresponsive."""
-        self.wait_limits.append(patience)
+        self.wait_limits.append(limits)
 
     def release(self, *_: Any) -> None:
         """Accept a returned connection."""
@@ -56,7 +56,7 @@
         while errors:
             with self.assertRaises(MayHaveRun):
                 await attempts.open(b"", None, None)
-        return [patience.end_s is not None for patience in pool.wait_limits]
+        return [limits.end_s is not None for limits in pool.wait_limits]
 
     async def test_the_last_attempt_after_an_unresponsive_one_has_no_limit(self) -> None:
         """Guards against a 502 for a slow target while the caller has time left."""
--- a/waxwingglade/ledger/tests/crowds.py
+++ b/waxwingglade/ledger/tests/concurrent_agents.py
@@ -175,7 +175,7 @@
             raise LinkFailed(str(error), sent=True) from error
 
 
-class Crowd:
+class ConcurrentAgents:
     """Sub-agents of one program, each of which runs a turn through the entry of a random zone.
 
     Parameters
@@ -249,19 +249,19 @@
         self.ended.append((done, asyncio.get_running_loop().time() - began_at))
 
 
-def run_crowd(seed: int, agents: int) -> Crowd:
-    """Run a crowd of agents to its end, and return the crowd with its results."""
+def run_agents(seed: int, agents: int) -> ConcurrentAgents:
+    """Run some agents until all have ended, and return them with their results."""
 
-    async def run() -> Crowd:
-        crowd = Crowd(seed)
+    async def run() -> ConcurrentAgents:
+        concurrent = ConcurrentAgents(seed)
         try:
-            await crowd.run(agents)
+            await concurrent.run(agents)
         finally:
-            await crowd.stop()
-        return crowd
+            await concurrent.stop()
+        return concurrent
 
     with virtual_clocks(seed):
         return run_in_virtual_time(run())
 
 
-__all__ = ["Crowd", "run_crowd"]
+__all__ = ["ConcurrentAgents", "run_agents"]
--- a/waxwingglade/ledger/tests/random_sets.py
+++ b/waxwingglade/ledger/tests/random_sets.py
@@ -49,7 +49,7 @@
 two."""
 
 
-class LateMachine(Machine):
+class DelayedMachine(Machine):
     """A machine that receives a new set with a random delay."""
 
     def _changed(self) -> None:
@@ -288,7 +288,7 @@
         self._start(vm)
 
     def _start(self, vm: str) -> None:
-        machine = self.machines.machines[vm] = LateMachine(self.machines, vm)
+        machine = self.machines.machines[vm] = DelayedMachine(self.machines, vm)
         machine.start()
         self.coordinators[vm] = self._coordinator(machine)
 
--- a/waxwingglade/ledger/tests/test_held_up_account.py
+++ b/waxwingglade/ledger/tests/test_delayed_account.py
@@ -11,7 +11,7 @@
 from waxwingglade.ledger.client import REPLICA_TIMEOUT_S
 from waxwingglade.ledger.messages import Accept, Prepare
 from waxwingglade.ledger.tests.builders import Cluster, begin, end
-from waxwingglade.ledger.tests.crowds import Crowd, run_crowd
+from waxwingglade.ledger.tests.concurrent_agents import ConcurrentAgents, run_agents
 
 AGENTS = 24
 SEEDS = range(1, 21)
@@ -27,7 +27,7 @@
         self.coordinator = self.cluster.coordinator("vm-0")
         await self.coordinator.begin(begin(1))
         for replica in self.cluster.replicas.values():
-            replica.handlers[Prepare] = replica.handlers[Accept] = answer_late
+            replica.handlers[Prepare] = replica.handlers[Accept] = answer_after_timeout
 
     async def test_a_turn_is_reported_as_stored_while_its_account_is_delayed(self) -> None:
         began_at = time.monotonic()
@@ -53,25 +53,25 @@
         self.assertGreaterEqual(sum(after), 1)
 
 
-async def answer_late(_message: Any) -> None:
+async def answer_after_timeout(_message: Any) -> None:
     """Answer a request long after its timeout."""
     await asyncio.sleep(20.0)
 
 
-class CrowdTest(unittest.TestCase):
+class ConcurrentAgentsTest(unittest.TestCase):
     """Many sub-agents of one program, through entries of all zones, on slow disks."""
 
-    def crowds(self) -> list[Crowd]:
-        return [run_crowd(seed, AGENTS) for seed in SEEDS]
+    def runs(self) -> list[ConcurrentAgents]:
+        return [run_agents(seed, AGENTS) for seed in SEEDS]
 
     def test_no_complete_answer_waits_for_other_turns_of_its_program(self) -> None:
-        for crowd in self.crowds():
-            self.assertGreater(crowd.begun, 0)
-            self.assertTrue(all(kept for kept, _ in crowd.ended))
-            self.assertLess(max(seconds for _, seconds in crowd.ended), REPLICA_TIMEOUT_S)
+        for run in self.runs():
+            self.assertGreater(run.begun, 0)
+            self.assertTrue(all(kept for kept, _ in run.ended))
+            self.assertLess(max(seconds for _, seconds in run.ended), REPLICA_TIMEOUT_S)
 
     def test_turns_that_begin_together_are_all_decided(self) -> None:
-        self.assertEqual([0] * len(SEEDS), [crowd.undecided for crowd in self.crowds()])
+        self.assertEqual([0] * len(SEEDS), [run.undecided for run in self.runs()])
 
 
 if __name__ == "__main__":
--- a/waxwingglade/ledger/tests/test_journal.py
+++ b/waxwingglade/ledger/tests/test_journal.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from waxwingglade.ledger.journal import SLOW_FLUSH_S, Journal
-from waxwingglade.ledger.tests.logged import logged_lines
+from waxwingglade.ledger.tests.log_capture import logged_lines
 
 
 class JournalTest(unittest.IsolatedAsyncioTestCase):
--- a/waxwingglade/ledger/tests/test_signs_of_life.py
+++ b/waxwingglade/ledger/tests/test_last_seen.py
@@ -30,7 +30,7 @@
         return self.now
 
 
-class SignsOfLifeTest(unittest.IsolatedAsyncioTestCase):
+class LastSeenTest(unittest.IsolatedAsyncioTestCase):
     """A replica on standby in the zone of a member that is lost."""
 
     def setUp(self) -> None:
--- a/waxwingglade/ledger/tests/test_ledger_logs.py
+++ b/waxwingglade/ledger/tests/test_ledger_logs.py
@@ -10,7 +10,7 @@
 from waxwingglade.ledger.client import LedgerClient
 from waxwingglade.ledger.messages import Accept, Prepare, TurnEnded
 from waxwingglade.ledger.tests.builders import PROGRAM, Cluster, begin, end
-from waxwingglade.ledger.tests.logged import logged_lines
+from waxwingglade.ledger.tests.log_capture import logged_lines
 from waxwingglade.transport.links import LinkFailed
 
 WAIT_LIMIT_S = 5.0
--- a/waxwingglade/ledger/tests/test_lost_promise.py
+++ b/waxwingglade/ledger/tests/test_lost_promise.py
@@ -20,8 +20,8 @@
 from waxwingglade.ledger.tests.builders import FAR_FUTURE, PROGRAM, Cluster, MessageLost, begin
 
 BUDGET = 1000
-LOST, SPARE, LATE = "vm-4", "vm-5", "vm-2"
-"""The VM whose disk is lost, the one that replaces it, and one whose answers are too late."""
+LOST, SPARE, DELAYED = "vm-4", "vm-5", "vm-2"
+"""The VM whose disk is lost, the one that replaces it, and one whose answers arrive too late."""
 
 
 class LostPromiseTest(unittest.IsolatedAsyncioTestCase):
@@ -34,8 +34,8 @@
         await self.cluster.coordinator(LOST).begin(begin(1))
         highest = max(self.promised(vm) for vm in self.cluster.replicas)
         self.lower, self.higher = Ballot(highest + 3, "lower"), Ballot(highest + 5, "higher")
-        await self.propose(self.lower, 700, ["vm-0", "vm-1", LATE], ["vm-0", "vm-1"])
-        await self.propose(self.higher, 100, [LATE, "vm-3", LOST], [LATE])
+        await self.propose(self.lower, 700, ["vm-0", "vm-1", DELAYED], ["vm-0", "vm-1"])
+        await self.propose(self.higher, 100, [DELAYED, "vm-3", LOST], [DELAYED])
         await self.replace()
 
     def promised(self, vm: str) -> int:
@@ -73,7 +73,7 @@
         for vm in reading:
 
             async def ask(member: Member, message: Any, _timeout_s: float, vm: str = vm) -> Any:
-                if member.vm == LATE:
+                if member.vm == DELAYED:
                     raise MessageLost("late")
                 return await self.cluster.ask(vm, member, message)
 
@@ -83,24 +83,24 @@
     async def test_a_turn_that_has_begun_is_not_overwritten_by_an_older_proposal(self) -> None:
         one = self.cluster.coordinator("vm-0")
         one.accounts.numbers[PROGRAM] = self.lower.number
-        self.cluster.isolate(LATE)
+        self.cluster.isolate(DELAYED)
         self.cluster.blocked |= {("vm-0", "vm-3"), ("vm-3", "vm-0")}
         self.assertIsInstance(await one.begin(begin(9, 50, BUDGET)), TurnBegun)
         self.cluster.heal()
-        account = await self.account_seen_by_late()
+        account = await self.account_committed_by_delayed()
         self.assertIn("turn-9", account.open)
 
     async def test_an_account_that_may_not_be_committed_is_not_read(self) -> None:
         seen = await self.cluster.coordinator("vm-0").accounts.read(PROGRAM)
-        committed = await self.account_seen_by_late()
+        committed = await self.account_committed_by_delayed()
         self.assertIn(seen, (None, committed))
 
-    async def account_seen_by_late(self) -> Any:
-        """Return the account that the late member commits together with two outdated members."""
-        self.cluster.blocked = {(LATE, "vm-1"), (LATE, SPARE)}
-        late = self.cluster.coordinator(LATE)
-        await late.accounts.change(PROGRAM, lambda account: (account, None))
-        return late.accounts.last[PROGRAM].account
+    async def account_committed_by_delayed(self) -> Any:
+        """Return the account that the delayed member commits together with two outdated members."""
+        self.cluster.blocked = {(DELAYED, "vm-1"), (DELAYED, SPARE)}
+        delayed = self.cluster.coordinator(DELAYED)
+        await delayed.accounts.change(PROGRAM, lambda account: (account, None))
+        return delayed.accounts.last[PROGRAM].account
 
 
 if __name__ == "__main__":
--- a/waxwingglade/ledger/tests/test_one_set.py
+++ b/waxwingglade/ledger/tests/test_one_set_per_epoch.py
@@ -55,13 +55,13 @@
         membership = self.machines.machines[vm].membership
         ask, stalled, go_on = membership.ask, asyncio.Event(), asyncio.Event()
 
-        async def late(member: Member, message: Any, timeout_s: float) -> Any:
+        async def ask_with_delay(member: Member, message: Any, timeout_s: float) -> Any:
             if isinstance(message, Fetch):
                 stalled.set()
                 await go_on.wait()
             return await ask(member, message, timeout_s)
 
-        membership.ask = late
+        membership.ask = ask_with_delay
         return stalled, go_on
 
     async def two_join(self) -> None:
--- a/waxwingglade/platform/tests/test_store_returns.py
+++ b/waxwingglade/platform/tests/test_store_recovery.py
@@ -29,7 +29,7 @@
 LONGEST_JITTER = 0.999
 
 
-class StoreReturns(unittest.TestCase):
+class StoreRecoveryTest(unittest.TestCase):
     def test_a_version_is_in_force_in_time_whatever_was_unresponsive(self) -> None:
         with self.subTest("the store"):
             run_in_virtual_time(self._check_outages(start_in_outage=False))
