--- a/bench/replication.py
+++ b/bench/replication.py
@@ -164,7 +164,7 @@
     Each call of this function uses up one message number of every link.
     """
     return Traffic(
-        messages=sum(next(link.numbers) for link in links),
+        messages=sum(next(link.request_numbers) for link in links),
         sent=sum(link.bytes_sent for link in links),
         received=sum(link.bytes_received for link in links),
     )
--- a/waxwingglade/connection/chat.py
+++ b/waxwingglade/connection/chat.py
@@ -60,10 +60,10 @@
 
 
 class PreparedCall(msgspec.Struct):
-    """A call that is ready to be submitted; `one_call` tells whether its program ends after it."""
+    """A call ready to be submitted; `ends_program` says whether its program ends after it."""
 
     request: SubmitCall | FollowCall
-    one_call: bool
+    ends_program: bool
 
 
 def chat_routes(serve: Serve) -> list[Route]:
@@ -92,7 +92,7 @@
         else:
             await _answer_complete(serve, handler, body, request)
     finally:
-        if prepared.ok_value.one_call:
+        if prepared.ok_value.ends_program:
             run_detached(_end_after_call(serve, request))
 
 
@@ -130,11 +130,11 @@
 async def _create(
     serve: Serve, tenant: TenantId, program_class: ClassName, call: ModelCall
 ) -> Outcome[PreparedCall]:
-    name = CallId(f"{REQUEST_PREFIX}{call.call}")
-    failure = check_call_id(name)
+    request_id = CallId(f"{REQUEST_PREFIX}{call.call}")
+    failure = check_call_id(request_id)
     if failure is not None:
         return Err(failure)
-    creating = run_detached(outcome_of(serve(CreateProgram(tenant, program_class, name))))
+    creating = run_detached(outcome_of(serve(CreateProgram(tenant, program_class, request_id))))
     try:
         view = await asyncio.shield(creating)
     except asyncio.CancelledError:
@@ -143,7 +143,7 @@
     if isinstance(view, Failure):
         return Err(view)
     assert isinstance(view, ProgramView)
-    return Ok(PreparedCall(SubmitCall(tenant, view.program, call), one_call=True))
+    return Ok(PreparedCall(SubmitCall(tenant, view.program, call), ends_program=True))
 
 
 async def _continue(
@@ -154,7 +154,7 @@
         return Err(view)
     assert isinstance(view, ProgramView)
     if _is_recorded(view, call):
-        return Ok(PreparedCall(FollowCall(tenant, program, call.call), one_call=False))
+        return Ok(PreparedCall(FollowCall(tenant, program, call.call), ends_program=False))
     length = len(view.history)
     if call.messages[:length] != view.history:
         return not_run(ErrorCode.CONFLICT, "the messages do not extend the program's history")
@@ -163,7 +163,7 @@
         return not_run(ErrorCode.CONFLICT, "the messages add nothing to the program's history")
     call = msgspec.structs.replace(call, messages=new)
     return Ok(
-        PreparedCall(SubmitCall(tenant, program, call, history_length=length), one_call=False)
+        PreparedCall(SubmitCall(tenant, program, call, history_length=length), ends_program=False)
     )
 
 
@@ -188,8 +188,8 @@
         assert isinstance(done, Failure)
         fail_chat(handler, done)
         return
-    name = COMPLETION_PREFIX + new_nonce()
-    handler.finish_json(completion(name, int(time.time()), body.model, done))
+    completion_id = COMPLETION_PREFIX + new_nonce()
+    handler.finish_json(completion(completion_id, int(time.time()), body.model, done))
 
 
 async def _answer_stream(
--- a/waxwingglade/connection/chat_stream.py
+++ b/waxwingglade/connection/chat_stream.py
@@ -27,16 +27,18 @@
         Handler of the request.
     body : ChatRequest
         Body of the request.
-    name : str
+    completion_id : str
         Id of the completion.
     created : int
         Time of creation, in seconds since 1970.
     """
 
-    def __init__(self, handler: ApiHandler, body: ChatRequest, name: str, created: int) -> None:
+    def __init__(
+        self, handler: ApiHandler, body: ChatRequest, completion_id: str, created: int
+    ) -> None:
         self.handler = handler
         self.body = body
-        self.name = name
+        self.completion_id = completion_id
         self.created = created
         self.started = False
         self.sent = ""
@@ -76,10 +78,12 @@
         await self._send_chunk(ChunkChoice(WireDelta(), done.finish_reason))
         options = self.body.stream_options
         if options is not None and options.include_usage:
-            usage = Chunk(self.name, self.created, self.body.model, [], wire_usage(done.usage))
+            usage = Chunk(
+                self.completion_id, self.created, self.body.model, [], wire_usage(done.usage)
+            )
             await write_event(self.handler, msgspec.json.encode(usage))
         await write_event(self.handler, STREAM_END)
 
     async def _send_chunk(self, choice: ChunkChoice) -> None:
-        chunk = Chunk(self.name, self.created, self.body.model, [choice])
+        chunk = Chunk(self.completion_id, self.created, self.body.model, [choice])
         await write_event(self.handler, msgspec.json.encode(chunk))
--- a/waxwingglade/connection/chat_wire.py
+++ b/waxwingglade/connection/chat_wire.py
@@ -182,7 +182,7 @@
     return ErrorBody(error)
 
 
-def completion(name: str, created: int, model: str, done: Done) -> Completion:
+def completion(completion_id: str, created: int, model: str, done: Done) -> Completion:
     """Return a complete answer in the chat format."""
     choice = Choice(WireMessage("assistant", done.text), done.finish_reason)
-    return Completion(name, created, model, [choice], wire_usage(done.usage))
+    return Completion(completion_id, created, model, [choice], wire_usage(done.usage))
--- a/waxwingglade/connection/peer.py
+++ b/waxwingglade/connection/peer.py
@@ -146,10 +146,10 @@
         self.socket.setsockopt(zmq.SNDHWM, SEND_QUEUE_FRAMES)
         self.socket.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
         self.socket.connect(address)
-        self.numbers = itertools.count(1)
-        self.waiting: dict[int, asyncio.Queue[Envelope]] = {}
+        self.request_numbers = itertools.count(1)
+        self.pending: dict[int, asyncio.Queue[Envelope]] = {}
         self.reader = start_task(self._read())
-        self.last_used = monotonic()
+        self.last_used_at = monotonic()
         self.bytes_sent = 0
         self.bytes_received = 0
 
@@ -199,10 +199,10 @@
         Outcome[PeerBody]
             The answers in order; a failure is always the last.
         """
-        number = next(self.numbers)
+        number = next(self.request_numbers)
         answers: asyncio.Queue[Envelope] = asyncio.Queue()
-        self.waiting[number] = answers
-        self.last_used = monotonic()
+        self.pending[number] = answers
+        self.last_used_at = monotonic()
         try:
             frame = encode_envelope(Envelope(PROTOCOL_VERSION, number, self.incarnation, body))
             self.bytes_sent += len(frame)
@@ -222,7 +222,7 @@
         except TimeoutError:
             yield may_have_run(ErrorCode.UNAVAILABLE, f"no answer from {self.address}", 1.0)
         finally:
-            self.waiting.pop(number, None)
+            self.pending.pop(number, None)
 
     async def _read(self) -> None:
         while True:
@@ -233,7 +233,7 @@
             except FormatError as error:
                 logger.warning("answer from {} ignored: {}", self.address, error)
                 continue
-            answers = self.waiting.get(envelope.number)
+            answers = self.pending.get(envelope.number)
             if answers is not None:
                 answers.put_nowait(envelope)
 
@@ -277,7 +277,7 @@
         """Close connections unused for `idle_s` seconds; most of them lead to departed peers."""
         limit = monotonic() - idle_s
         for key, link in list(self.links.items()):
-            if link.last_used < limit and not link.waiting:
+            if link.last_used_at < limit and not link.pending:
                 del self.links[key]
                 await link.close()
 
--- a/waxwingglade/connection/tests/test_peer_cancel.py
+++ b/waxwingglade/connection/tests/test_peer_cancel.py
@@ -25,10 +25,10 @@
                 await link.request(FetchConfig(ConfigVersion(0)), timeout_s=60.0)
 
         task = asyncio.create_task(send_requests())
-        while not link.waiting:
+        while not link.pending:
             await asyncio.sleep(0)
-        (number,) = link.waiting
-        link.waiting[number].put_nowait(Envelope(PROTOCOL_VERSION, number, "", ConfigSnapshot()))
+        (number,) = link.pending
+        link.pending[number].put_nowait(Envelope(PROTOCOL_VERSION, number, "", ConfigSnapshot()))
         task.cancel()
         await asyncio.wait([task], timeout=5.0)
         self.assertTrue(task.cancelled())
--- a/waxwingglade/ingress/entry.py
+++ b/waxwingglade/ingress/entry.py
@@ -259,7 +259,7 @@
             self._check_quorum()
             self.pool.close_expired()
             self.close_idle()
-            self.links.keep_only(
+            self.links.close_idle_except(
                 {member.address for member in self.cached_view.view.replicas.members}, LINK_IDLE_S
             )
             if not self.follower.exhausted:
--- a/waxwingglade/ledger/node.py
+++ b/waxwingglade/ledger/node.py
@@ -281,7 +281,7 @@
     async def _close_idle_links(self) -> None:
         while True:
             await asyncio.sleep(LINK_IDLE_S / 2)
-            self.links.keep_only(
+            self.links.close_idle_except(
                 {member.address for member in self.replica.replicas.members}, LINK_IDLE_S
             )
 
--- a/waxwingglade/transport/links.py
+++ b/waxwingglade/transport/links.py
@@ -323,7 +323,7 @@
         self.request_numbers = itertools.count(1)
         self.pending: dict[int, asyncio.Future[Any]] = {}
         self.unsent: dict[int, bytes] = {}
-        self.used_at = self.link_socket.loop.time()
+        self.last_used_at = self.link_socket.loop.time()
 
     def close(self) -> None:
         """Close the connection; pending requests fail."""
@@ -348,7 +348,7 @@
         if self.link_socket.socket.closed:
             future.set_exception(LinkFailed("the link was closed", sent=False))
             return future
-        self.used_at = loop.time()
+        self.last_used_at = loop.time()
         number = next(self.request_numbers)
         if not self.unsent:
             loop.call_soon(self._flush)
@@ -439,11 +439,11 @@
                 link.close()
         return link
 
-    def keep_only(self, addresses: set[str], idle_s: float) -> None:
+    def close_idle_except(self, addresses: set[str], idle_s: float) -> None:
         """Close connections to other addresses that have not been used for `idle_s` seconds."""
         now = asyncio.get_running_loop().time()
         for address, link in list(self.links.items()):
-            if address in addresses or link.pending or now - link.used_at < idle_s:
+            if address in addresses or link.pending or now - link.last_used_at < idle_s:
                 continue
             del self.links[address]
             link.close()
--- a/waxwingglade/version/proposal.py
+++ b/waxwingglade/version/proposal.py
@@ -75,8 +75,8 @@
     """Return changes as text with the old values of `tree`; the order of changes is irrelevant."""
     lines = []
     for change in sorted(changes, key=lambda each: (each.level, each.setting)):
-        old = _in_words(override_of(tree, change.level, change.setting))
-        new = _in_words(change.value)
+        old = _as_text(override_of(tree, change.level, change.setting))
+        new = _as_text(change.value)
         lines.append(f"{change.level} {change.setting}: {old} -> {new}")
     return "\n".join(lines)
 
@@ -133,7 +133,7 @@
     )
 
 
-def _in_words(value: object) -> str:
+def _as_text(value: object) -> str:
     """Return a value as text in one line."""
     if value is None:
         return INHERITED
