--- a/waxwingglade/ingress/tests/test_disconnected_caller.py
+++ b/waxwingglade/ingress/tests/test_disconnected_caller.py
@@ -14,7 +14,7 @@
 from typing import Any
 from unittest import mock
 
-from waxwingglade.base.tests.loops import OnDaemonLoop
+from waxwingglade.base.tests.daemon_loop import OnDaemonLoop
 from waxwingglade.ingress.tests.entry_builders import (
     ONCE,
     PLAIN,
--- a/waxwingglade/ingress/tests/test_drain.py
+++ b/waxwingglade/ingress/tests/test_drain.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from waxwingglade.base.tests.loops import OnDaemonLoop
+from waxwingglade.base.tests.daemon_loop import OnDaemonLoop
 from waxwingglade.ingress.tests.entry_builders import (
     HOST,
     PLAIN,
--- a/waxwingglade/ingress/tests/test_slow_reader.py
+++ b/waxwingglade/ingress/tests/test_slow_reader.py
@@ -6,7 +6,7 @@
 
 from tornado.iostream import IOStream
 
-from waxwingglade.base.tests.loops import OnDaemonLoop
+from waxwingglade.base.tests.daemon_loop import OnDaemonLoop
 from waxwingglade.ingress.tests.entry_builders import (
     PLAIN,
     TURNS,
--- a/waxwingglade/ledger/tests/test_node.py
+++ b/waxwingglade/ledger/tests/test_node.py
@@ -11,7 +11,7 @@
 import zmq
 
 from waxwingglade.base import ProgramId, ZoneId
-from waxwingglade.base.tests.loops import OnDaemonLoop
+from waxwingglade.base.tests.daemon_loop import OnDaemonLoop
 from waxwingglade.follow.messages import Follow, Followed
 from waxwingglade.follow.tests.builders import KEYS, MemoryStore
 from waxwingglade.ledger.messages import (
--- a/waxwingglade/transport/tests/test_links.py
+++ b/waxwingglade/transport/tests/test_links.py
@@ -10,7 +10,7 @@
 import zmq
 
 from tests.ports import ReservedPorts
-from waxwingglade.base.tests.loops import OnDaemonLoop
+from waxwingglade.base.tests.daemon_loop import OnDaemonLoop
 from waxwingglade.transport.links import (
     RECONNECT_WAIT_S,
     Codec,
--- a/waxwingglade/transport/tests/test_liveness.py
+++ b/waxwingglade/transport/tests/test_liveness.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from waxwingglade.base.tests.loops import OnDaemonLoop
+from waxwingglade.base.tests.daemon_loop import OnDaemonLoop
 from waxwingglade.transport import ConnectionPool, HttpRequest, Unresponsive, WaitLimits
 from waxwingglade.transport.liveness import unresponsive_since
 
--- a/waxwingglade/transport/tests/test_page.py
+++ b/waxwingglade/transport/tests/test_page.py
@@ -6,7 +6,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.testing import bind_unused_port
 
-from waxwingglade.base.tests.loops import OnDaemonLoop
+from waxwingglade.base.tests.daemon_loop import OnDaemonLoop
 from waxwingglade.transport.page import serve_metrics, serve_page
 
 
