--- a/waxwingglade/connection/http.py
+++ b/waxwingglade/connection/http.py
@@ -58,7 +58,7 @@
     headers : dict
         Headers in addition to those of the client.
     body : bytes or None
-        Body as JSON, if any.
+        Body, if any; it is JSON unless `headers` states another Content-Type.
     timeout_s : float
         Timeout of the complete exchange, in seconds.
     repeatable : bool
--- a/waxwingglade/connection/log_messages.py
+++ b/waxwingglade/connection/log_messages.py
@@ -41,7 +41,7 @@
 
 
 class Fenced(msgspec.Struct, frozen=True, tag="fenced", array_like=True):
-    """Refused: the copy accepts only epochs from `epoch` on, which is higher."""
+    """Refused: the copy accepts only epochs from `epoch` on, and the request has a lower one."""
 
     epoch: Epoch
 
@@ -84,7 +84,8 @@
     log : LogId
         The log.
     orphaned : bool
-        Whether the sender is a leaving holder instead, because the owner seems to have departed.
+        Whether the sender is not the owner, but a leaving holder that considers the owner to be
+        unreachable.
     """
 
     log: LogId
@@ -116,7 +117,7 @@
     taking_over : bool
         Whether the receiver is currently taking the log over.
     owner_gone : bool
-        Whether the receiver considers the log to be without an owner as well: the owner is
+        Whether the receiver, too, considers the log to be without an owner: the owner is
         unreachable, or the copy was sealed long ago and no new owner has followed.
     """
 
--- a/waxwingglade/connection/store.py
+++ b/waxwingglade/connection/store.py
@@ -128,7 +128,7 @@
         lease : int
             Id of the lease that the key is attached to; 0 for none.
         purpose : Purpose
-            Counter of the call.
+            Purpose under which the call is counted.
 
         Returns
         -------
@@ -285,7 +285,7 @@
             First revision to report, such as ``listing.revision + 1``; with 0 the first event is
             a `ResyncEvent`.
         purpose : Purpose
-            Counter of the calls.
+            Purpose under which the calls are counted.
         """
         return watch_prefix(self, prefix, from_revision, purpose)
 
--- a/waxwingglade/connection/store_budget.py
+++ b/waxwingglade/connection/store_budget.py
@@ -9,7 +9,7 @@
 """Rate that an open watch takes from the budget, in calls per second."""
 
 WATCH_SHARE = 0.5
-"""Largest part of the rate that open watches may take; the rest is reserved for calls."""
+"""Largest share of the rate that open watches may take; the rest is reserved for calls."""
 
 
 MAX_WATCHES = 64
@@ -110,7 +110,7 @@
         Parameters
         ----------
         purpose : Purpose
-            Counter to increment.
+            Purpose under which the call is counted.
         wait_limit_s : float
             Longest wait, in seconds.
 
--- a/waxwingglade/connection/store_watch.py
+++ b/waxwingglade/connection/store_watch.py
@@ -133,7 +133,7 @@
     revision : int
         First revision to report.
     purpose : Purpose
-        Counter of the call.
+        Purpose under which the call is counted.
     """
 
     def __init__(
--- a/waxwingglade/connection/tests/target_builders.py
+++ b/waxwingglade/connection/tests/target_builders.py
@@ -92,7 +92,8 @@
 
     An empty answer closes the connection before the first byte.  Unless `close` is set, other
     answers leave the connection open.  `requests` is the number of received requests, `paths` lists
-    their paths, `asked` is set by a request, and `closed` is set when a caller disconnects.
+    their paths, `request_received` is set by each request, and `closed` is set when a caller
+    disconnects.
     """
 
     def __init__(self, *script: bytes, close: bool = True) -> None:
@@ -101,7 +102,7 @@
         self.requests = 0
         self.paths: list[str] = []
         self.closed = asyncio.Event()
-        self.asked = asyncio.Event()
+        self.request_received = asyncio.Event()
         self.server: asyncio.Server | None = None
         self.tasks: dict[asyncio.Task, asyncio.StreamWriter] = {}
         self.url = ""
@@ -133,7 +134,7 @@
         await reader.readexactly(_content_length(head))
         self.requests += 1
         self.paths.append(head.split(b" ", 2)[1].decode())
-        self.asked.set()
+        self.request_received.set()
         answer = self.script.pop(0) if self.script else b""
         writer.write(answer)
         await writer.drain()
--- a/waxwingglade/connection/tests/test_chat.py
+++ b/waxwingglade/connection/tests/test_chat.py
@@ -148,8 +148,8 @@
             program = await create(caller)
             call = {"type": "model", "call": "m1", "model": MODEL, "messages": [user("hello")]}
             await caller.json("POST", f"/v1/programs/{program}/calls", call)
-            late = ModelCall("m2", MODEL, [Message(MessageRole.USER, "late")])
-            request = SubmitCall("kettu", program, late, history_length=0)
+            outdated = ModelCall("m2", MODEL, [Message(MessageRole.USER, "late")])
+            request = SubmitCall("kettu", program, outdated, history_length=0)
             outcome = [event async for event in serve(running.daemons[0].entry, request)][-1]
             self.assertEqual(ErrorCode.CONFLICT, outcome.code)
 
@@ -164,12 +164,12 @@
 
 class DisconnectedCaller(unittest.IsolatedAsyncioTestCase):
     async def test_the_program_of_a_single_call_ends_if_its_caller_disconnects_early(self):
-        asked, left, ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        requested, disconnected, ended = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
         async def serve_slowly(request):
             if isinstance(request, CreateProgram):
-                asked.set()
-                await left.wait()
+                requested.set()
+                await disconnected.wait()
             if isinstance(request, EndProgram):
                 ended.set()
             yield VIEW
@@ -177,12 +177,12 @@
         async with serving(serve_slowly) as caller:
             body = {"model": MODEL, "messages": [user("hello")]}
             asking = asyncio.create_task(caller.send("POST", "/v1/chat/completions", body))
-            await asked.wait()
+            await requested.wait()
             asking.cancel()
             # Let the entry detect the closed connection before the program is created.
             await asyncio.gather(asking, return_exceptions=True)
             await caller.send("GET", "/healthz")
-            left.set()
+            disconnected.set()
             await asyncio.wait_for(ended.wait(), timeout=10.0)
 
 
--- a/waxwingglade/connection/tests/test_engine_control.py
+++ b/waxwingglade/connection/tests/test_engine_control.py
@@ -127,7 +127,7 @@
         self.assertGreater(engine.core.cache.used_fraction(), 0.0)
 
 
-class HeldTest(ControlCase):
+class CacheTest(ControlCase):
     async def test_release_clears_the_cache_of_the_engine(self) -> None:
         engine = await self.start()
         self.assertEqual([PROGRAM], (await held_programs(self.client, self.target)).unwrap())
@@ -159,13 +159,13 @@
         await self.start()
         order = EngineOrder(OrderKind.LOAD_MODEL, "large", fencing=5)
         self.assertTrue((await send_order(self.client, self.target, order)).is_ok())
-        late = EngineOrder(OrderKind.UNLOAD_MODEL, "large", fencing=4)
-        failure = (await send_order(self.client, self.target, late)).unwrap_err()
+        outdated = EngineOrder(OrderKind.UNLOAD_MODEL, "large", fencing=4)
+        failure = (await send_order(self.client, self.target, outdated)).unwrap_err()
         self.assertEqual((Verdict.NOT_RUN, ErrorCode.FENCED), (failure.verdict, failure.code))
         state = (await read_state(self.client, self.target)).unwrap()
         self.assertEqual((["large"], 5), (state.models, state.last_fencing))
 
-    async def test_engine_without_fencing_carries_out_late_orders(self) -> None:
+    async def test_engine_without_fencing_carries_out_outdated_orders(self) -> None:
         engine = await self.start()
         engine.orders.honours_fencing = False
         for kind, fencing in ((OrderKind.LOAD_ADAPTER, 5), (OrderKind.SET_ROLE, 4)):
--- a/waxwingglade/connection/tests/test_http.py
+++ b/waxwingglade/connection/tests/test_http.py
@@ -132,7 +132,7 @@
     async def test_abort_closes_an_idle_connection(self) -> None:
         async with ScriptedServer(SMALL[:10], close=False) as server:
             exchange = Exchange(self.client, post(server.url, timeout_s=60))
-            await with_timeout(server.asked.wait())
+            await with_timeout(server.request_received.wait())
             exchange.abort()
             await with_timeout(server.closed.wait())
             await ended(exchange)
@@ -154,7 +154,7 @@
     async def test_cancelled_caller_closes_the_connection(self) -> None:
         async with ScriptedServer(SMALL[:10], close=False) as server:
             task = asyncio.create_task(send(self.client, post(server.url, timeout_s=60)))
-            await with_timeout(server.asked.wait())
+            await with_timeout(server.request_received.wait())
             task.cancel()
             await with_timeout(server.closed.wait())
 
@@ -162,9 +162,9 @@
         async with ScriptedServer(SMALL, SMALL[:10], SMALL, close=False) as server:
             first = Exchange(self.client, post(server.url))
             await ended(first)
-            server.asked.clear()
+            server.request_received.clear()
             second = Exchange(self.client, post(server.url, timeout_s=60))
-            await with_timeout(server.asked.wait())
+            await with_timeout(server.request_received.wait())
             self.assertIs(first.curl, second.curl)
             first.abort()
             # When a third exchange has ended, a close of the second would have been detected.
@@ -178,7 +178,7 @@
     async def test_full_client_rejects_immediately(self) -> None:
         async with ScriptedServer(SMALL[:10], SMALL, close=False) as server:
             hanging = Exchange(self.client, post(server.url, timeout_s=60))
-            await with_timeout(server.asked.wait())
+            await with_timeout(server.request_received.wait())
             failure = await self.failure(post(server.url))
             expected = (Verdict.NOT_RUN, ErrorCode.OVERLOADED)
             self.assertEqual(expected, (failure.verdict, failure.code))
--- a/waxwingglade/settings/check.py
+++ b/waxwingglade/settings/check.py
@@ -37,9 +37,9 @@
 
 def _errors_of_fields(data: object, model: Any, path: str) -> list[str]:
     if not isinstance(data, dict):
-        return [f"{path}: must be a mapping, not {_kind(data)}"]
+        return [f"{path}: must be a mapping, not {_type_in_words(data)}"]
     fields = {field.name: field for field in msgspec.structs.fields(model)}
-    errors = [f"{path}: {_unknown(name, list(fields))}" for name in data if name not in fields]
+    errors = [f"{path}: {_unknown_key(name, list(fields))}" for name in data if name not in fields]
     for name, field in fields.items():
         if name in data:
             errors += find_errors(data[name], field.type, f"{path}.{name}")
@@ -63,12 +63,12 @@
     return isinstance(model, type) and issubclass(model, msgspec.Struct)
 
 
-def _unknown(name: object, valid: list[str]) -> str:
+def _unknown_key(name: object, valid: list[str]) -> str:
     similar = difflib.get_close_matches(str(name), valid, n=1)
     hint = f" (did you mean `{similar[0]}`?)" if similar else ""
     return f"unknown key `{name}`{hint}"
 
 
-def _kind(data: object) -> str:
+def _type_in_words(data: object) -> str:
     names: dict[type, str] = {list: "a list", str: "text", types.NoneType: "empty"}
     return names.get(type(data), f"`{data}`")
--- a/waxwingglade/settings/decisions.py
+++ b/waxwingglade/settings/decisions.py
@@ -23,7 +23,8 @@
     sample_size : int
         Number of targets with free slots, chosen at random, that a routing decision considers.
     holder_size : int
-        Number of targets estimated to hold most of the prompt that a decision considers as well.
+        Number of further targets that a routing decision considers: those that are estimated to
+        have most of the prompt in their cache.
     look_ahead : int
         Number of waiting calls of a class that are considered when a target gets a free slot.
     urgent_room, normal_room, routine_room : float
--- a/waxwingglade/settings/process.py
+++ b/waxwingglade/settings/process.py
@@ -30,7 +30,7 @@
 class StoreSettings(Strict):
     """Connection to the platform's key-value service.
 
-    `calls_per_second` limits the calls of this process, including waiting watches.
+    `calls_per_second` limits the calls of this process, including open watches.
     """
 
     urls: list[str] = msgspec.field(default_factory=list)
--- a/waxwingglade/transport/links.py
+++ b/waxwingglade/transport/links.py
@@ -28,11 +28,11 @@
 POLLIN, POLLOUT = int(zmq.POLLIN), int(zmq.POLLOUT)
 DONTWAIT, SNDMORE = int(zmq.DONTWAIT), int(zmq.SNDMORE)
 
-SEND_QUEUE_MESSAGES = 2_000
+QUEUE_MESSAGES = 2_000
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 HEARTBEAT_MS = 500
 """Milliseconds between heartbeats of ZeroMQ.  They detect a peer that lost power, and a connection
-that became unresponsive while new ones work, which the kernel does not report."""
+that became unresponsive while new ones work.  The kernel does not report such a connection."""
 
 HEARTBEAT_TIMEOUT_MS = 600
 """Milliseconds after a heartbeat within which bytes have to arrive.  An unresponsive connection is
@@ -132,8 +132,8 @@
         self.receive_scheduled = False
         self.socket = context.socket(kind)
         self.socket.setsockopt(zmq.LINGER, 0)
-        self.socket.setsockopt(zmq.SNDHWM, SEND_QUEUE_MESSAGES)
-        self.socket.setsockopt(zmq.RCVHWM, SEND_QUEUE_MESSAGES)
+        self.socket.setsockopt(zmq.SNDHWM, QUEUE_MESSAGES)
+        self.socket.setsockopt(zmq.RCVHWM, QUEUE_MESSAGES)
         self.socket.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
         self.socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
         self.socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
--- a/waxwingglade/transport/liveness.py
+++ b/waxwingglade/transport/liveness.py
@@ -5,7 +5,7 @@
 target.  But a fault of this kind affects every connection that is open at that moment, so bytes
 that arrive later on one of them rule it out.  In a busy process some bytes almost always do, and a
 request to a target that is merely slow continues.  In an idle process the time without bytes alone
-decides, and only there is a fault found that affects some of the connections.
+decides.  Only there can a fault be detected that affects just some of the connections.
 """
 
 import asyncio
@@ -41,10 +41,11 @@
     Parameters
     ----------
     suspect_s : float
-        Seconds after which idle connections that were open since then are no longer used.
+        Seconds without bytes after which the connection is suspected to be unresponsive, together
+        with the idle connections that were open during that time.
     end_s : float or None
-        Seconds after which the request ends; None if it continues, since what was sent may have run
-        and must not run again.
+        Seconds without bytes after which the request fails; None if it waits on, since it may have
+        run and must not run again.
     """
 
     suspect_s: float
@@ -54,7 +55,7 @@
 def unresponsive_since(waiting: ConnectionTimes, connections: Iterable[ConnectionTimes]) -> float:
     """Return the earliest moment at which all connections may have become unresponsive.
 
-    After it no bytes arrived on `waiting`, nor on any connection that was open at it.
+    Since that moment, no bytes have arrived on `waiting` or on any connection that was open at it.
     """
     later = [each for each in connections if each.last_received_at > waiting.last_received_at]
     moment = waiting.last_received_at
--- a/waxwingglade/transport/pool.py
+++ b/waxwingglade/transport/pool.py
@@ -85,8 +85,8 @@
     def watch(self, connection: Http1Connection, limits: WaitLimits) -> None:
         """Check whether a connection is unresponsive, until it is released.
 
-        If it is, idle connections that were open at that time are closed, and this one fails with
-        `Unresponsive` if the limits have an end.
+        If it is, the idle connections that were open when it became so and have received nothing
+        since are closed, and this one fails with `Unresponsive` if `limits.end_s` is not None.
         """
         self.watches[connection] = LivenessWatch(
             connection, lambda: self.connections, limits, self._drop_unresponsive
--- a/waxwingglade/version/tests/test_following.py
+++ b/waxwingglade/version/tests/test_following.py
@@ -152,10 +152,10 @@
 
     async def test_old_versions_and_trees_are_deleted(self):
         await accept_values(self.service, 0, 2 * SNAPSHOT_EVERY + 2)
-        with_short_history = SNAPSHOT_EVERY
-        with mock.patch("waxwingglade.version.cleanup.RETAINED_VERSIONS", with_short_history):
+        short_history_versions = SNAPSHOT_EVERY
+        with mock.patch("waxwingglade.version.cleanup.RETAINED_VERSIONS", short_history_versions):
             (await delete_old_records(self.config_store, NOON_S)).unwrap()
-        self.assertGreater(RETAINED_VERSIONS, with_short_history)
+        self.assertGreater(RETAINED_VERSIONS, short_history_versions)
         versions = [each.version for each in (await self.service.history(1000)).unwrap()]
         self.assertEqual(versions[-1], SNAPSHOT_EVERY)
         trees = [key for key in self.store.values if key.startswith("config/snapshots/")]
--- a/waxwingglade/version/tests/test_property.py
+++ b/waxwingglade/version/tests/test_property.py
@@ -73,7 +73,7 @@
     st.tuples(st.just("catch up"), entry),
     st.tuples(st.just("stale peer"), entry, entry),
     st.tuples(st.just("restart"), entry),
-    st.tuples(st.just("late writes")),
+    st.tuples(st.just("delayed writes")),
     st.tuples(st.just("outage"), st.integers(1, 150)),
 )
 fault = st.sampled_from([Fault.NONE] * 12 + list(Fault))
@@ -95,7 +95,7 @@
     async def run(self, step: tuple) -> None:
         """Execute one operation and record the versions in force."""
         kind, *arguments = step
-        if kind == "late writes":
+        if kind == "delayed writes":
             self.store.apply_delayed()
             return
         if kind == "outage":
