--- a/waxwingglade/base/logs.py
+++ b/waxwingglade/base/logs.py
@@ -50,7 +50,7 @@
         self.stream = stream
         self.lines: deque[bytes] = deque()
         self.dropped = 0
-        self.reported = 0
+        self.reported_dropped = 0
         self.wake = threading.Event()
         self.stopped = False
         self.thread = threading.Thread(target=self._run, name="logs", daemon=True)
@@ -87,9 +87,9 @@
         batch = []
         while self.lines and len(batch) < BATCH_LINES:
             batch.append(self.lines.popleft())
-        if self.dropped > self.reported:
+        if self.dropped > self.reported_dropped:
             batch.append(_encode({"event": "log lines dropped", "count": self.dropped}) + b"\n")
-            self.reported = self.dropped
+            self.reported_dropped = self.dropped
         try:
             self.stream.write(b"".join(batch))
             self.stream.flush()
@@ -152,19 +152,19 @@
 
     def __init__(self, per_s: float) -> None:
         self.per_s = per_s
-        self.allowance = per_s
+        self.tokens = per_s
         self.filled_at = time.monotonic()
         self.left_out = 0
 
     def allows(self) -> bool:
         """Return whether a line may be written now; otherwise count it as left out."""
         now = time.monotonic()
-        self.allowance = min(self.per_s, self.allowance + (now - self.filled_at) * self.per_s)
+        self.tokens = min(self.per_s, self.tokens + (now - self.filled_at) * self.per_s)
         self.filled_at = now
-        if self.allowance < 1:
+        if self.tokens < 1:
             self.left_out += 1
             return False
-        self.allowance -= 1
+        self.tokens -= 1
         return True
 
     def take_left_out(self) -> int:
--- a/waxwingglade/connection/chat_stream.py
+++ b/waxwingglade/connection/chat_stream.py
@@ -41,17 +41,17 @@
         self.completion_id = completion_id
         self.created = created
         self.started = False
-        self.sent = ""
+        self.sent_text = ""
 
     async def send(self, event: CallerEvent) -> bool:
         """Send the chunks of an event; return whether further events may follow."""
-        if isinstance(event, Reset) and not self.sent:
+        if isinstance(event, Reset) and not self.sent_text:
             return True
         await self._start()
         if isinstance(event, Delta):
             await self._send_text(event.text)
             return True
-        if isinstance(event, Done) and event.text.startswith(self.sent):
+        if isinstance(event, Done) and event.text.startswith(self.sent_text):
             await self._finish(event)
             return False
         # The format cannot retract text, so the stream fails if the answer starts over.
@@ -68,11 +68,11 @@
         await self._send_chunk(ChunkChoice(WireDelta(role="assistant", content="")))
 
     async def _send_text(self, text: str) -> None:
-        self.sent += text
+        self.sent_text += text
         await self._send_chunk(ChunkChoice(WireDelta(content=text)))
 
     async def _finish(self, done: Done) -> None:
-        rest = done.text[len(self.sent) :]
+        rest = done.text[len(self.sent_text) :]
         if rest:
             await self._send_text(rest)
         await self._send_chunk(ChunkChoice(WireDelta(), done.finish_reason))
--- a/waxwingglade/connection/http_api.py
+++ b/waxwingglade/connection/http_api.py
@@ -71,7 +71,7 @@
         self.identity: Any = None
         self.rejection: Failure | None = None
         self.body = bytearray()
-        self.received = 0
+        self.received_bytes = 0
         self.body_read = False
         self.disconnected = False
         self.running: asyncio.Task | None = None
@@ -103,12 +103,12 @@
 
     def data_received(self, chunk: bytes) -> None:
         """Store a piece of the body unless the request is already rejected; called by tornado."""
-        self.received += len(chunk)
+        self.received_bytes += len(chunk)
         if self.rejection is None:
-            self.rejection = check_length(self.received, self.api.limits)
+            self.rejection = check_length(self.received_bytes, self.api.limits)
         if self.rejection is None:
             self.body += chunk
-        elif self.received > self._max_discarded_bytes() and not self._finished:
+        elif self.received_bytes > self._max_discarded_bytes() and not self._finished:
             self.fail(self.rejection)
 
     def _max_discarded_bytes(self) -> int:
--- a/waxwingglade/connection/tests/test_engine.py
+++ b/waxwingglade/connection/tests/test_engine.py
@@ -160,7 +160,7 @@
 
 
 class CancelTest(StandinCase):
-    async def _first_delta_then_close(self) -> None:
+    async def _close_after_first_delta(self) -> None:
         messages = conversation("tokens=100000")
         request = engine_request(messages=messages, max_tokens=100_000)
         async with aclosing(stream_completion(self.client, self.target, request, 60)) as stream:
@@ -168,7 +168,7 @@
             self.engine.faults = EngineFaults(hang=True)
 
     async def test_closing_cancels_on_the_engine(self) -> None:
-        await self._first_delta_then_close()
+        await self._close_after_first_delta()
         await self.wait_for_cancels()
         self.assertEqual(
             [("cancel", "request-1")], [(each.kind, each.subject) for each in self.engine.controls]
@@ -213,7 +213,9 @@
 
 
 class TimeoutTest(EngineCase):
-    async def _failure(self, sent: bytes, timeouts: StreamTimeouts, timeout_s: float) -> None:
+    async def _expect_timeout(
+        self, sent: bytes, timeouts: StreamTimeouts, timeout_s: float
+    ) -> None:
         async with ScriptedServer(OK_STREAM + sent, close=False) as server:
             target = engine_target(server.url)
             request = engine_request()
@@ -225,13 +227,13 @@
         self.assertEqual(Verdict.MAY_HAVE_RUN, failed.failure.verdict)
 
     async def test_first_token(self) -> None:
-        await self._failure(b": ping\n\n", StreamTimeouts(0.05, 60), 60)
+        await self._expect_timeout(b": ping\n\n", StreamTimeouts(0.05, 60), 60)
 
     async def test_between_tokens(self) -> None:
-        await self._failure(event_bytes("a"), StreamTimeouts(60, 0.05), 60)
+        await self._expect_timeout(event_bytes("a"), StreamTimeouts(60, 0.05), 60)
 
     async def test_complete_answer(self) -> None:
-        await self._failure(event_bytes("a"), StreamTimeouts(60, 60), 0.1)
+        await self._expect_timeout(event_bytes("a"), StreamTimeouts(60, 60), 0.1)
 
 
 if __name__ == "__main__":
--- a/waxwingglade/follow/tests/test_completeness.py
+++ b/waxwingglade/follow/tests/test_completeness.py
@@ -91,12 +91,12 @@
         asked_at = self.now
         watch = self.store.watch
 
-        async def late(*arguments: object) -> object:
+        async def answer_after_delay(*arguments: object) -> object:
             answer = await watch(*arguments)
             self.now += 0.3
             return answer
 
-        with mock.patch.object(self.store, "watch", late):
+        with mock.patch.object(self.store, "watch", answer_after_delay):
             await self.watcher._step(Revision(self.store.revision))
         self.assertEqual(asked_at, self.watcher.complete_until)
 
--- a/waxwingglade/ledger/tests/random_sets.py
+++ b/waxwingglade/ledger/tests/random_sets.py
@@ -116,7 +116,7 @@
         ]
         self.machines.loss = 0.0
         verified = self.draw.sample(self.kept, min(MAX_VERIFIED, len(self.kept)))
-        await asyncio.gather(*(self._verify_kept(name) for name in verified))
+        await asyncio.gather(*(self._verify_stored(name) for name in verified))
         for program, tokens in self.handed_out.items():
             if tokens > BUDGET:
                 self.violations.append(f"{program}: {tokens} tokens of {BUDGET}")
@@ -187,7 +187,7 @@
             self.in_progress[vm].discard(task)
         return None if task.cancelled() else task.result()
 
-    async def _verify_kept(self, name: TurnId) -> None:
+    async def _verify_stored(self, name: TurnId) -> None:
         """Verify that a stored turn can be continued through every replica."""
         for vm, coordinator in self.coordinators.items():
             async with asyncio.timeout(SETTLED_S):
--- a/waxwingglade/transport/tests/test_parser.py
+++ b/waxwingglade/transport/tests/test_parser.py
@@ -24,7 +24,7 @@
 CLOSING = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nhello"
 INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n" + WITH_LENGTH
 EMPTY = b"HTTP/1.1 204 No Content\r\n\r\n"
-OLD = b"HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello"
+HTTP_1_0 = b"HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello"
 
 Complete = tuple[int, bytes, ResponseEnd]
 
@@ -67,7 +67,7 @@
     def test_a_response_that_ends_before_its_connection(self, data: bytes, at: list[int]) -> None:
         self.assertEqual(read(data, at, False), ([(200, b"hello", ResponseEnd.KEEP_ALIVE)], ""))
 
-    @given(st.sampled_from((CLOSING, OLD)), split_points)
+    @given(st.sampled_from((CLOSING, HTTP_1_0)), split_points)
     def test_the_last_response_of_a_connection(self, data: bytes, at: list[int]) -> None:
         self.assertEqual(read(data, at, False), ([(200, b"hello", ResponseEnd.CLOSING)], ""))
 
@@ -77,7 +77,7 @@
         complete, _ = read(WITHOUT_LENGTH, at, True)
         self.assertEqual(complete, [(200, b"hello", ResponseEnd.CLOSING)])
 
-    @given(st.sampled_from((WITH_LENGTH, CHUNKED, CLOSING, OLD)), st.data(), split_points)
+    @given(st.sampled_from((WITH_LENGTH, CHUNKED, CLOSING, HTTP_1_0)), st.data(), split_points)
     def test_a_truncated_response_is_not_complete(
         self, data: bytes, draw: st.DataObject, at: list[int]
     ) -> None:
--- a/waxwingglade/version/tests/test_property.py
+++ b/waxwingglade/version/tests/test_property.py
@@ -39,12 +39,12 @@
 EXAMPLES = int(os.environ.get("CONFIG_EXAMPLES", "400"))
 PAUSE_ITERATIONS = 3
 
-TWO = [{"name": "two", "settings": ["queue_limit", "rules"], "approvals": 2}]
+TWO_APPROVALS = [{"name": "two", "settings": ["queue_limit", "rules"], "approvals": 2}]
 CHANGES = [
     set_value(1),
     set_value(2),
     set_value(5.0, "weight"),
-    set_value(TWO, "rules", "approval"),
+    set_value(TWO_APPROVALS, "rules", "approval"),
     set_value([], "rules", "approval"),
     set_value("approver", "pekka", "operators"),
     set_value(None, "helmi", "operators"),
--- a/waxwingglade/version/tests/test_service.py
+++ b/waxwingglade/version/tests/test_service.py
@@ -251,8 +251,8 @@
         for _ in range(2):
             withdrawn = (await self.service.withdraw(ProposalId("p1"), PEKKA)).unwrap()
             self.assertEqual(withdrawn.state, ProposalState.WITHDRAWN)
-        late = await self.service.approve(ProposalId("p1"), EERO, digest_of(withdrawn.text))
-        self.assertEqual(late.err_value.code, ErrorCode.CONFLICT)
+        approval = await self.service.approve(ProposalId("p1"), EERO, digest_of(withdrawn.text))
+        self.assertEqual(approval.err_value.code, ErrorCode.CONFLICT)
 
     async def test_proposals_and_approvals_are_idempotent_on_lost_answers(self):
         self.store.faults.append(Fault.ANSWER_LOST)
