--- a/waxwingglade/explain/__init__.py
+++ b/waxwingglade/explain/__init__.py
@@ -1,4 +1,4 @@
-"""From the id of a request to its cause, out of the log files of the daemons."""
+"""Find out from the log files of the daemons why a request ended as it did."""
 
 from waxwingglade.explain.cause import cause_of
 from waxwingglade.explain.ledger_cause import CauseKind, LedgerCause, ledger_causes
--- a/waxwingglade/explain/cause.py
+++ b/waxwingglade/explain/cause.py
@@ -1,4 +1,4 @@
-"""What the line of a request says of why it ended as it did, in a sentence."""
+"""Explain in a sentence why a request ended as it did, from the line that its entry logged."""
 
 from typing import Any
 
@@ -10,17 +10,17 @@
 
 
 class Cause(msgspec.Struct, frozen=True):
-    """A reason that entries log, and what it means.
+    """A reason that entries log, and its explanation.
 
     Parameters
     ----------
-    begins : str
+    prefix : str
         Beginning of the logged reason.
     meaning : str
-        What happened, and where to look.
+        What happened, and which other log lines to read.
     """
 
-    begins: str
+    prefix: str
     meaning: str
 
 
@@ -28,68 +28,71 @@
     Cause(
         "not run: the ledger did not decide",
         "too few ledger members were reached in time; see the ledgers' lines on this turn and the "
-        "losses around it",
+        "failures around it",
     ),
     Cause(
         "not run: the ledger has too much to do",
-        "the ledger processes asked had as many turns under way as they take",
+        "the ledger processes asked were already handling as many turns as they accept",
     ),
     Cause(
         "not run: the engines have all that they can do",
-        "by the loads that the entry believed no engine could begin the turn in time",
+        "by the entry's load estimates, no engine could begin the turn in time",
     ),
     Cause(
         "not run: the client account is over its limit",
-        "no ledger member that was asked had room left in its part of the account's limit; see "
+        "no ledger member that was asked had room left in its share of the account's limit; see "
         "'over the limit here' in the ledgers' lines around it",
     ),
     Cause(
         "not run: keys were confirmed",
-        "the entry had not heard of the store for longer than a key that was taken away, or one "
-        "that was added, may go unnoticed",
+        "the entry had not heard of the store for longer than the removal or the addition of a "
+        "key may go unnoticed",
     ),
     Cause(
         "not run: limits were confirmed",
-        "the ledger member asked had not heard of the store for so long that others may grant its "
-        "part of the limits",
+        "the ledger member asked had received nothing from the store for so long that other "
+        "members may grant its share of the limits",
     ),
     Cause("not run: no member granted", "no ledger member that counts limits answered in time"),
     Cause("no key", "the request named no key, or more than one, on a route that needs one"),
     Cause("unknown key", "no client account of the configuration in force holds the request's key"),
-    Cause("not run: the time of the request is over", "no target had taken it in its time"),
+    Cause("not run: the time of the request is over", "no target accepted it before its deadline"),
+    Cause("not run: no route for a turn that goes on", "the entry's configuration was outdated"),
+    Cause("not run: refused", "each target that was asked refused it as full"),
+    Cause("not run:", "no target could be reached; see the attempts"),
     Cause(
-        "not run: no route for a turn that goes on", "the entry's configuration was an older one"
+        "no configuration is known yet",
+        "the entry had just started and had not reached a source of the configuration",
     ),
-    Cause("not run: refused", "each target that was asked refused it as full"),
-    Cause("not run:", "no target could be reached, see the attempts"),
-    Cause("no configuration is known yet", "the entry had just started and reached no source"),
     Cause("no target", "no target of the service was registered and in use"),
     Cause("no route", "no route of the configuration in force has this host and path"),
-    Cause("no such turn", "a majority of the ledger's members did not have the turn before"),
-    Cause("the budget is spent", "what was used and reserved left no room for one more turn"),
+    Cause("no such turn", "a majority of the ledger's members did not have the previous turn"),
+    Cause("the budget is spent", "what was used and reserved left too little for another turn"),
     Cause(
         "the turn could not be kept",
-        "its stream was broken off, since the ledger did not say in time that the turn is kept",
+        "its stream was aborted because the ledger did not say in time that the turn is stored",
     ),
     Cause(
         "the turn's reservation was not confirmed",
-        "the ledger did not agree in time that its tokens are reserved, or had given them to "
-        "another turn of its program; it may have run, and its caller got no token",
+        "the ledger did not confirm in time that its tokens are reserved, or had given them to "
+        "another turn of its program; it may have run, and its caller received no token",
     ),
     Cause("the time of the request is over", "a target had it until its time was over"),
     Cause(
         "the target broke off", "a target, or the path to it, ended the connection; it may have run"
     ),
-    Cause("the target did not vouch", "the target's answer bore no signature, so it was kept back"),
-    Cause("the target answered", "the target's status would have told the caller something untrue"),
+    Cause(
+        "the target did not vouch", "the target's answer had no signature, so it was not passed on"
+    ),
+    Cause("the target answered", "the target's status would have misled the caller"),
     Cause("the caller has left", "the caller closed its connection first"),
     Cause("stopped", "the entry was stopped before the request had ended"),
 )
-"""The first that fits is taken."""
+"""Explanations of reasons; the first one whose prefix matches applies."""
 
 
 def cause_of(line: LogLine) -> str:
-    """Return in a sentence why a request ended as its line says.
+    """Return a sentence that explains the end of a request.
 
     Parameters
     ----------
@@ -98,7 +101,7 @@
     """
     reason = str(line.fields.get("reason", ""))
     for cause in CAUSES:
-        if reason.startswith(cause.begins):
+        if reason.startswith(cause.prefix):
             return cause.meaning
     status = line.fields.get("status", 0)
     if status in SUCCESS:
@@ -109,7 +112,7 @@
 
 
 def _is_answer(attempt: Any, status: int) -> bool:
-    """Return whether a sending ended with the status that the caller got."""
+    """Return whether an attempt ended with the status that the caller got."""
     return isinstance(attempt, dict) and attempt.get("status") == status
 
 
--- a/waxwingglade/explain/ledger_cause.py
+++ b/waxwingglade/explain/ledger_cause.py
@@ -1,4 +1,4 @@
-"""What a request waited for at the ledger: its program's account, a majority, or a process."""
+"""Find out what a request waited for at the ledger: its account, a majority, or a process."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -12,20 +12,20 @@
 from waxwingglade.explain.story import LOOP_DELAYED, Story
 
 LEDGER = "ledger"
-"""Kind of the ledger's processes."""
+"""Kind of process of the ledger's replicas."""
 
-HELD_UP_ANSWER = "kept, not settled"
-"""What a replica answers if a majority has a turn and its account is late."""
+ACCOUNT_PENDING_ANSWER = "kept, not settled"
+"""A replica's answer if a majority has stored a turn but its account change is not complete."""
 
-OUT_OF_TIME = "no majority in time"
-"""Reason of a change that was given up, which says nothing of the members."""
+TIMEOUT_REASON = "no majority in time"
+"""Reason of a change that was abandoned, which does not tell which members failed."""
 
 LATE_S = 0.1
-"""Seconds from which on copies, or an account after them, are named as what was waited for."""
+"""Least seconds for which copies, or an account change after them, are reported as a cause."""
 
 
 class CauseKind(Enum):
-    """What an answer of the ledger waited for."""
+    """Kind of thing that delayed an answer of the ledger."""
 
     ACCOUNT = "account"
     MAJORITY = "majority"
@@ -34,7 +34,7 @@
 
 
 class LedgerCause(msgspec.Struct, frozen=True):
-    """One thing that held up an answer of the ledger.
+    """One thing that delayed an answer of the ledger.
 
     Parameters
     ----------
@@ -51,15 +51,15 @@
 def ledger_causes(story: Story) -> list[LedgerCause]:
     """Return what a request waited for at the ledger, the strongest cause first.
 
-    What lines of its turn say comes before what merely happened at the same time, and a majority
-    that some process reached before one that another did not reach.  The list is empty if the
-    request did not wait for the ledger.  Where it ended since the ledger did not answer, only that
-    answer counts.
+    Causes that are logged for the turn itself come before events that merely happened at the same
+    time.  If one process reached a majority and another did not, the cause from the former comes
+    first.  The list is empty if the request did not wait for the ledger.  If the request ended
+    because the ledger did not answer the end of its turn, the turn's beginning is not considered.
 
     Parameters
     ----------
     story : Story
-        What the logs tell of the request.
+        Log lines about the request.
     """
     ends = waits_for(story, END)
     begins = [] if ended_by(story, END) else waits_for(story, BEGIN)
@@ -68,7 +68,7 @@
         return []
     causes = [*_causes_of_end(story, ends), *_causes_of_begin(story, begins)]
     causes += _stalled_processes(story, waits)
-    return causes or [_nothing_tells(waits)]
+    return causes or [_unknown_cause(waits)]
 
 
 # The end of a turn
@@ -79,38 +79,38 @@
         return []
     end = max(wait.end for wait in waits)
     slow = _lines(story, "turn slow to end")
-    copied = [line for line in slow if _was_copied(line) and _asked_at(line) <= end]
-    kept = [line for line in copied if line.fields.get("kept")]
+    copied = [line for line in slow if _was_stored_by_copies(line) and _asked_at(line) <= end]
+    stored = [line for line in copied if line.fields.get("kept")]
     failed = [line for line in copied if not line.fields.get("kept")]
     refused = _lines(story, "turn not kept")
-    causes = [*_late_accounts(story, waits, kept), *_late_copies(kept)]
+    causes = [*_late_accounts(story, waits, stored), *_late_copies(stored)]
     if refused or failed:
         subject = "no majority kept it"
-        if kept or causes:
+        if stored or causes:
             sources = dict.fromkeys(line.source for line in refused or failed)
             subject = f"{', '.join(sources)} reached no majority to keep it"
         causes.append(LedgerCause(CauseKind.MAJORITY, _without_majority(subject, refused)))
     return causes
 
 
-def _was_copied(line: LogLine) -> bool:
-    """Return whether a turn was to be kept: a settlement alone takes no time for copies."""
+def _was_stored_by_copies(line: LogLine) -> bool:
+    """Return whether copies of a turn were stored; they take no time if only its budget changes."""
     return line.fields.get("kept_s", 0.0) > 0
 
 
 def _asked_at(line: LogLine) -> float:
-    """Return when a ledger process began to end a turn; one that was stopped does so too late."""
+    """Return when a ledger process began to end a turn, which is late after a stall."""
     return line.time - max(line.fields["kept_s"], line.fields.get("settled_s", 0.0))
 
 
-def _kept_at(line: LogLine) -> float:
+def _stored_at(line: LogLine) -> float:
     return _asked_at(line) + line.fields["kept_s"]
 
 
-def _late_accounts(story: Story, waits: list[Wait], kept: list[LogLine]) -> list[LedgerCause]:
-    """Return whether a majority kept a turn while its program's account was late."""
+def _late_accounts(story: Story, waits: list[Wait], stored: list[LogLine]) -> list[LedgerCause]:
+    """Return the account as the cause if a majority had stored the turn before it."""
     end = max(wait.end for wait in waits)
-    in_time = [line for line in kept if _kept_at(line) <= end]
+    in_time = [line for line in stored if _stored_at(line) <= end]
     late = [line for line in in_time if _after_copies_s(line) >= LATE_S]
     others = _other_changes(story, waits, late)
     if late:
@@ -121,25 +121,25 @@
             f"for {settled_s:g} s, beside {others}"
         )
         return [LedgerCause(CauseKind.ACCOUNT, text)]
-    if any(_was_held_up(asked) for wait in waits for asked in wait.asked):
+    if any(_was_account_delayed(asked) for wait in waits for asked in wait.asked):
         text = f"a majority kept it; its program's account held up the answer, beside {others}"
         return [LedgerCause(CauseKind.ACCOUNT, text)]
     return []
 
 
 def _after_copies_s(line: LogLine) -> float:
-    """Return how much longer the account of a turn's program took than its copies."""
+    """Return the seconds from storing a turn's copies to changing its program's account."""
     return line.fields.get("settled_s", 0.0) - line.fields["kept_s"]
 
 
-def _was_held_up(asked: dict[str, Any]) -> bool:
-    """Return whether a replica was long in saying that a turn is kept and not settled."""
-    return asked.get("answer") == HELD_UP_ANSWER and asked.get("seconds", 0.0) >= LATE_S
+def _was_account_delayed(asked: dict[str, Any]) -> bool:
+    """Return whether a replica answered late that a turn is stored and its account is pending."""
+    return asked.get("answer") == ACCOUNT_PENDING_ANSWER and asked.get("seconds", 0.0) >= LATE_S
 
 
-def _late_copies(kept: list[LogLine]) -> list[LedgerCause]:
-    """Return whether copies came to a majority late."""
-    seconds = [line.fields["kept_s"] for line in kept]
+def _late_copies(stored: list[LogLine]) -> list[LedgerCause]:
+    """Return the majority as the cause if its copies were stored late."""
+    seconds = [line.fields["kept_s"] for line in stored]
     if not seconds or min(seconds) < LATE_S:
         return []
     return [LedgerCause(CauseKind.MAJORITY, f"a majority kept it only after {min(seconds):g} s")]
@@ -152,22 +152,22 @@
     if not waits:
         return []
     refused = _lines(story, "turn not begun")
-    telling = [line for line in refused if _tells_of_members(line)]
-    if telling:
-        text = _without_majority("no majority let it begin", telling)
+    informative = [line for line in refused if _concerns_members(line)]
+    if informative:
+        text = _without_majority("no majority let it begin", informative)
         return [LedgerCause(CauseKind.MAJORITY, text)]
-    if not _held_up(story, waits):
+    if not _delayed_changes(story, waits):
         return []
     others = _other_changes(story, waits, refused)
     text = f"its program's account was held up when it was to begin, beside {others}"
     return [LedgerCause(CauseKind.ACCOUNT, text)]
 
 
-def _tells_of_members(line: LogLine) -> bool:
-    return bool(line.fields.get("silent")) or not line.names("reason", OUT_OF_TIME)
+def _concerns_members(line: LogLine) -> bool:
+    return bool(line.fields.get("silent")) or not line.has_value("reason", TIMEOUT_REASON)
 
 
-# Both
+# Common to both
 
 
 def _lines(story: Story, event: str) -> list[LogLine]:
@@ -175,15 +175,18 @@
 
 
 def _without_majority(subject: str, refused: list[LogLine]) -> str:
-    """Return who was silent, those that most processes name first, and who was joining."""
+    """Return the subject with the members that did not answer and those that were joining.
+
+    Members that more processes name come first.
+    """
     text = subject
-    if silent := _named(refused, "silent"):
-        text += f": no answer from {', '.join(silent)}"
+    if unresponsive := _named(refused, "silent"):
+        text += f": no answer from {', '.join(unresponsive)}"
     elif reasons := dict.fromkeys(str(line.fields.get("reason", "")) for line in refused):
         text += f": {', '.join(reasons)}"
-    # A settled set of members still names the one that was added to it last.
-    unsettled = [line for line in refused if line.fields.get("settled") is False]
-    if joining := _named(unsettled, "joining"):
+    # A committed set of members still names the member that was added last.
+    uncommitted = [line for line in refused if line.fields.get("settled") is False]
+    if joining := _named(uncommitted, "joining"):
         text += f"; joining: {', '.join(joining)}"
     return text
 
@@ -193,21 +196,21 @@
     return sorted(counts, key=lambda name: (-counts[name], name))
 
 
-def _held_up(story: Story, waits: list[Wait]) -> list[LogLine]:
-    """Return the changes of a program's account that were held up during a wait."""
+def _delayed_changes(story: Story, waits: list[Wait]) -> list[LogLine]:
+    """Return the changes of a program's account that were delayed during a wait."""
     return [line for line in story.account if any(wait.overlaps(line) for wait in waits)]
 
 
 def _other_changes(story: Story, waits: list[Wait], own: list[LogLine]) -> str:
-    """Return how many changes were held up, without those that lines of the turn itself tell of."""
+    """Return in words how many delayed changes the turn's own lines don't report."""
     own_sources = Counter(line.source for line in own)
-    all_sources = Counter(line.source for line in _held_up(story, waits))
+    all_sources = Counter(line.source for line in _delayed_changes(story, waits))
     others = (all_sources - own_sources).total()
     return f"{others or 'no'} other change{'' if others == 1 else 's'}"
 
 
 def _stalled_processes(story: Story, waits: list[Wait]) -> list[LedgerCause]:
-    """Return which of the processes that a wait is about stood still during it."""
+    """Return the processes involved in a wait that were stalled during it."""
     entries = {wait.source for wait in waits}
     longest: dict[str, float] = {}
     for line in story.around:
@@ -223,7 +226,7 @@
     return [LedgerCause(CauseKind.PROCESS, text)]
 
 
-def _nothing_tells(waits: list[Wait]) -> LedgerCause:
+def _unknown_cause(waits: list[Wait]) -> LedgerCause:
     asked = [
         f"{each.get('replica')} ({each.get('answer')})" for wait in waits for each in wait.asked
     ]
--- a/waxwingglade/explain/ledger_wait.py
+++ b/waxwingglade/explain/ledger_wait.py
@@ -1,4 +1,4 @@
-"""When a request waited for the ledger."""
+"""Find out when a request waited for the ledger."""
 
 from typing import Any
 
@@ -8,26 +8,26 @@
 from waxwingglade.explain.story import SLOW_ANSWER, Story
 
 BEGIN, END = "BeginTurn", "EndTurn"
-"""What an entry asks the ledger while a caller waits."""
+"""Messages that an entry sends to the ledger while a caller waits."""
 
 REASONS = {
     BEGIN: "not run: the ledger did not decide",
     END: "the turn could not be kept",
 }
-"""Beginnings of the reasons of requests that waited in vain."""
+"""Prefixes of the logged reasons of requests whose message got no answer in time."""
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """A time in which an entry waited for the ledger while its caller waited.
+    """A time span in which an entry waited for the ledger while its caller waited.
 
     Parameters
     ----------
     begin, end : float
-        The time, in seconds since 1970.
+        Limits of the span, in seconds since 1970.
     source : str
-        Log of the entry.
+        Log file of the entry.
     asked : list of dict
-        The askings of replicas.
+        Requests to replicas during the span, as logged by the entry.
     """
 
     begin: float
@@ -36,25 +36,25 @@
     asked: list[dict[str, Any]]
 
     def overlaps(self, line: LogLine) -> bool:
-        """Return whether what a line tells of went on during this time."""
+        """Return whether the event of a line overlaps this span."""
         return self.begin <= line.time and line.began_at <= self.end
 
 
 def waits_for(story: Story, message: str) -> list[Wait]:
     """Return when a request waited for the ledger's answer to one kind of message.
 
-    An entry also settles turns after their requests have ended, and nobody waits for that.
+    An entry also commits turns after their requests have ended; no caller waits for that.
 
     Parameters
     ----------
     story : Story
-        What the logs tell of the request.
+        Log lines about the request.
     message : str
         The kind of message, `BEGIN` or `END`.
     """
     waits = []
     for line in story.turn:
-        if line.event != SLOW_ANSWER or not line.names("request", message):
+        if line.event != SLOW_ANSWER or not line.has_value("request", message):
             continue
         if _ended_before(line, story.own):
             waits.append(Wait(line.began_at, line.time, line.source, line.fields.get("asked", [])))
@@ -68,12 +68,12 @@
 
 
 def ended_by(story: Story, message: str) -> bool:
-    """Return whether a request ended since the ledger did not answer one kind of message.
+    """Return whether a request ended because the ledger did not answer one kind of message.
 
     Parameters
     ----------
     story : Story
-        What the logs tell of the request.
+        Log lines about the request.
     message : str
         The kind of message, `BEGIN` or `END`.
     """
@@ -85,7 +85,7 @@
 
 
 def _ended_before(line: LogLine, own: list[LogLine]) -> bool:
-    """Return whether an entry wrote a line before the request's own, if that is in the logs."""
+    """Return whether an entry logged a line before the request's end, if that end is logged."""
     if not own:
         return True
     return any(each.source == line.source and line.time <= each.time for each in own)
--- a/waxwingglade/explain/lines.py
+++ b/waxwingglade/explain/lines.py
@@ -1,4 +1,4 @@
-"""Read the lines that daemons log."""
+"""Read the log files of daemons."""
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 from waxwingglade.base import FormatError
 
-FIXED = ("time", "level", "process", "event")
+COMMON_FIELDS = ("time", "level", "process", "event")
 """Fields that every line has."""
 
 _decode = msgspec.json.Decoder(dict[str, Any]).decode
@@ -22,13 +22,13 @@
     time : float
         When it was written, in seconds since 1970.
     source : str
-        File that it stands in, with its folder, which tells apart processes of one kind.
+        Log file with its parent folder, which distinguishes processes of the same kind.
     process : str
         Kind of process.
     event : str
-        What it says.
+        Name of the logged event.
     fields : dict
-        What it says it of.
+        All other fields of the line.
     """
 
     time: float
@@ -39,22 +39,22 @@
 
     @property
     def seconds(self) -> float:
-        """For how long what it says had lasted; zero where it does not say."""
+        """Duration of the event in seconds; zero if the line has none."""
         seconds = self.fields.get("seconds")
         return float(seconds) if isinstance(seconds, int | float) else 0.0
 
     @property
     def began_at(self) -> float:
-        """When what it says began."""
+        """Time at which the event began, in seconds since 1970."""
         return self.time - self.seconds
 
-    def names(self, field: str, value: str) -> bool:
-        """Return whether a field has a value."""
+    def has_value(self, field: str, value: str) -> bool:
+        """Return whether a field has the given value."""
         return self.fields.get(field) == value
 
 
 def read_files(paths: Iterable[Path]) -> Iterator[LogLine]:
-    """Yield the lines of log files; what is no line of a daemon is passed over.
+    """Yield the lines of log files; anything that is not a daemon's log line is skipped.
 
     Raises
     ------
@@ -77,7 +77,7 @@
 
 
 def _read_line(text: bytes, source: str) -> LogLine | None:
-    """Return a line, or None if it is none of a daemon's, such as a traceback's."""
+    """Return a log line, or None for other text, such as a line of a traceback."""
     try:
         fields = _decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -85,7 +85,7 @@
     time, event = fields.get("time"), fields.get("event")
     if not isinstance(time, int | float) or not isinstance(event, str):
         return None
-    rest = {name: value for name, value in fields.items() if name not in FIXED}
+    rest = {name: value for name, value in fields.items() if name not in COMMON_FIELDS}
     return LogLine(float(time), source, str(fields.get("process", "")), event, rest)
 
 
--- a/waxwingglade/explain/story.py
+++ b/waxwingglade/explain/story.py
@@ -1,4 +1,4 @@
-"""Gather what logs tell of one request: its own lines, its turn's, and what was lost around it."""
+"""Collect the log lines about one request: its own, its turn's, and failures around that time."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -11,19 +11,19 @@
 """Event of the line that an entry writes when a request has ended."""
 
 SLOW_ANSWER = "ledger slow to answer"
-"""Event of the line in which an entry tells whom it asked of the ledger."""
+"""Event of the line in which an entry lists the ledger replicas that it asked."""
 
-HELD_UP = "account held up"
-"""Event of a late change of a program's account, which names no turn."""
+ACCOUNT_DELAYED = "account held up"
+"""Event of a delayed change of a program's account; the line names no turn."""
 
 LOOP_DELAYED = "event loop delayed"
-"""Event of a process that stood still."""
+"""Event of a process that was stalled."""
 
 BEFORE_S = 5.0
-"""Seconds before a request in which a loss can be its cause: half a second until a loss is noticed,
-and the three seconds after which all has to work again."""
+"""Seconds before a request in which a failure can be its cause.  A failure is noticed within half a
+second, and everything must work again three seconds after it."""
 
-SURROUNDINGS = frozenset(
+CONTEXT_EVENTS = frozenset(
     {
         "change of members",
         "configuration in force",
@@ -45,26 +45,26 @@
         "target started again",
     }
 )
-"""Events that change what processes can do or believe."""
+"""Events that change what processes can reach or which state they have cached."""
 
 Lines = Callable[[], Iterable[LogLine]]
 
 
 class Story(msgspec.Struct, frozen=True):
-    """What the logs tell of a request, each list in order of time.
+    """The log lines about a request, each list in order of time.
 
     Parameters
     ----------
     own : list of LogLine
-        Lines of its end; more than one where the same id came to several entries.
+        Lines of its end; several if several entries received the same id.
     turn : list of LogLine
         Lines of other processes that name it as a turn.
     program : list of LogLine
-        Ends of the other requests of its program that did not end well.
+        Ends of the other requests of its program that failed.
     around : list of LogLine
-        Losses and changes shortly before it and during it.
+        Failures and changes of state shortly before and during the request.
     account : list of LogLine
-        Changes of its program's account that were held up during it.
+        Changes of its program's account that were delayed during the request.
     """
 
     own: list[LogLine]
@@ -75,21 +75,21 @@
 
 
 def tell(request: str, lines: Lines) -> Story:
-    """Return what logs tell of a request.
+    """Return the log lines about a request.
 
     Parameters
     ----------
     request : str
         Its id.
     lines : callable
-        Returns the lines of all logs; it is called twice, so that logs need not fit into memory.
+        Returns the lines of all logs.  It is called twice, so that logs need not fit into memory.
     """
     own: list[LogLine] = []
     turn: list[LogLine] = []
     for line in lines():
-        if line.event == REQUEST and line.names("request", request):
+        if line.event == REQUEST and line.has_value("request", request):
             own.append(line)
-        elif line.names("turn", request) or line.names("previous", request):
+        elif line.has_value("turn", request) or line.has_value("previous", request):
             turn.append(line)
     during = [(line.began_at, line.time) for line in own]
     spans = [(began_at - BEFORE_S, ended_at) for began_at, ended_at in during]
@@ -98,26 +98,30 @@
     around: list[LogLine] = []
     account: list[LogLine] = []
     for line in lines():
-        if line.event in SURROUNDINGS and _is_within(line, spans):
+        if line.event in CONTEXT_EVENTS and _is_within(line, spans):
             around.append(line)
-        if line.event == HELD_UP and _is_of(line, programs) and _is_within(line, during):
+        if (
+            line.event == ACCOUNT_DELAYED
+            and _belongs_to(line, programs)
+            and _is_within(line, during)
+        ):
             account.append(line)
-        if _is_of(line, programs) and _failed(line) and line not in own:
+        if _belongs_to(line, programs) and _failed(line) and line not in own:
             program.append(line)
     return Story(*(sorted(each, key=_time) for each in (own, turn, program, around, account)))
 
 
 def _is_within(line: LogLine, spans: list[tuple[float, float]]) -> bool:
-    """Return whether what a line says falls into one of some times, if only in part."""
+    """Return whether the event of a line overlaps one of the time spans."""
     return any(begin <= line.time and line.began_at <= end for begin, end in spans)
 
 
-def _is_of(line: LogLine, programs: set[Any]) -> bool:
+def _belongs_to(line: LogLine, programs: set[Any]) -> bool:
     return line.fields.get("program") in programs
 
 
 def _failed(line: LogLine) -> bool:
-    """Return whether a line is that of a request which did not end well."""
+    """Return whether a line is the end of a request that failed."""
     if line.event != REQUEST:
         return False
     return line.fields.get("status", 0) >= 400 or "reason" in line.fields
--- a/waxwingglade/explain/tests/builders.py
+++ b/waxwingglade/explain/tests/builders.py
@@ -1,4 +1,4 @@
-"""Log lines as daemons write them."""
+"""Build log lines as daemons write them."""
 
 import json
 from pathlib import Path
@@ -19,8 +19,8 @@
     return line(time, "request", request=request, status=status, **fields)
 
 
-def asking(replica: str, answer: str, seconds: float = 0.4) -> dict[str, Any]:
-    """Return one asking of a replica, as an entry logs it."""
+def replica_request(replica: str, answer: str, seconds: float = 0.4) -> dict[str, Any]:
+    """Return one request to a replica, as an entry logs it."""
     return {"replica": replica, "after_s": 0.0, "seconds": seconds, "answer": answer}
 
 
@@ -40,13 +40,13 @@
     return line(time, "turn slow to end", LEDGER, turn=turn, **fields)
 
 
-def held_up(time: float, program: str, seconds: float) -> str:
-    """Return the line of a ledger process whose change of an account was late."""
+def delayed_change(time: float, program: str, seconds: float) -> str:
+    """Return the line of a ledger process whose account change was delayed."""
     fields = {"program": program, "seconds": seconds, "waited_s": 0.0, "overtaken": 3}
     return line(time, "account held up", LEDGER, **fields)
 
 
-def refused(time: float, event: str, turn: str, reason: str, **fields: Any) -> str:
+def majority_failure(time: float, event: str, turn: str, reason: str, **fields: Any) -> str:
     """Return the line of a ledger process that reached no majority for a turn."""
     fields = {"silent": [], "joining": [], **fields}
     return line(time, event, LEDGER, turn=turn, reason=reason, **fields)
--- a/waxwingglade/explain/tests/test_explain.py
+++ b/waxwingglade/explain/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause."""
+"""Test that the logs of daemons explain the end of a request."""
 
 import tempfile
 import unittest
@@ -14,13 +14,13 @@
 
 
 class Logs(unittest.TestCase):
-    """Logs of an entry and a ledger process around a turn that was refused."""
+    """Logs of an entry and a ledger process about a turn that was refused."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
-        sending = {"target": "i-1", "load": 3.5, "verdict": "not_run", "reason": "refused"}
+        attempt = {"target": "i-1", "load": 3.5, "verdict": "not_run", "reason": "refused"}
         self.entry = write_log(
             self.folder,
             "entry.log",
@@ -30,7 +30,7 @@
             line(99.8, "ledger quorum lost", ready=False),
             "Traceback (most recent call last):",
             request_line(100.0, "r2", 503, UNDECIDED, program="p1", seconds=0.1),
-            request_line(100.2, "r3", 503, "not run: refused", attempts=[sending]),
+            request_line(100.2, "r3", 503, "not run: refused", attempts=[attempt]),
             line(101.0, "ledger quorum regained", ready=True),
         )
         self.ledger = write_log(
@@ -45,7 +45,7 @@
 
 
 class Stories(Logs):
-    def test_a_story_has_the_request_its_turn_its_program_and_what_was_lost(self) -> None:
+    def test_a_story_has_the_request_its_turn_its_program_and_the_failures(self) -> None:
         story = tell("r2", self.read)
         self.assertEqual([503], [each.fields["status"] for each in story.own])
         self.assertEqual(
@@ -55,11 +55,11 @@
         self.assertEqual(["r0"], [each.fields["request"] for each in story.program])
         self.assertEqual([99.8], [each.time for each in story.around])
 
-    def test_a_file_that_is_not_there_is_one_clear_error(self) -> None:
+    def test_a_missing_file_is_a_format_error(self) -> None:
         with self.assertRaisesRegex(FormatError, "missing.log: No such file"):
             list(read_files([Path(self.folder) / "missing.log"]))
 
-    def test_bytes_that_are_no_line_are_passed_over(self) -> None:
+    def test_text_that_is_not_a_log_line_is_skipped(self) -> None:
         path = Path(self.folder) / "odd.log"
         path.write_bytes(b'\xff\xfe\n[1]\n{"time":"x","event":"e"}\n{"time":1}\n\n')
         self.assertEqual([], list(read_files([path])))
@@ -70,7 +70,7 @@
         (own,) = tell(request, self.read).own
         return cause_of(own)
 
-    def test_each_end_has_its_cause(self) -> None:
+    def test_each_outcome_has_its_cause(self) -> None:
         for request, cause in (
             ("r0", "ended the connection; it may have run"),
             ("r1", "it was served"),
@@ -80,12 +80,12 @@
             with self.subTest(request):
                 self.assertIn(cause, self.cause(request))
 
-    def test_an_error_of_the_target_is_the_target_s(self) -> None:
-        sending = {"target": "i-1", "status": 500, "verdict": "ran"}
-        self.entry.write_text(request_line(1.0, "r5", 500, attempts=[sending]))
+    def test_an_error_of_the_target_is_attributed_to_it(self) -> None:
+        attempt = {"target": "i-1", "status": 500, "verdict": "ran"}
+        self.entry.write_text(request_line(1.0, "r5", 500, attempts=[attempt]))
         self.assertEqual("the target itself answered 500", self.cause("r5"))
 
-    def test_a_reason_without_a_meaning_is_told_as_it_is(self) -> None:
+    def test_a_reason_without_an_explanation_is_returned_unchanged(self) -> None:
         self.entry.write_text(request_line(1.0, "r6", 500, "internal error"))
         self.assertEqual("internal error", self.cause("r6"))
 
@@ -94,16 +94,16 @@
     def run_explain(self, request: str, *options: str):
         return run_process("explain", request, str(self.entry), str(self.ledger), *options)
 
-    def test_it_tells_the_cause_and_what_stands_around_it(self) -> None:
+    def test_output_has_the_cause_and_its_context(self) -> None:
         result = self.run_explain("r2")
         self.assertEqual(ExitStatus.OK, result.status, result.errors)
         for shown in ("too few ledger members", "1970-01-01 00:01:40.000", "turn not begun", "r0"):
             self.assertIn(shown, result.output)
 
-    def test_it_shows_each_sending(self) -> None:
+    def test_output_has_each_attempt(self) -> None:
         self.assertRegex(self.run_explain("r3").output, r"i-1 +3\.5 .*not_run.*refused")
 
-    def test_programs_get_json(self) -> None:
+    def test_json_output_has_the_story(self) -> None:
         story = self.run_explain("r2", "--json").json()
         self.assertEqual("r2", story["own"][0]["fields"]["request"])
 
@@ -112,7 +112,7 @@
         self.assertEqual(ExitStatus.NOT_FOUND, result.status)
         self.assertRegex(result.errors, "^error: no line of these logs names r77")
 
-    def test_a_missing_file_is_a_wrong_argument(self) -> None:
+    def test_a_missing_file_is_a_usage_error(self) -> None:
         result = run_process("explain", "r2", str(Path(self.folder) / "missing.log"))
         self.assertEqual(ExitStatus.USAGE, result.status)
         self.assertEqual(1, len(result.errors.strip().splitlines()))
