--- a/tests/prove/recording.py
+++ b/tests/prove/recording.py
@@ -26,9 +26,9 @@
 from waxwingglade.proof.history import (
     Answer,
     Answered,
-    Broken,
-    BrokenCause,
     History,
+    NoAnswer,
+    NoAnswerCause,
     Request,
     Submitted,
     TextReceived,
@@ -96,7 +96,7 @@
             return _event.decode(body)
         except msgspec.DecodeError as error:
             shown = body[:200].decode("utf-8", "replace")
-            return Broken(BrokenCause.CUT, f"{response.code} {shown!r}: {error}")
+            return NoAnswer(NoAnswerCause.CUT, f"{response.code} {shown!r}: {error}")
 
 
 class _Events:
@@ -127,13 +127,13 @@
             self.answer = event
 
 
-def _broken(error: Exception) -> Broken:
+def _broken(error: Exception) -> NoAnswer:
     text = f"{type(error).__name__}: {error}"
     if isinstance(error, ConnectionRefusedError):
-        return Broken(BrokenCause.REFUSED, text)
+        return NoAnswer(NoAnswerCause.REFUSED, text)
     if isinstance(error, HTTPTimeoutError | asyncio.TimeoutError):
-        return Broken(BrokenCause.TIMEOUT, text)
-    return Broken(BrokenCause.CUT, text)
+        return NoAnswer(NoAnswerCause.TIMEOUT, text)
+    return NoAnswer(NoAnswerCause.CUT, text)
 
 
 def _http_request(url: str, request: Request) -> HTTPRequest:
--- a/tests/prove/workload.py
+++ b/tests/prove/workload.py
@@ -34,7 +34,7 @@
     SubProgramCall,
     ToolCall,
 )
-from waxwingglade.proof.history import Answer, Broken
+from waxwingglade.proof.history import Answer, NoAnswer
 from waxwingglade.settings import Budget
 
 LONGEST_PAUSE_S = 0.5
@@ -205,7 +205,7 @@
 
         def final(answer: Answer) -> bool:
             nonlocal unknown
-            if isinstance(answer, Broken):
+            if isinstance(answer, NoAnswer):
                 return self.over
             if not isinstance(answer, Failure):
                 return True
--- a/waxwingglade/proof/check_drain.py
+++ b/waxwingglade/proof/check_drain.py
@@ -9,12 +9,12 @@
 
 from waxwingglade.base import EntryId, ErrorCode, Failure, ProgramId
 from waxwingglade.proof.history import (
-    Broken,
-    BrokenCause,
     DrainEnded,
     DrainStarted,
     EntryDown,
     History,
+    NoAnswer,
+    NoAnswerCause,
 )
 from waxwingglade.proof.index import Exchange, end_requests, ended_at, exchanges, last_views
 from waxwingglade.proof.violation import Point, Violation
@@ -92,8 +92,8 @@
 
 def _is_cut(each: Exchange, leaving: EntryId, breaks: dict[ProgramId, list[Span]]) -> bool:
     answer = each.answer
-    if isinstance(answer, Broken):
-        return answer.cause is BrokenCause.CUT and each.submitted.entry == leaving
+    if isinstance(answer, NoAnswer):
+        return answer.cause is NoAnswerCause.CUT and each.submitted.entry == leaving
     if not isinstance(answer, Failure) or answer.code is not ErrorCode.CANCELLED:
         return False
     # Whichever entry the caller asked, the call may have run on the leaving one.  Only a program
--- a/waxwingglade/proof/history.py
+++ b/waxwingglade/proof/history.py
@@ -23,7 +23,7 @@
 FORMAT_VERSION = 1
 
 
-class BrokenCause(Enum):
+class NoAnswerCause(Enum):
     """Why a caller got no answer to a request."""
 
     REFUSED = "refused"
@@ -31,18 +31,18 @@
     TIMEOUT = "timeout"
 
 
-class Broken(msgspec.Struct, frozen=True, tag="broken"):
+class NoAnswer(msgspec.Struct, frozen=True, tag="broken"):
     """No answer, or only a part of one, reached the caller.
 
     REFUSED says that no connection was made; CUT that one ended before the answer was whole.
     """
 
-    cause: BrokenCause
+    cause: NoAnswerCause
     message: str = ""
 
 
 Request = CreateProgram | SubmitCall | FollowCall | ReadProgram | EndProgram
-Answer = ProgramView | Done | Failure | Broken
+Answer = ProgramView | Done | Failure | NoAnswer
 
 
 class Submitted(msgspec.Struct, frozen=True, tag="submitted"):
--- a/waxwingglade/proof/tests/test_checks.py
+++ b/waxwingglade/proof/tests/test_checks.py
@@ -12,13 +12,13 @@
 from waxwingglade.proof import CHECKS, Point, check_all, load_history
 from waxwingglade.proof.history import (
     Answered,
-    Broken,
-    BrokenCause,
     CacheReported,
     ConfigInForce,
     DrainEnded,
     EffectSeen,
     GenerationSeen,
+    NoAnswer,
+    NoAnswerCause,
     TargetLeaving,
     TextReceived,
 )
@@ -162,7 +162,7 @@
 
     def test_answers_that_never_came(self):
         history = good_history()
-        broken = Broken(BrokenCause.TIMEOUT)
+        broken = NoAnswer(NoAnswerCause.TIMEOUT)
         change(history, Answered, is_last_view_of(SECOND), answer=broken)
         self.assert_found(Point.ANSWERS, history)
 
@@ -188,7 +188,7 @@
 
     def test_a_request_cut_off_by_a_drain(self):
         for answer in (
-            Broken(BrokenCause.CUT),
+            NoAnswer(NoAnswerCause.CUT),
             Failure(Verdict.MAY_HAVE_RUN, ErrorCode.CANCELLED, "cut short"),
         ):
             run = good_run()
