--- a/tests/prove/__main__.py
+++ b/tests/prove/__main__.py
@@ -20,7 +20,7 @@
     Event,
     FaultSeen,
     GenerationSeen,
-    Settled,
+    Quiesced,
     Submitted,
 )
 
@@ -114,7 +114,7 @@
         named = subject in str(getattr(event, "program", "")) or subject == getattr(
             event, "entry", ""
         )
-        if about or named or isinstance(event, FaultSeen | Settled):
+        if about or named or isinstance(event, FaultSeen | Quiesced):
             print(f"{event.at - start:9.3f} {event}")
 
 
--- a/tests/prove/run.py
+++ b/tests/prove/run.py
@@ -20,7 +20,7 @@
 from waxwingglade.base import EntryId, ProgramId, monotonic
 from waxwingglade.connection.peer_messages import ProgramView, ReadProgram
 from waxwingglade.proof import History, Violation, check_all
-from waxwingglade.proof.history import EntryUp, Settled
+from waxwingglade.proof.history import EntryUp, Quiesced
 from waxwingglade.proof.index import ended_at
 
 ZONES = ("helsinki-1", "helsinki-2", "helsinki-3", "helsinki-1")
@@ -166,7 +166,7 @@
             await asyncio.wait([working], timeout=REPORT_S)
             logger.info("seed {}: still waiting: {}", history.seed, workload.waiting)
         operating.cancel()
-        history.record(Settled(monotonic()))
+        history.record(Quiesced(monotonic()))
         stuck += workload.given_up
         await _last_looks(cluster, caller, workload, history, shape.last_look_s)
         await asyncio.to_thread(collect, cluster, history)
--- a/waxwingglade/proof/check_answers.py
+++ b/waxwingglade/proof/check_answers.py
@@ -19,7 +19,7 @@
     call_exchanges,
     exchanges,
     last_views,
-    settled_at,
+    quiesced_at,
 )
 from waxwingglade.proof.violation import Point, Violation
 from waxwingglade.standins import engine_text
@@ -132,7 +132,7 @@
 
 def _unanswered(history: History) -> list[Violation]:
     """Return the requests made once all faults were over that got no answer."""
-    end = settled_at(history)
+    end = quiesced_at(history)
     return [
         Violation(Point.ANSWERS, _subject(each), f"no answer: {each.answer}", [each.submitted])
         for each in exchanges(history)
--- a/waxwingglade/proof/check_history.py
+++ b/waxwingglade/proof/check_history.py
@@ -16,7 +16,7 @@
     done_at,
     exchanges,
     last_views,
-    settled_at,
+    quiesced_at,
     views,
 )
 from waxwingglade.proof.turns import Reading, Turn, read_turns
@@ -49,7 +49,7 @@
 
 def _unreadable(history: History) -> list[Violation]:
     """Return the programs that nobody could be shown any more once all faults were over."""
-    end = settled_at(history)
+    end = quiesced_at(history)
     asked: dict[ProgramId, list[Exchange]] = {}
     for each in exchanges(history):
         if isinstance(each.submitted.request, ReadProgram) and each.submitted.at >= end:
--- a/waxwingglade/proof/check_release.py
+++ b/waxwingglade/proof/check_release.py
@@ -2,7 +2,7 @@
 
 from waxwingglade.base import TargetId
 from waxwingglade.proof.history import CacheReported, History
-from waxwingglade.proof.index import ended_at, settled_at
+from waxwingglade.proof.index import ended_at, quiesced_at
 from waxwingglade.proof.violation import Point, Violation
 
 
@@ -10,7 +10,7 @@
     """Return the ended programs that an engine still held memory for, at the last look."""
     last: dict[TargetId, CacheReported] = {}
     for report in history.of(CacheReported):
-        if report.at >= settled_at(history):
+        if report.at >= quiesced_at(history):
             last[report.target] = report
     ended = ended_at(history)
     return [
--- a/waxwingglade/proof/history.py
+++ b/waxwingglade/proof/history.py
@@ -230,7 +230,7 @@
     begins: bool
 
 
-class Settled(msgspec.Struct, frozen=True, tag="settled"):
+class Quiesced(msgspec.Struct, frozen=True, tag="settled"):
     """All faults are over and nothing is under way; what follows are the last looks."""
 
     at: float
@@ -253,7 +253,7 @@
     | ConfigAccepted
     | ConfigInForce
     | FaultSeen
-    | Settled
+    | Quiesced
 )
 
 
--- a/waxwingglade/proof/index.py
+++ b/waxwingglade/proof/index.py
@@ -12,7 +12,7 @@
     EffectSeen,
     GenerationSeen,
     History,
-    Settled,
+    Quiesced,
     Submitted,
     TextReceived,
     TextReset,
@@ -141,6 +141,6 @@
     return found
 
 
-def settled_at(history: History) -> float:
+def quiesced_at(history: History) -> float:
     """Return when the system had become quiet; infinite if it is not said."""
-    return min((each.at for each in history.of(Settled)), default=float("inf"))
+    return min((each.at for each in history.of(Quiesced)), default=float("inf"))
--- a/waxwingglade/proof/tests/builders.py
+++ b/waxwingglade/proof/tests/builders.py
@@ -37,8 +37,8 @@
     Event,
     GenerationSeen,
     History,
+    Quiesced,
     Request,
-    Settled,
     Submitted,
     TargetLeaving,
     TextReceived,
@@ -189,7 +189,7 @@
     run.record(EntryUp(run.tick(), ENTRIES[0]))
     run.end(FIRST)
     run.record(TargetLeaving(run.tick(), ENGINE))
-    run.record(Settled(run.tick()))
+    run.record(Quiesced(run.tick()))
     run.read(FIRST)
     run.read(SECOND)
     run.record(CacheReported(run.tick(), ENGINE, [SECOND]))
