--- a/waxwingglade/proof/__init__.py
+++ b/waxwingglade/proof/__init__.py
@@ -1,4 +1,4 @@
-"""Proof by history: what was seen of a run, and one check for each point that must always hold."""
+"""Check the recorded history of a test run: one check for each guarantee that must always hold."""
 
 from collections.abc import Callable
 
@@ -29,11 +29,11 @@
     Point.DRAIN: check_drain,
     Point.CONFIG: check_config,
 }
-"""One check for each point."""
+"""The check of each guarantee."""
 
 
 def check_all(history: History) -> list[Violation]:
-    """Return what any check has to say."""
+    """Return the violations that all checks find in a history."""
     return [violation for check in CHECKS.values() for violation in check(history)]
 
 
--- a/waxwingglade/proof/check_answers.py
+++ b/waxwingglade/proof/check_answers.py
@@ -1,7 +1,7 @@
-"""Each caller gets the whole answer to its own request, whatever the order of arrival.
+"""Check that each caller gets the complete answer to its own request, in any order of arrival.
 
-An answer belongs to its request if it is what the history of the program, or the effect of the
-tool, says of that very call.
+An answer belongs to its request if it equals the answer to that call in the program's history, or
+the result of the tool's effect.
 """
 
 from waxwingglade.base import Failure, ProgramId
@@ -28,7 +28,7 @@
 
 
 def check_answers(history: History) -> list[Violation]:
-    """Return the answers that are another request's, are not whole, or never came."""
+    """Return the answers that belong to another request, are truncated or were never received."""
     results = _results(history)
     texts = _texts(history)
     found: list[Violation] = []
@@ -38,9 +38,9 @@
         for each in answered:
             found += _foreign_result(key, each, results)
             found += _foreign_text(key, each, texts)
-            found += _not_whole(key, each)
+            found += _truncated(key, each)
     for each in exchanges(history):
-        found += _broken_stream(each)
+        found += _inconsistent_stream(each)
         found += _other_program(each)
     return found + _unanswered(history)
 
@@ -78,29 +78,29 @@
         return []
     if each.answer.result in results.get(key, []):
         return []
-    return [_violation(key, "the result is not that of the call's own effect", each)]
+    return [_violation(key, "the result differs from that of the call's own effect", each)]
 
 
 def _foreign_text(key: CallKey, each: Exchange, texts: dict[CallKey, str]) -> list[Violation]:
     if key not in texts or texts[key] == each.answer.text:
         return []
-    return [_violation(key, "the text is not the one in the program's history", each)]
+    return [_violation(key, "the text differs from the one in the program's history", each)]
 
 
-def _not_whole(key: CallKey, each: Exchange) -> list[Violation]:
-    """Say whether an answer that ended by itself has another length than the model gives it."""
+def _truncated(key: CallKey, each: Exchange) -> list[Violation]:
+    """Return the violation if a finished answer's length differs from the requested one."""
     call = each.submitted.request.call
     if not isinstance(call, ModelCall) or each.answer.finish_reason != STOP:
         return []
-    asked = engine_text.LENGTH_REQUEST.search(call.messages[-1].content)
+    requested = engine_text.LENGTH_REQUEST.search(call.messages[-1].content)
     tokens = engine_text.count_tokens(each.answer.text)
-    if asked is None or tokens == int(asked[1]):
+    if requested is None or tokens == int(requested[1]):
         return []
-    return [_violation(key, f"{tokens} tokens arrived of {asked[1]}", each)]
+    return [_violation(key, f"{tokens} of {requested[1]} tokens arrived", each)]
 
 
-def _broken_stream(each: Exchange) -> list[Violation]:
-    """Say whether pieces of streamed text do not make up the final answer."""
+def _inconsistent_stream(each: Exchange) -> list[Violation]:
+    """Return the violation if the pieces of streamed text don't make up the final answer."""
     request = each.submitted.request
     if not each.pieces or not isinstance(request, SubmitCall | FollowCall):
         return []
@@ -116,7 +116,7 @@
         else:
             text += piece.text
     if isinstance(each.answer, Done) and text != each.answer.text[start:]:
-        return [_violation(key, "the streamed text is not the answer", each)]
+        return [_violation(key, "the streamed text differs from the answer", each)]
     return []
 
 
@@ -126,12 +126,12 @@
         return []
     if each.answer.program == request.program and each.answer.tenant == request.tenant:
         return []
-    text = f"a look at it showed {each.answer.program}"
+    text = f"a read returned {each.answer.program}"
     return [Violation(Point.ANSWERS, request.program, text, [each.answered])]
 
 
 def _unanswered(history: History) -> list[Violation]:
-    """Return the requests made once all faults were over that got no answer."""
+    """Return the requests sent after all faults were over that got no answer."""
     end = quiesced_at(history)
     return [
         Violation(Point.ANSWERS, _subject(each), f"no answer: {each.answer}", [each.submitted])
--- a/waxwingglade/proof/check_budget.py
+++ b/waxwingglade/proof/check_budget.py
@@ -1,6 +1,6 @@
-"""A program never exceeds its budget, sub-agents included.
+"""Check that a program, including its sub-agents, never exceeds its budget.
 
-Counts what engines and tools did, not what the system says of it.
+The usage is counted from what engines and tools did, and also as the system reports it.
 """
 
 from waxwingglade.base import ProgramId
@@ -10,15 +10,15 @@
 from waxwingglade.proof.index import call_exchanges, done_at, last_views, roots, runs, views
 from waxwingglade.proof.violation import Point, Violation
 
-WALL_ALLOWED_S = 1.0
-"""Seconds by which work may reach a target after a program's wall time: it was sent in time.
+WALL_TIME_TOLERANCE_S = 1.0
+"""Seconds after a program's wall time within which work that was sent in time may reach a target.
 
 All other limits are exact.
 """
 
 
 def check_budget(history: History) -> list[Violation]:
-    """Return the programs that used, or were said to use, more than they may."""
+    """Return the programs that used, or were reported to use, more than their budget."""
     shown = last_views(history)
     root_of = roots(history)
     tokens = _tokens_used(history, root_of)
@@ -26,19 +26,19 @@
     turns = _turns_used(history, root_of)
     found = []
     for program, view in shown.items():
-        found += _overdrawn(view)
+        found += _reported_excess(view)
         if root_of[program] != program:
             continue
-        found += _above(program, "tokens", tokens.get(program, 0), view.budget.tokens)
-        found += _above(program, "money", money.get(program, 0), view.budget.money_microcents)
-        found += _above(program, "turns", turns.get(program, 0), view.budget.turns)
+        found += _excess(program, "tokens", tokens.get(program, 0), view.budget.tokens)
+        found += _excess(program, "money", money.get(program, 0), view.budget.money_microcents)
+        found += _excess(program, "turns", turns.get(program, 0), view.budget.turns)
         depth = _depth(program, shown)
-        found += _above(program, "levels of sub-agents", depth, view.budget.depth)
+        found += _excess(program, "levels of sub-agents", depth, view.budget.depth)
     return found + _late(history, shown, root_of)
 
 
 def _tokens_used(history: History, root_of: dict[ProgramId, ProgramId]) -> dict[ProgramId, int]:
-    """Return the tokens that engines read and generated, whether or not the answer was used."""
+    """Return the tokens that engines read and generated, including those of unused answers."""
     used: dict[ProgramId, int] = {}
     for seen in history.of(GenerationSeen):
         root = root_of.get(seen.program, seen.program)
@@ -47,7 +47,7 @@
 
 
 def _money_used(history: History, root_of: dict[ProgramId, ProgramId]) -> dict[ProgramId, int]:
-    """Return what engines and tools did costs, in millionths of a cent."""
+    """Return the cost of what engines and tools did, in millionths of a cent."""
     used: dict[ProgramId, int] = {}
     for seen in history.of(EffectSeen, GenerationSeen):
         root = root_of.get(seen.program, seen.program)
@@ -56,7 +56,7 @@
 
 
 def _turns_used(history: History, root_of: dict[ProgramId, ProgramId]) -> dict[ProgramId, int]:
-    """Return the calls that ran: those a target saw, and sub-agents that were created."""
+    """Return the number of calls that ran: those that reached a target, and created sub-agents."""
     ran = set(runs(history))
     for key, attempts in call_exchanges(history).items():
         is_sub_program = isinstance(attempts[0].submitted.request.call, SubProgramCall)
@@ -69,12 +69,12 @@
     return used
 
 
-def _overdrawn(view: ProgramView) -> list[Violation]:
+def _reported_excess(view: ProgramView) -> list[Violation]:
     tokens = view.tokens_spent + view.tokens_reserved
     money = view.money_spent_microcents + view.money_reserved_microcents
-    found = _above(view.program, "tokens booked", tokens, view.budget.tokens)
-    found += _above(view.program, "money booked", money, view.budget.money_microcents)
-    return found + _above(view.program, "turns booked", view.turns, view.budget.turns)
+    found = _excess(view.program, "tokens booked", tokens, view.budget.tokens)
+    found += _excess(view.program, "money booked", money, view.budget.money_microcents)
+    return found + _excess(view.program, "turns booked", view.turns, view.budget.turns)
 
 
 def _depth(program: ProgramId, shown: dict[ProgramId, ProgramView]) -> int:
@@ -86,10 +86,10 @@
 def _late(
     history: History, shown: dict[ProgramId, ProgramView], root_of: dict[ProgramId, ProgramId]
 ) -> list[Violation]:
-    """Return what reached a target although the program had run for longer than it may.
+    """Return the work that reached a target after the end of its program's wall time.
 
-    The start is taken from a caller's own first look, so a program is given a little too much
-    time, never too little.
+    The wall time is counted from a caller's first view of the program.  So the check allows a
+    program slightly too much time, never too little.
     """
     found = []
     start = _first_seen(history)
@@ -99,7 +99,7 @@
             continue
         arrived = seen.arrived if isinstance(seen, EffectSeen) else seen.at
         over_s = arrived - start[root] - shown[root].budget.wall_s
-        if over_s > WALL_ALLOWED_S:
+        if over_s > WALL_TIME_TOLERANCE_S:
             text = f"call {seen.call} reached {seen.target} {over_s:.1f} s after its wall time"
             found.append(Violation(Point.BUDGET, root, text, [seen]))
     return found
@@ -109,7 +109,7 @@
     return {program: each[0].answered.at for program, each in views(history).items()}
 
 
-def _above(program: ProgramId, what: str, used: int, allowed: int) -> list[Violation]:
+def _excess(program: ProgramId, what: str, used: int, allowed: int) -> list[Violation]:
     if used <= allowed:
         return []
     text = f"{used} {what} of {allowed}"
--- a/waxwingglade/proof/check_config.py
+++ b/waxwingglade/proof/check_config.py
@@ -1,4 +1,4 @@
-"""A configuration, once accepted, is in force everywhere within seconds and never reverts."""
+"""Check that an accepted configuration is in force everywhere within seconds and never reverts."""
 
 from waxwingglade.base import ConfigVersion, EntryId
 from waxwingglade.proof.history import (
@@ -10,12 +10,12 @@
 )
 from waxwingglade.proof.violation import Point, Violation
 
-ALLOWED_S = 6.0
+PROPAGATION_LIMIT_S = 6.0
 """Seconds from the acceptance of a version until all entries serve under it."""
 
 
 def check_config(history: History) -> list[Violation]:
-    """Return the entries that went back, came late, or served something else by the same name."""
+    """Return the entries that reverted, were late or had other contents under the same version."""
     return [*_reverted(history), *_late(history), *_differing(history)]
 
 
@@ -39,10 +39,10 @@
 
 
 def _late(history: History) -> list[Violation]:
-    """Return the entries that could be reached all the time and still served an older version.
+    """Return the entries that were reachable all the time and still served an older version.
 
-    Each report more than the allowed time after an acceptance has to name that version at least,
-    unless the entry was down, cut off or back for less than that time.
+    A report later than the allowed time after an acceptance must name that version or a newer one,
+    unless the entry was down, partitioned or reachable again for less than that time.
     """
     found = []
     accepted = history.of(ConfigAccepted)
@@ -57,8 +57,10 @@
 def _missing(
     report: ConfigInForce, accepted: list[ConfigAccepted], reached_since: float
 ) -> list[Violation]:
-    """Say whether a report names a version that is older than it may be by then."""
-    due = [each for each in accepted if max(each.at, reached_since) + ALLOWED_S < report.at]
+    """Return the violation if a report names a version that was outdated for too long."""
+    due = [
+        each for each in accepted if max(each.at, reached_since) + PROPAGATION_LIMIT_S < report.at
+    ]
     newest = max(due, key=lambda each: each.version, default=None)
     if newest is None or report.version >= newest.version:
         return []
@@ -70,7 +72,7 @@
 
 
 def _reached_since(states: list[EntryUp | EntryDown], at: float) -> float:
-    """Return since when an entry could be reached without a break, as of a time."""
+    """Return since when an entry had been reachable without interruption at a time."""
     since = 0.0
     for each in states:
         if each.at <= at:
@@ -87,5 +89,5 @@
         known = digests.setdefault(each.version, each.digest)
         if known != each.digest:
             subject = f"version {each.version}"
-            found.append(Violation(Point.CONFIG, subject, "it has two contents", [each]))
+            found.append(Violation(Point.CONFIG, subject, "it has two different contents", [each]))
     return found
--- a/waxwingglade/proof/check_drain.py
+++ b/waxwingglade/proof/check_drain.py
@@ -1,8 +1,8 @@
-"""A graceful shutdown cuts off no request.
+"""Check that a graceful shutdown cuts off no request.
 
-A request that an entry took in, before or while it shuts down, gets its answer.  A refused
-connection is no cut: the balancer tries another entry.  Nor may the shutdown show in the answer as
-a call that was broken off, unless the call's program had ended.
+A request that an entry accepted before or during its shutdown gets its answer.  A refused
+connection is no violation, because the load balancer tries another entry.  An answer that a call
+was cancelled is also a violation, unless the call's program had ended.
 """
 
 from typing import NamedTuple
@@ -20,14 +20,14 @@
 from waxwingglade.proof.violation import Point, Violation
 
 LIMIT_REASON = "budget exceeded"
-"""How the reason of an end at a limit begins."""
+"""Prefix of the reason if a program ended at a limit of its budget."""
 
-LIMIT_SEEN_S = 5.0
-"""Seconds from such an end until a caller is shown it."""
+LIMIT_VISIBLE_S = 5.0
+"""Greatest delay in seconds from an end at a limit until a caller sees it."""
 
 
 def check_drain(history: History) -> list[Violation]:
-    """Return the requests that a graceful shutdown cut off, and shutdowns that went wrong."""
+    """Return the requests that a graceful shutdown cut off, and the failed shutdowns."""
     found = []
     for start in history.of(DrainStarted):
         end = _end_of(history, start)
@@ -49,9 +49,9 @@
 def _cut_off(history: History, start: DrainStarted, end: DrainEnded) -> list[Violation]:
     killed = [e.at for e in history.of(EntryDown) if e.entry == start.entry]
     if any(start.at <= at < end.at for at in killed):
-        # It was killed on top; then nothing can be asked of it.
+        # The entry was killed during its shutdown, so nothing can be required of it.
         return []
-    breaks = _breaks(history)
+    cancellations = _cancellations(history)
     return [
         Violation(
             Point.DRAIN,
@@ -60,44 +60,44 @@
             [start, each.submitted, each.answered, end],
         )
         for each in exchanges(history)
-        if _under_way(each, start, end) and _is_cut(each, start.entry, breaks)
+        if _in_progress(each, start, end) and _is_cut(each, start.entry, cancellations)
     ]
 
 
-def _under_way(each: Exchange, start: DrainStarted, end: DrainEnded) -> bool:
+def _in_progress(each: Exchange, start: DrainStarted, end: DrainEnded) -> bool:
     if each.answered is None:
         return False
     return each.submitted.at <= end.at and each.answered.at >= start.at
 
 
 class Span(NamedTuple):
-    """A part of the time."""
+    """A time span."""
 
     start: float
     end: float
 
 
-def _breaks(history: History) -> dict[ProgramId, list[Span]]:
-    """Return when each program's own end may have broken its calls off."""
+def _cancellations(history: History) -> dict[ProgramId, list[Span]]:
+    """Return the time spans in which each program's end may have cancelled its calls."""
     found: dict[ProgramId, list[Span]] = {}
     shown = last_views(history)
     for program, seen_at in ended_at(history).items():
         if shown[program].end_reason.startswith(LIMIT_REASON):
-            found.setdefault(program, []).append(Span(seen_at - LIMIT_SEEN_S, seen_at))
+            found.setdefault(program, []).append(Span(seen_at - LIMIT_VISIBLE_S, seen_at))
     for program, requests in end_requests(history).items():
-        asked = Span(requests[0].submitted.at, float("inf"))
-        found.setdefault(program, []).append(asked)
+        after_request = Span(requests[0].submitted.at, float("inf"))
+        found.setdefault(program, []).append(after_request)
     return found
 
 
-def _is_cut(each: Exchange, leaving: EntryId, breaks: dict[ProgramId, list[Span]]) -> bool:
+def _is_cut(each: Exchange, leaving: EntryId, cancellations: dict[ProgramId, list[Span]]) -> bool:
     answer = each.answer
     if isinstance(answer, NoAnswer):
         return answer.cause is NoAnswerCause.CUT and each.submitted.entry == leaving
     if not isinstance(answer, Failure) or answer.code is not ErrorCode.CANCELLED:
         return False
-    # Whichever entry the caller asked, the call may have run on the leaving one.  Only a program
-    # that ends, by its caller or at a limit, breaks its own calls off.
+    # The call may have run on the leaving entry, whichever entry its caller used.  Only a program
+    # that is ended by its caller or at a limit cancels its own calls.
     program = getattr(each.submitted.request, "program", None)
-    spans = breaks.get(program, [])
+    spans = cancellations.get(program, [])
     return not any(span.start <= each.answered.at <= span.end for span in spans)
--- a/waxwingglade/proof/check_effects.py
+++ b/waxwingglade/proof/check_effects.py
@@ -1,4 +1,4 @@
-"""A non-idempotent call runs at most once."""
+"""Check that a non-idempotent call runs at most once."""
 
 from waxwingglade.proof.history import EffectSeen, History
 from waxwingglade.proof.index import CallKey
@@ -6,7 +6,7 @@
 
 
 def check_effects(history: History) -> list[Violation]:
-    """Return the calls that may not be repeated and had more than one effect."""
+    """Return the non-idempotent calls that had more than one effect."""
     effects: dict[CallKey, list[EffectSeen]] = {}
     for seen in history.of(EffectSeen):
         if not seen.idempotent:
--- a/waxwingglade/proof/check_history.py
+++ b/waxwingglade/proof/check_history.py
@@ -1,8 +1,7 @@
-"""A program's history is never lost and never mixed with another program's.
+"""Check that a program's history is never lost and never mixed with another program's.
 
-Looks at what callers were shown: every answer they were given must stay in the history, in its
-place, and nothing else may be there.  What the engines were given as prompt must be the history up
-to the call.
+Every answer that a caller received must stay in the history, at its position, and the history must
+have nothing else.  The prompt of each engine request must be the history up to the call.
 """
 
 from waxwingglade.base import CallId, ProgramId
@@ -19,22 +18,22 @@
     quiesced_at,
     views,
 )
-from waxwingglade.proof.turns import Reading, Turn, read_turns
+from waxwingglade.proof.turns import SplitHistory, Turn, split_history
 from waxwingglade.proof.violation import Point, Violation
 from waxwingglade.standins import engine_text
 
 
 def check_history(history: History) -> list[Violation]:
-    """Return where a history lost something, or has what does not belong to it."""
+    """Return the histories that lost messages or have messages that don't belong to them."""
     submissions = call_exchanges(history)
     calls = _calls_by_program(submissions)
     found = _unreadable(history)
     for program, shown in views(history).items():
-        found += _shrunk(program, shown)
-        found += _forgotten(program, shown, submissions)
-        reading = read_turns(shown[-1].answer, calls.get(program, {}))
-        found += _foreign(program, reading)
-        found += _wrong_text(program, shown[-1].answer.history, reading.turns)
+        found += _shortened(program, shown)
+        found += _missing_answers(program, shown, submissions)
+        split = split_history(shown[-1].answer, calls.get(program, {}))
+        found += _foreign_messages(program, split)
+        found += _wrong_text(program, shown[-1].answer.history, split.turns)
     return found + _wrong_prompts(history, calls)
 
 
@@ -48,7 +47,7 @@
 
 
 def _unreadable(history: History) -> list[Violation]:
-    """Return the programs that nobody could be shown any more once all faults were over."""
+    """Return the programs that could not be read after all faults were over."""
     end = quiesced_at(history)
     asked: dict[ProgramId, list[Exchange]] = {}
     for each in exchanges(history):
@@ -62,8 +61,8 @@
     ]
 
 
-def _shrunk(program: ProgramId, shown: list[Exchange]) -> list[Violation]:
-    """Return where a later look showed less than an earlier one."""
+def _shortened(program: ProgramId, shown: list[Exchange]) -> list[Violation]:
+    """Return the views that lack messages of an earlier view."""
     found = []
     longest = shown[0]
     for each in shown[1:]:
@@ -78,37 +77,37 @@
     return found
 
 
-def _forgotten(
+def _missing_answers(
     program: ProgramId, shown: list[Exchange], submissions: dict[CallKey, list[Exchange]]
 ) -> list[Violation]:
-    """Return the answers that a caller had been given and that a later look does not know."""
+    """Return the answers that a caller received and that a later view does not have."""
     found = []
     for key, attempts in submissions.items():
         known = done_at(attempts) if key.program == program else None
         if known is None:
             continue
-        for look in shown:
-            if look.submitted.at >= known and not _holds(look.answer, key.call):
-                text = f"call {key.call} was answered and is not known any more"
-                found.append(Violation(Point.HISTORY, program, text, [look.answered]))
+        for exchange in shown:
+            if exchange.submitted.at >= known and not _has_answer(exchange.answer, key.call):
+                text = f"call {key.call} was answered and is missing from a later view"
+                found.append(Violation(Point.HISTORY, program, text, [exchange.answered]))
                 break
     return found
 
 
-def _holds(view: ProgramView, call: CallId) -> bool:
+def _has_answer(view: ProgramView, call: CallId) -> bool:
     return any(each.call == call and isinstance(each.outcome, Done) for each in view.calls)
 
 
-def _foreign(program: ProgramId, reading: Reading) -> list[Violation]:
-    if reading.foreign is None:
+def _foreign_messages(program: ProgramId, split: SplitHistory) -> list[Violation]:
+    if split.foreign is None:
         return []
-    content = reading.foreign.content[:80]
-    text = f"the history holds what none of its calls explains: {content!r}"
+    content = split.foreign.content[:80]
+    text = f"the history has a message that belongs to none of its calls: {content!r}"
     return [Violation(Point.HISTORY, program, text)]
 
 
 def _wrong_text(program: ProgramId, messages: list[Message], turns: list[Turn]) -> list[Violation]:
-    """Return the answers that a model would not have given to this history."""
+    """Return the answers that differ from the model's answer to this history."""
     found = []
     for turn in turns:
         if not isinstance(turn.call, ModelCall):
@@ -116,13 +115,13 @@
         prompt = messages[: turn.end - 1]
         tokens = engine_text.count_tokens(turn.text)
         if engine_text.answer_text(turn.call.model, prompt, tokens) != turn.text:
-            text = f"the answer to call {turn.call.call} is that to another history"
+            text = f"the answer to call {turn.call.call} belongs to another history"
             found.append(Violation(Point.HISTORY, program, text))
     return found
 
 
 def _wrong_prompts(history: History, calls: dict[ProgramId, dict[CallId, Call]]) -> list[Violation]:
-    """Return what an engine was given beyond a start of the history and the call's messages."""
+    """Return the engine requests whose prompt is not the history up to the call."""
     shown = last_views(history)
     allowed: dict[CallKey, set[str]] = {}
     found = []
@@ -134,13 +133,13 @@
         if key not in allowed:
             allowed[key] = _prompts(shown[key.program].history, call)
         if seen.conversation not in allowed[key]:
-            text = f"{seen.target} was given another history for call {seen.call}"
+            text = f"{seen.target} received another history for call {seen.call}"
             found.append(Violation(Point.HISTORY, seen.program, text, [seen]))
     return found
 
 
 def _prompts(messages: list[Message], call: ModelCall) -> set[str]:
-    """Return the digests of the prompts that a call may have had."""
+    """Return the digests of the valid prompts of a call."""
     starts = (messages[:end] for end in range(len(messages) + 1))
     return {
         f"{engine_text.answer_seed(call.model, [*start, *call.messages]):016x}" for start in starts
--- a/waxwingglade/proof/check_order.py
+++ b/waxwingglade/proof/check_order.py
@@ -1,7 +1,7 @@
-"""The calls of one conversation run in their order.
+"""Check that the calls of one conversation run in their order.
 
-A call's number gives its order.  Besides, a call that a caller knew to have ended before it
-submitted another one comes before it.
+The numbers of the calls give their order.  Calls without a number are in order if a caller knew
+that the first was complete before it submitted the second.
 """
 
 from waxwingglade.base import ProgramId
@@ -11,7 +11,7 @@
 
 
 def check_order(history: History) -> list[Violation]:
-    """Return where a later call reached a target before an earlier one had run."""
+    """Return the calls that reached a target after a call that comes later in the order."""
     submissions = call_exchanges(history)
     reached = runs(history)
     by_program: dict[ProgramId, list[CallKey]] = {}
--- a/waxwingglade/proof/check_release.py
+++ b/waxwingglade/proof/check_release.py
@@ -1,4 +1,4 @@
-"""No engine memory stays held by programs that have ended."""
+"""Check that engines hold no memory for programs that have ended."""
 
 from waxwingglade.base import TargetId
 from waxwingglade.proof.history import CacheReported, History
@@ -7,7 +7,7 @@
 
 
 def check_release(history: History) -> list[Violation]:
-    """Return the ended programs that an engine still held memory for, at the last look."""
+    """Return the ended programs for which an engine still held memory in its last report."""
     last: dict[TargetId, CacheReported] = {}
     for report in history.of(CacheReported):
         if report.at >= quiesced_at(history):
--- a/waxwingglade/proof/history.py
+++ b/waxwingglade/proof/history.py
@@ -1,6 +1,6 @@
-"""What callers, engines, tools and entries were seen to do, in order of time.
+"""Record the observed actions of callers, engines, tools and entries, in order of time.
 
-All times are monotonic seconds of one machine, so events of different processes can be compared.
+All times are monotonic seconds of one machine, so that times of different processes are comparable.
 """
 
 from enum import Enum
@@ -32,9 +32,9 @@
 
 
 class NoAnswer(msgspec.Struct, frozen=True, tag="broken"):
-    """No answer, or only a part of one, reached the caller.
+    """The caller received no answer or a truncated one.
 
-    REFUSED says that no connection was made; CUT that one ended before the answer was whole.
+    REFUSED means that no connection was made, CUT that it ended before the answer was complete.
     """
 
     cause: NoAnswerCause
@@ -65,7 +65,7 @@
 
 
 class TextReset(msgspec.Struct, frozen=True, tag="text_reset"):
-    """A caller was told that the text so far is void."""
+    """A caller was notified that the text received so far is void."""
 
     at: float
     number: int
@@ -73,7 +73,7 @@
 
 
 class Answered(msgspec.Struct, frozen=True, tag="answered"):
-    """A caller got the final answer to a request, or knows that none will come."""
+    """A caller got the final answer to a request, or knows that it will get none."""
 
     at: float
     number: int
@@ -81,26 +81,26 @@
 
 
 class EffectSeen(msgspec.Struct, frozen=True, tag="effect"):
-    """A tool service ran a call.
+    """A tool service executed a call.
 
     Parameters
     ----------
     at, arrived : float
-        When it took effect, and when the request had arrived.
+        Times of the effect and of the arrival of the request.
     target : TargetId
         The service.
     tool : ToolName
         The tool.
     program, call : ProgramId, CallId
-        Whose call it was, from the idempotency key.
+        Ids of the program and its call, from the idempotency key.
     idempotent : bool
-        Whether the tool may run it twice.
+        Whether the tool may execute the call twice.
     result : object
-        What it answered.
+        Result in the tool's answer.
     fencing : int
-        Fencing number that came with it.
+        Fencing number of the request.
     price_microcents : int
-        What it costs.
+        Price of the call, in millionths of a cent.
     """
 
     at: float
@@ -116,28 +116,28 @@
 
 
 class GenerationSeen(msgspec.Struct, frozen=True, tag="generation"):
-    """A model engine took a request in.
+    """A model engine accepted a request.
 
     Parameters
     ----------
     at, ended : float
-        When it arrived and when the engine stopped working on it; 0 while it runs.
+        Times of the request's arrival and of its end at the engine; the end is 0 while it runs.
     target : TargetId
         The engine.
     program, call : ProgramId, CallId
-        Whose call it was.
+        Ids of the program and its call.
     request_id : str
-        The engine's name for it.
+        Id of the request at the engine.
     conversation : str
-        Digest of model and prompt messages.
+        Digest of the model's name and the prompt messages.
     prompt_tokens, output_tokens : int
         Tokens read and generated.
     finished : bool
-        Whether the engine generated the answer to its end.
+        Whether the engine generated the complete answer.
     resume_matches : bool
-        Whether the text to continue was the start of the right answer.
+        Whether the text to continue was the start of the expected answer.
     price_microcents : int
-        What its tokens cost.
+        Price of the tokens, in millionths of a cent.
     """
 
     at: float
@@ -155,7 +155,7 @@
 
 
 class CacheReported(msgspec.Struct, frozen=True, tag="cache"):
-    """Programs for which an engine held memory."""
+    """An engine reported the programs for which it held cache memory."""
 
     at: float
     target: TargetId
@@ -163,14 +163,14 @@
 
 
 class TargetLeaving(msgspec.Struct, frozen=True, tag="target_leaving"):
-    """The platform or an operator let it be known that a target is leaving."""
+    """The platform or an operator announced that a target is leaving."""
 
     at: float
     target: TargetId
 
 
 class TargetBack(msgspec.Struct, frozen=True, tag="target_back"):
-    """A target stays after all, or another VM serves under its name."""
+    """A target does not leave after all, or another VM serves under its name."""
 
     at: float
     target: TargetId
@@ -184,7 +184,7 @@
 
 
 class DrainEnded(msgspec.Struct, frozen=True, tag="drain_ended"):
-    """An entry that was asked to shut down has ended."""
+    """The process of an entry that was asked to shut down has ended."""
 
     at: float
     entry: EntryId
@@ -192,21 +192,21 @@
 
 
 class EntryUp(msgspec.Struct, frozen=True, tag="entry_up"):
-    """An entry serves, after its start or after it could go on and was reached again."""
+    """An entry serves, after its start or after it was resumed and is reachable again."""
 
     at: float
     entry: EntryId
 
 
 class EntryDown(msgspec.Struct, frozen=True, tag="entry_down"):
-    """An entry was killed, stopped, frozen or cut off."""
+    """An entry was killed, stopped, frozen or partitioned."""
 
     at: float
     entry: EntryId
 
 
 class ConfigAccepted(msgspec.Struct, frozen=True, tag="config_accepted"):
-    """An operator was told that a version of the configuration is accepted."""
+    """An operator was notified that a version of the configuration is accepted."""
 
     at: float
     version: ConfigVersion
@@ -214,7 +214,7 @@
 
 
 class ConfigInForce(msgspec.Struct, frozen=True, tag="config_in_force"):
-    """An entry said which version it serves under."""
+    """An entry reported the version of the configuration that it applies."""
 
     at: float
     entry: EntryId
@@ -223,7 +223,7 @@
 
 
 class FaultSeen(msgspec.Struct, frozen=True, tag="fault"):
-    """The test caused a fault, or ended it; for whoever reads the history."""
+    """The test injected or ended a fault; no check uses this event."""
 
     at: float
     fault: str
@@ -231,7 +231,7 @@
 
 
 class Quiesced(msgspec.Struct, frozen=True, tag="settled"):
-    """All faults are over and nothing is under way; what follows are the last looks."""
+    """All faults are over and no request is in progress; only final reads follow."""
 
     at: float
 
@@ -258,7 +258,7 @@
 
 
 class Header(msgspec.Struct, frozen=True):
-    """First line of a saved history."""
+    """Header in the first line of a saved history."""
 
     format: int
     seed: int
@@ -275,9 +275,9 @@
     Parameters
     ----------
     seed : int
-        Seed from which the run followed.
+        Random seed of the run.
     events : list of Event, optional
-        Events known already.
+        Events recorded so far.
     """
 
     def __init__(self, seed: int = 0, events: list[Event] | None = None) -> None:
@@ -285,15 +285,15 @@
         self.events = list(events or [])
 
     def record(self, event: Event) -> None:
-        """Add an event; the order of adding does not matter."""
+        """Add an event; events may be added in any order."""
         self.events.append(event)
 
     def of(self, *kinds: type) -> list:
-        """Return the events of some types, in order of time."""
+        """Return the events of the given types, in order of time."""
         return sorted((each for each in self.events if isinstance(each, kinds)), key=_time)
 
     def save(self, path: Path) -> None:
-        """Write one JSON object a line, the seed first."""
+        """Write a header with the seed, then one JSON object per event and line."""
         lines = [_encoder.encode(Header(FORMAT_VERSION, self.seed))]
         lines += [_encoder.encode(event) for event in sorted(self.events, key=_time)]
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -301,7 +301,7 @@
 
 
 def load_history(path: Path) -> History:
-    """Return a saved history."""
+    """Load a saved history."""
     header, *lines = path.read_bytes().splitlines()
     return History(_header_decoder.decode(header).seed, [_decoder.decode(line) for line in lines])
 
--- a/waxwingglade/proof/index.py
+++ b/waxwingglade/proof/index.py
@@ -1,4 +1,4 @@
-"""A history arranged by request, call and program, for the checks."""
+"""Index a history by request, call and program."""
 
 from typing import NamedTuple
 
@@ -20,14 +20,14 @@
 
 
 class CallKey(NamedTuple):
-    """One call of one program."""
+    """Identifies one call of one program."""
 
     program: ProgramId
     call: CallId
 
 
 class Exchange(msgspec.Struct):
-    """One request with what came back."""
+    """A request with the answer and the streamed text that its caller received."""
 
     submitted: Submitted
     pieces: list[TextReceived | TextReset] = []
@@ -38,20 +38,20 @@
         """The final answer, or None."""
         return self.answered.answer if self.answered else None
 
-    def denied(self) -> bool:
-        """Whether the answer says that the request did not run."""
+    def was_refused(self) -> bool:
+        """Return whether the answer is a refusal as "not run"."""
         return isinstance(self.answer, Failure) and self.answer.verdict is Verdict.NOT_RUN
 
 
 class Run(msgspec.Struct, frozen=True):
-    """One time that a call reached an engine or a tool.
+    """One execution of a call by an engine or a tool.
 
     Parameters
     ----------
     at : float
-        When the request arrived there.
+        Time at which the request arrived at the target.
     seen : EffectSeen or GenerationSeen
-        What the target saw.
+        Event that the target recorded.
     """
 
     at: float
@@ -79,7 +79,7 @@
 
 
 def runs(history: History) -> dict[CallKey, list[Run]]:
-    """Return the times that each call reached a target, in order."""
+    """Return the executions of each call, in order of arrival."""
     found: dict[CallKey, list[Run]] = {}
     for seen in history.of(EffectSeen, GenerationSeen):
         at = seen.arrived if isinstance(seen, EffectSeen) else seen.at
@@ -90,7 +90,7 @@
 
 
 def views(history: History) -> dict[ProgramId, list[Exchange]]:
-    """Return the exchanges that showed each program's state, in order of the answer."""
+    """Return the exchanges whose answer is a view of a program, in order of the answers."""
     found: dict[ProgramId, list[Exchange]] = {}
     for each in exchanges(history):
         if isinstance(each.answer, ProgramView):
@@ -101,12 +101,12 @@
 
 
 def last_views(history: History) -> dict[ProgramId, ProgramView]:
-    """Return the last state that was shown of each program."""
+    """Return the last view of each program."""
     return {program: shown[-1].answer for program, shown in views(history).items()}
 
 
 def roots(history: History) -> dict[ProgramId, ProgramId]:
-    """Return for each known program the one whose budget it draws on."""
+    """Return for each known program the root program whose budget it uses."""
     parents = {program: view.parent for program, view in last_views(history).items()}
 
     def root(program: ProgramId) -> ProgramId:
@@ -117,7 +117,7 @@
 
 
 def done_at(attempts: list[Exchange]) -> float | None:
-    """Return when a caller first knew that a call had run to its end, or None."""
+    """Return when a caller first knew that a call was complete, or None."""
     times = [each.answered.at for each in attempts if isinstance(each.answer, Done)]
     return min(times, default=None)
 
@@ -142,5 +142,5 @@
 
 
 def quiesced_at(history: History) -> float:
-    """Return when the system had become quiet; infinite if it is not said."""
+    """Return when all faults and requests had ended; infinite if that was not recorded."""
     return min((each.at for each in history.of(Quiesced)), default=float("inf"))
--- a/waxwingglade/proof/tests/builders.py
+++ b/waxwingglade/proof/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builds the history of a run in which everything went right, for tests to doctor."""
+"""Build the history of a run without violations, which tests modify."""
 
 from collections.abc import Callable
 
@@ -56,7 +56,7 @@
 
 
 class Run:
-    """A run that goes right; time passes by one second with every event."""
+    """A run without violations; the time advances by one second with every event."""
 
     def __init__(self) -> None:
         self.history = History(seed=1)
@@ -67,7 +67,7 @@
         self.ended: set[ProgramId] = set()
 
     def tick(self) -> float:
-        """Let a second pass."""
+        """Advance the time by one second and return it."""
         self.now += 1.0
         return self.now
 
@@ -76,7 +76,7 @@
         self.history.record(event)
 
     def ask(self, request: Request, answer: Callable[[], Answer]) -> None:
-        """Send a request and get its answer."""
+        """Record a request and its answer."""
         self.number += 1
         number = self.number
         self.record(Submitted(self.tick(), number, ENTRIES[number % 2], request))
@@ -97,7 +97,7 @@
         self.ask(SubmitCall(TENANT, program, made), lambda: self._generate(program, made))
 
     def tool(self, program: ProgramId, call: str, order: int | None = None) -> None:
-        """Make a tool call that may not be repeated."""
+        """Make a non-idempotent tool call."""
         made = ToolCall(CallId(call), ToolName("booking"), {"slot": call}, order)
         self.ask(SubmitCall(TENANT, program, made), lambda: self._effect(program, made))
 
@@ -107,11 +107,11 @@
         self.ask(EndProgram(TENANT, program), lambda: self.view(program))
 
     def read(self, program: ProgramId) -> None:
-        """Look at a program."""
+        """Read a program."""
         self.ask(ReadProgram(TENANT, program), lambda: self.view(program))
 
     def view(self, program: ProgramId) -> ProgramView:
-        """Return what a caller is shown of a program now."""
+        """Return the current view of a program."""
         return ProgramView(
             program=program,
             tenant=TENANT,
@@ -167,8 +167,11 @@
         return done
 
 
-def good_run() -> Run:
-    """Return a run with two programs, a drain, a leaving target and a new configuration."""
+def valid_run() -> Run:
+    """Return a run with two programs, a drain, a leaving target and a new configuration.
+
+    No check finds a violation in it.
+    """
     run = Run()
     for entry in ENTRIES:
         run.record(EntryUp(run.tick(), entry))
@@ -196,9 +199,9 @@
     return run
 
 
-def good_history() -> History:
-    """Return the history of `good_run`."""
-    return good_run().history
+def valid_history() -> History:
+    """Return the history of `valid_run`."""
+    return valid_run().history
 
 
 def change(history: History, kind: type, pick: Callable, **changes) -> None:
--- a/waxwingglade/proof/tests/test_checks.py
+++ b/waxwingglade/proof/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each check passes a run that went right and fails on one fault of its own kind."""
+"""Test that each check passes a valid run and reports each kind of its violations."""
 
 import tempfile
 import unittest
@@ -28,8 +28,8 @@
     FIRST,
     SECOND,
     change,
-    good_history,
-    good_run,
+    valid_history,
+    valid_run,
 )
 
 NOT_RUN = Failure(Verdict.NOT_RUN, ErrorCode.OVERLOADED, "refused")
@@ -41,148 +41,148 @@
 
 
 def is_last_view_of(program):
-    """Return a choice of the last look at a program."""
+    """Return a predicate that selects the last view of a program."""
     times = [
         event.at
-        for event in good_history().of(Answered)
+        for event in valid_history().of(Answered)
         if isinstance(event.answer, ProgramView) and event.answer.program == program
     ]
     return lambda event: event.at == times[-1]
 
 
 def last_view(program):
-    """Return what the last look at a program showed."""
+    """Return the last view of a program."""
     pick = is_last_view_of(program)
-    return next(event.answer for event in good_history().of(Answered) if pick(event))
+    return next(event.answer for event in valid_history().of(Answered) if pick(event))
 
 
 class Checks(unittest.TestCase):
     def assert_found(self, point, history):
-        """The check of a point has something to say."""
+        """Assert that the check of a guarantee reports a violation."""
         self.assertTrue(CHECKS[point](history), point)
 
-    def test_a_run_that_went_right_passes_every_check(self):
-        self.assertEqual([], check_all(good_history()))
+    def test_a_valid_run_passes_every_check(self):
+        self.assertEqual([], check_all(valid_history()))
 
     def test_a_saved_history_has_the_same_verdict(self):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "runs" / "history.jsonl"
-            history = good_history()
+            history = valid_history()
             history.save(path)
             loaded = load_history(path)
         self.assertEqual(history.seed, loaded.seed)
         self.assertEqual(sorted(map(str, history.events)), sorted(map(str, loaded.events)))
         self.assertEqual([], check_all(loaded))
 
-    def test_order_a_late_effect(self):
-        history = good_history()
+    def test_order_of_a_late_effect(self):
+        history = valid_history()
         change(history, EffectSeen, lambda seen: seen.program == FIRST, arrived=900.0)
         self.assert_found(Point.ORDER, history)
 
-    def test_order_a_repeated_call_after_the_next_one(self):
-        run = good_run()
+    def test_order_of_a_call_repeated_after_the_next_one(self):
+        run = valid_run()
         first = run.history.of(GenerationSeen)[0]
         run.record(msgspec.structs.replace(first, at=run.tick()))
         self.assert_found(Point.ORDER, run.history)
 
     def test_history_lost(self):
-        history = good_history()
+        history = valid_history()
         view = last_view(FIRST)
         shorter = msgspec.structs.replace(view, history=view.history[:2], calls=view.calls[:1])
         change(history, Answered, is_last_view_of(FIRST), answer=shorter)
         self.assert_found(Point.HISTORY, history)
 
     def test_history_of_another_program(self):
-        history = good_history()
+        history = valid_history()
         view = last_view(FIRST)
         mixed = msgspec.structs.replace(view, history=view.history + last_view(SECOND).history[:2])
         change(history, Answered, is_last_view_of(FIRST), answer=mixed)
         self.assert_found(Point.HISTORY, history)
 
-    def test_history_given_to_an_engine_was_another(self):
-        history = good_history()
+    def test_prompt_of_another_history(self):
+        history = valid_history()
         seen = history.of(GenerationSeen)
         change(history, GenerationSeen, lambda each: True, conversation=seen[1].conversation)
         self.assert_found(Point.HISTORY, history)
 
-    def test_history_that_cannot_be_read_any_more(self):
-        history = good_history()
-        gone = Failure(Verdict.NOT_RUN, ErrorCode.UNAVAILABLE, "no copies")
-        change(history, Answered, is_last_view_of(SECOND), answer=gone)
+    def test_history_that_cannot_be_read(self):
+        history = valid_history()
+        unavailable = Failure(Verdict.NOT_RUN, ErrorCode.UNAVAILABLE, "no copies")
+        change(history, Answered, is_last_view_of(SECOND), answer=unavailable)
         self.assert_found(Point.HISTORY, history)
 
     def test_budget_of_tokens(self):
-        history = good_history()
+        history = valid_history()
         change(history, GenerationSeen, lambda seen: seen.program == SECOND, prompt_tokens=995)
         self.assert_found(Point.BUDGET, history)
 
     def test_budget_of_money(self):
-        history = good_history()
+        history = valid_history()
         price = last_view(SECOND).budget.money_microcents + 1
         change(history, EffectSeen, lambda seen: seen.program == SECOND, price_microcents=price)
         self.assert_found(Point.BUDGET, history)
 
-    def test_budget_booked_and_turns(self):
+    def test_budget_of_reserved_tokens_and_turns(self):
         for changes in ({"tokens_reserved": 1001}, {"turns": 11}):
-            history = good_history()
+            history = valid_history()
             view = msgspec.structs.replace(last_view(SECOND), **changes)
             change(history, Answered, is_last_view_of(SECOND), answer=view)
             self.assert_found(Point.BUDGET, history)
 
-    def test_budget_of_time(self):
-        history = good_history()
+    def test_budget_of_wall_time(self):
+        history = valid_history()
         view = last_view(SECOND)
         budget = msgspec.structs.replace(view.budget, wall_s=1.0)
         short = msgspec.structs.replace(view, budget=budget)
         change(history, Answered, is_last_view_of(SECOND), answer=short)
         self.assert_found(Point.BUDGET, history)
 
-    def test_release_forgotten(self):
-        history = good_history()
+    def test_memory_held_for_an_ended_program(self):
+        history = valid_history()
         change(history, CacheReported, lambda report: True, programs=[FIRST])
         self.assert_found(Point.RELEASE, history)
 
     def test_answers_swapped(self):
-        history = good_history()
+        history = valid_history()
         answers = [each for each in history.of(Answered) if is_done(each)]
         change(history, Answered, lambda each: each.at == answers[0].at, answer=answers[1].answer)
         self.assert_found(Point.ANSWERS, history)
 
-    def test_answers_cut_short(self):
-        history = good_history()
-        whole = next(each.answer for each in history.of(Answered) if is_done(each))
-        part = msgspec.structs.replace(whole, text=whole.text[:-4])
-        change(history, Answered, is_done, answer=part)
+    def test_truncated_answers(self):
+        history = valid_history()
+        complete = next(each.answer for each in history.of(Answered) if is_done(each))
+        truncated = msgspec.structs.replace(complete, text=complete.text[:-4])
+        change(history, Answered, is_done, answer=truncated)
         self.assert_found(Point.ANSWERS, history)
 
-    def test_answers_with_a_hole_in_the_stream(self):
-        history = good_history()
+    def test_answers_with_a_gap_in_the_stream(self):
+        history = valid_history()
         change(history, TextReceived, lambda piece: piece.offset == 5, offset=6)
         self.assert_found(Point.ANSWERS, history)
 
-    def test_answers_that_never_came(self):
-        history = good_history()
-        broken = NoAnswer(NoAnswerCause.TIMEOUT)
-        change(history, Answered, is_last_view_of(SECOND), answer=broken)
+    def test_requests_without_an_answer(self):
+        history = valid_history()
+        no_answer = NoAnswer(NoAnswerCause.TIMEOUT)
+        change(history, Answered, is_last_view_of(SECOND), answer=no_answer)
         self.assert_found(Point.ANSWERS, history)
 
-    def test_not_run_that_ran(self):
-        history = good_history()
+    def test_a_refused_call_that_ran(self):
+        history = valid_history()
         change(history, Answered, is_done, answer=NOT_RUN)
         self.assert_found(Point.NOT_RUN, history)
 
-    def test_not_run_that_nobody_asked_for(self):
-        history = good_history()
+    def test_an_effect_without_a_request(self):
+        history = valid_history()
         change(history, EffectSeen, lambda seen: True, program=ProgramId("z.e.i.0.foreign"))
         self.assert_found(Point.NOT_RUN, history)
 
-    def test_an_effect_twice(self):
-        run = good_run()
+    def test_a_repeated_non_idempotent_effect(self):
+        run = valid_run()
         run.record(run.history.of(EffectSeen)[0])
         self.assert_found(Point.AT_MOST_ONCE, run.history)
 
-    def test_work_for_a_target_that_left(self):
-        history = good_history()
+    def test_work_for_a_leaving_target(self):
+        history = valid_history()
         change(history, TargetLeaving, lambda left: True, at=1.0)
         self.assert_found(Point.LEAVING, history)
 
@@ -191,7 +191,7 @@
             NoAnswer(NoAnswerCause.CUT),
             Failure(Verdict.MAY_HAVE_RUN, ErrorCode.CANCELLED, "cut short"),
         ):
-            run = good_run()
+            run = valid_run()
             drain = run.history.of(DrainEnded)[0]
             change(
                 run.history,
@@ -202,17 +202,17 @@
             self.assert_found(Point.DRAIN, run.history)
 
     def test_a_drain_that_failed(self):
-        history = good_history()
+        history = valid_history()
         change(history, DrainEnded, lambda end: True, exit_status=-9)
         self.assert_found(Point.DRAIN, history)
 
-    def test_configuration_that_went_back(self):
-        run = good_run()
+    def test_configuration_that_reverts(self):
+        run = valid_run()
         run.record(ConfigInForce(run.tick(), ENTRIES[1], ConfigVersion(1), "one"))
         self.assert_found(Point.CONFIG, run.history)
 
-    def test_configuration_that_did_not_arrive(self):
-        history = good_history()
+    def test_configuration_that_is_not_applied(self):
+        history = valid_history()
         late = 1000.0
         change(
             history, ConfigInForce, lambda r: r.entry == ENTRIES[1] and r.version == 2, entry="x"
@@ -221,7 +221,7 @@
         self.assert_found(Point.CONFIG, history)
 
     def test_configuration_with_two_contents(self):
-        history = good_history()
+        history = valid_history()
         change(history, ConfigInForce, lambda report: report.version == 2, digest="other")
         self.assert_found(Point.CONFIG, history)
 
@@ -229,6 +229,6 @@
         self.assertEqual(set(Point), set(CHECKS))
 
     def test_targets_are_named_in_violations(self):
-        history = good_history()
+        history = valid_history()
         change(history, TargetLeaving, lambda left: True, at=1.0)
         self.assertIn(ENGINE, str(CHECKS[Point.LEAVING](history)[0]))
--- a/waxwingglade/proof/turns.py
+++ b/waxwingglade/proof/turns.py
@@ -1,4 +1,4 @@
-"""A program's history of messages, taken apart into the calls that made it."""
+"""Split a program's message history into the calls that produced it."""
 
 import msgspec
 
@@ -8,16 +8,16 @@
 
 
 class Turn(msgspec.Struct, frozen=True):
-    """One call's part of a history.
+    """The messages of one call in a history.
 
     Parameters
     ----------
     call : Call
         The call, as it was submitted.
     start, end : int
-        Positions of its first message and behind its last one.
+        Index of its first message and the index after its last one.
     text : str
-        Text of the model's answer; empty for tools.
+        Text of the model's answer; empty for tool calls.
     """
 
     call: Call
@@ -26,15 +26,15 @@
     text: str = ""
 
 
-class Reading(msgspec.Struct, frozen=True):
-    """The turns of a history, and the first message that none of the calls explains."""
+class SplitHistory(msgspec.Struct, frozen=True):
+    """The turns of a history, and the first message that belongs to none of the calls."""
 
     turns: list[Turn]
     foreign: Message | None = None
 
 
-def read_turns(view: ProgramView, calls: dict[CallId, Call]) -> Reading:
-    """Take a history apart.
+def split_history(view: ProgramView, calls: dict[CallId, Call]) -> SplitHistory:
+    """Split a history into turns.
 
     Parameters
     ----------
@@ -48,17 +48,17 @@
         for summary in view.calls
         if isinstance(summary.outcome, Done)
     }
-    left = dict(calls)
+    remaining = dict(calls)
     turns: list[Turn] = []
     position = 0
     while position < len(view.history):
-        turn = _turn_at(view.history, position, left, results)
+        turn = _turn_at(view.history, position, remaining, results)
         if turn is None:
-            return Reading(turns, view.history[position])
+            return SplitHistory(turns, view.history[position])
         turns.append(turn)
-        left.pop(turn.call.call)
+        remaining.pop(turn.call.call)
         position = turn.end
-    return Reading(turns)
+    return SplitHistory(turns)
 
 
 def _turn_at(
--- a/waxwingglade/proof/violation.py
+++ b/waxwingglade/proof/violation.py
@@ -1,4 +1,4 @@
-"""What a check has to say."""
+"""Guarantees and their violations."""
 
 from enum import Enum
 
@@ -8,7 +8,7 @@
 
 
 class Point(Enum):
-    """What must always hold."""
+    """Guarantee that must always hold."""
 
     ORDER = "calls run in order"
     HISTORY = "history is neither lost nor mixed"
@@ -23,18 +23,18 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """Something that must not happen did.
+    """A violation of a guarantee.
 
     Parameters
     ----------
     point : Point
-        What was broken.
+        The violated guarantee.
     subject : str
-        The program, target, entry or version that it is about.
+        Id of the program, target, entry or version concerned.
     message : str
-        What was seen.
+        What was observed.
     events : list of Event
-        Events that show it.
+        Events that show the violation.
     """
 
     point: Point
