--- a/waxwingglade/process/duties/tests/test_permits.py
+++ b/waxwingglade/process/duties/tests/test_permits.py
@@ -13,7 +13,7 @@
 from waxwingglade.process.duties.permits import MINUTE_S, LoadPermits
 from waxwingglade.process.duties.reconcile import has_effect, next_step, serving
 from waxwingglade.settings import WeightStoreSettings
-from waxwingglade.standins.engine_orders import OrderBook
+from waxwingglade.standins.engine_orders import OrderExecutor
 
 NAMES = st.lists(st.sampled_from("abcd"), unique=True)
 ADAPTERS = st.lists(st.sampled_from("xyz"), unique=True)
@@ -80,7 +80,7 @@
     @FIXED
     @given(NAMES, ADAPTERS, ROLES, WANTED)
     def test_orders_lead_to_the_desired_state(self, models, adapters, role, desired):
-        book = OrderBook(models, ManualClock(), 0.0, honours_fencing=True)
+        book = OrderExecutor(models, ManualClock(), 0.0, honours_fencing=True)
         book.adapters, book.role = list(adapters), role
         given_orders = []
         while (step := next_step(desired, book.state())) is not None:
--- a/waxwingglade/standins/engine.py
+++ b/waxwingglade/standins/engine.py
@@ -8,7 +8,7 @@
 from waxwingglade.base import Clock, ProgramId, monotonic
 from waxwingglade.standins.engine_batch import EngineCore, EngineFaults, EngineSpeed, Sleep
 from waxwingglade.standins.engine_handlers import engine_routes
-from waxwingglade.standins.engine_orders import OrderBook
+from waxwingglade.standins.engine_orders import OrderExecutor
 from waxwingglade.standins.engine_reports import ControlRecord, EngineRecord
 from waxwingglade.standins.server import StandinServer
 
@@ -62,7 +62,7 @@
         self.speed = speed or EngineSpeed()
         self.clock = clock
         self.core = EngineCore(self.speed, clock, sleep)
-        self.orders = OrderBook(list(models), clock, self.speed.order_s, honours_fencing)
+        self.orders = OrderExecutor(list(models), clock, self.speed.order_s, honours_fencing)
         self.controls: list[ControlRecord] = []
         self.server = StandinServer(engine_routes(self))
         self.task: asyncio.Task | None = None
--- a/waxwingglade/standins/engine_orders.py
+++ b/waxwingglade/standins/engine_orders.py
@@ -4,7 +4,7 @@
 from waxwingglade.connection import EngineOrder, EngineState, OrderKind
 
 
-class OrderBook:
+class OrderExecutor:
     """Carries orders out, after a delay, and honours or ignores their fencing numbers."""
 
     def __init__(
@@ -63,4 +63,4 @@
         names.remove(name)
 
 
-__all__ = ["OrderBook"]
+__all__ = ["OrderExecutor"]
