--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -163,7 +163,7 @@
     async def test_a_server_notes_what_it_ran_to_its_end(self) -> None:
         server = SoakServer(MetadataStore(), "engines", events=2)
         await server.listen()
-        for fault in (ServerFault.NONE, ServerFault.TORN, ServerFault.CUT):
+        for fault in (ServerFault.NONE, ServerFault.TRUNCATED, ServerFault.CUT):
             server.fault = fault
             reader, writer = await asyncio.open_connection(*server.address.split(":"))
             head = f"POST / HTTP/1.1\r\nX-Waxwingglade-Request-Id: {fault.name}\r\n\r\n"
--- a/tests/test_platform_day.py
+++ b/tests/test_platform_day.py
@@ -91,7 +91,7 @@
     async def test_servers_that_fail(self) -> None:
         good, bad = self.cluster.notes
         with self.subTest("a request that was refused as not run goes to another server"):
-            bad.fault = ServerFault.SHED
+            bad.fault = ServerFault.REFUSED
             for number in range(6):
                 answer = await self.cluster.call(self.one, "POST", ORDER, request_id=f"o{number}")
                 self.assertEqual(answer.status, 200)
@@ -105,7 +105,7 @@
             self.assertEqual(answer.status, 502)
             self.assertEqual(len(self.runs("c-cut")), 2)
         with self.subTest("a torn answer does not reach the caller"):
-            bad.fault = good.fault = ServerFault.TORN
+            bad.fault = good.fault = ServerFault.TRUNCATED
             answer = await self.cluster.call(self.one, "POST", ORDER, request_id="o-torn")
             self.assertEqual(answer.status, 502)
         with self.subTest("a refusal that promises nothing is not passed on as a promise"):
@@ -113,7 +113,7 @@
             answer = await self.cluster.call(self.one, "POST", ORDER, request_id="o-503")
             self.assertEqual(answer.status, 502)
         with self.subTest("a second answer belongs to no other request"):
-            bad.fault = good.fault = ServerFault.EXTRA
+            bad.fault = good.fault = ServerFault.DUPLICATED
             for number in range(6):
                 body = b"body %d" % number
                 answer = await self.cluster.call(
@@ -123,7 +123,7 @@
 
     async def test_a_stream_that_breaks_off_is_seen_to_be_incomplete(self) -> None:
         for engine in self.cluster.engines:
-            engine.fault = ServerFault.TORN
+            engine.fault = ServerFault.TRUNCATED
         with self.assertRaises(WaxwinggladeError):
             await self.cluster.turn(self.one, "torn", b"first")
         for engine in self.cluster.engines:
--- a/waxwingglade/standins/registered_server.py
+++ b/waxwingglade/standins/registered_server.py
@@ -21,10 +21,10 @@
     """What a server does to the next requests."""
 
     NONE = "none"
-    SHED = "refuses as not run"
+    REFUSED = "refuses as not run"
     CUT = "runs, then closes without an answer"
-    TORN = "closes in the middle of its answer"
-    EXTRA = "answers twice"
+    TRUNCATED = "closes in the middle of its answer"
+    DUPLICATED = "answers twice"
     PLAIN_503 = "answers 503 without promising anything"
 
 
@@ -136,7 +136,7 @@
         if expected not in (None, self.name):
             writer.write(self._plain(421, request, b"other\n", not_run=True))
             return True
-        if self.fault is ServerFault.SHED:
+        if self.fault is ServerFault.REFUSED:
             writer.write(self._plain(503, request, b"full\n", not_run=True))
             return True
         if self.fault is ServerFault.PLAIN_503:
@@ -156,11 +156,11 @@
             return await self._stream(writer, request, body)
         await asyncio.sleep(self.event_s)
         answer = self._plain(200, request, answer_to(body))
-        if self.fault is ServerFault.TORN:
+        if self.fault is ServerFault.TRUNCATED:
             writer.write(answer[:-3])
             return False
         writer.write(answer)
-        if self.fault is ServerFault.EXTRA:
+        if self.fault is ServerFault.DUPLICATED:
             writer.write(answer)
         return True
 
@@ -171,11 +171,11 @@
         for number in range(1, self.events + 1):
             await asyncio.sleep(self.event_s)
             event = b"id: %d\ndata: %s\n\n" % (number, event_data(body, number))
-            if self.fault is ServerFault.TORN and number == self.events:
+            if self.fault is ServerFault.TRUNCATED and number == self.events:
                 event = event[: len(event) // 2]
             writer.write(b"%x\r\n%s\r\n" % (len(event), event))
             await writer.drain()
-        if self.fault is ServerFault.TORN:
+        if self.fault is ServerFault.TRUNCATED:
             return False
         writer.write(b"0\r\n\r\n")
         return True
