--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -70,7 +70,7 @@
             FaultKind.KILL_ALL: self._kill_all,
             FaultKind.STORE_BUSY: lambda s: self._store(FaultKind.STORE_BUSY, StoreFault.BUSY, s),
             FaultKind.STORE_SILENT: lambda s: self._store(
-                FaultKind.STORE_SILENT, StoreFault.SILENT, s
+                FaultKind.STORE_SILENT, StoreFault.UNRESPONSIVE, s
             ),
             FaultKind.STORE_LOST: lambda s: self._store(
                 FaultKind.STORE_LOST, StoreFault.LOST_ANSWERS, s
--- a/tests/test_account_walk.py
+++ b/tests/test_account_walk.py
@@ -104,7 +104,7 @@
         return len(self.cluster.members()) == len(self.cluster.ledgers)
 
     async def test_a_key_that_was_taken_away_is_dead_though_nobody_hears_of_it(self) -> None:
-        self.cluster.store.fault = StoreFault.SILENT
+        self.cluster.store.fault = StoreFault.UNRESPONSIVE
         tenants = [{"name": "shop", "api_keys": ["key-of-tomorrow"]}]
         self.cluster.store.put("op/config", configuration(9, tenants=tenants))
         revoked_at = time.monotonic()
--- a/waxwingglade/platform/tests/test_store.py
+++ b/waxwingglade/platform/tests/test_store.py
@@ -39,7 +39,7 @@
         self.assertIsNone(self.standin.value("own/a"))
 
     async def test_an_unresponsive_store_may_have_run_the_call(self) -> None:
-        self.standin.fault = StoreFault.SILENT
+        self.standin.fault = StoreFault.UNRESPONSIVE
         with (
             mock.patch("waxwingglade.platform.store.ANSWER_TIMEOUT_S", 0.05),
             self.assertRaises(StoreUnavailable) as caught,
--- a/waxwingglade/standins/metadata_store.py
+++ b/waxwingglade/standins/metadata_store.py
@@ -16,7 +16,7 @@
 
     NONE = "none"
     BUSY = "busy"
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     LOST_ANSWERS = "lost answers"
 
 
@@ -124,7 +124,7 @@
         if self.store.fault is StoreFault.BUSY:
             self.set_status(503)
             self.finish()
-        if self.store.fault is StoreFault.SILENT:
+        if self.store.fault is StoreFault.UNRESPONSIVE:
             await asyncio.sleep(3600)
 
     def answer(self, status: int, body: Any) -> None:
