--- a/waxwingglade/connection/tests/store_builders.py
+++ b/waxwingglade/connection/tests/store_builders.py
@@ -50,7 +50,7 @@
     """Write a key in the stand-in's state, as if by another client."""
     put = PutRequest(key=f"{PREFIX}/{key}".encode(), value=value)
     standin.state.txn(TxnRequest(success=[RequestOp(request_put=put)]))
-    standin.announce()
+    standin.notify_watches()
 
 
 class StoreTestCase(unittest.IsolatedAsyncioTestCase):
--- a/waxwingglade/standins/store.py
+++ b/waxwingglade/standins/store.py
@@ -55,7 +55,7 @@
         self.rates = CallRates(limits or StoreLimits(), clock)
         self.plan = FaultPlan()
         self.changed = asyncio.Event()
-        self.announced = self.state.revision
+        self.notified_revision = self.state.revision
         self.watch_generation = 0
         self.server: HTTPServer | None = None
         self.control: HTTPServer | None = None
@@ -124,7 +124,7 @@
             self.state.compact(self.state.revision)
         if faults.drop_watches:
             self.drop_watches()
-        self.announce()
+        self.notify_watches()
         if faults.outage is Outage.REFUSE:
             await self.close_gateway()
         elif self.server is None:
@@ -134,7 +134,7 @@
         """Run one call."""
         self.lapse()
         reply = run_call(self.state, path, body)
-        self.announce()
+        self.notify_watches()
         return reply
 
     def release_held(self) -> None:
@@ -147,12 +147,12 @@
     def lapse(self) -> None:
         """End leases whose time is over."""
         self.state.lapse_expired()
-        self.announce()
+        self.notify_watches()
 
-    def announce(self) -> None:
+    def notify_watches(self) -> None:
         """Wake the watches if there are changes."""
-        if self.announced != self.state.revision:
-            self.announced = self.state.revision
+        if self.notified_revision != self.state.revision:
+            self.notified_revision = self.state.revision
             self.wake_watches()
 
     def wake_watches(self) -> None:
