--- a/waxwingglade/process/duties/tests/test_lease.py
+++ b/waxwingglade/process/duties/tests/test_lease.py
@@ -49,7 +49,7 @@
             reply = run(path, body)
             if path.endswith("txn"):
                 # The write takes effect, but its answer and those of the next calls are lost.
-                self.standin.plan.answers_to_lose = 1_000
+                self.standin.active_faults.answers_to_lose = 1_000
             return reply
 
         self.standin.run = run_and_cut_off
--- a/waxwingglade/standins/store.py
+++ b/waxwingglade/standins/store.py
@@ -27,8 +27,8 @@
 from waxwingglade.standins.server import LOOPBACK, listen, log_nothing
 from waxwingglade.standins.store_calls import Reply, is_write, refusal, run_call
 from waxwingglade.standins.store_faults import (
+    ActiveFaults,
     CallRates,
-    FaultPlan,
     Outage,
     StoreFaults,
     StoreLimits,
@@ -53,7 +53,7 @@
     def __init__(self, limits: StoreLimits | None = None, clock: Clock = monotonic) -> None:
         self.state = StoreState(clock)
         self.rates = CallRates(limits or StoreLimits(), clock)
-        self.plan = FaultPlan()
+        self.active_faults = ActiveFaults()
         self.changed = asyncio.Event()
         self.notified_revision = self.state.revision
         self.watch_generation = 0
@@ -85,7 +85,7 @@
     async def stop(self) -> None:
         """Close the listeners and every connection."""
         self.lapser.stop()
-        self.plan.set(StoreFaults())
+        self.active_faults.set(StoreFaults())
         await self.close_gateway()
         self.control.stop()
         await self.control.close_all_connections()
@@ -114,7 +114,7 @@
 
     async def set_faults(self, faults: StoreFaults) -> None:
         """Put faults in force, and do at once what acts once."""
-        self.plan.set(faults)
+        self.active_faults.set(faults)
         if faults.release_held:
             self.release_held()
         for lease in list(self.state.leases) if faults.lapse_all_leases else faults.lapse_leases:
@@ -139,8 +139,8 @@
 
     def release_held(self) -> None:
         """Let the writes that were kept back take effect, in order."""
-        held = self.plan.held
-        self.plan.held = []
+        held = self.active_faults.held
+        self.active_faults.held = []
         for write in held:
             self.run(write.path, write.body)
 
@@ -175,20 +175,20 @@
 
     async def post(self, path: str) -> None:
         """Run the call, or what the faults make of it."""
-        plan = self.standin.plan
+        active_faults = self.standin.active_faults
         body = self.request.body
-        if await plan.while_hanging():
+        if await active_faults.while_hanging():
             return self.cut()
-        await plan.half_latency()
+        await active_faults.half_latency()
         write = is_write(path, body)
         if not self.standin.rates.admit(write):
             return self.answer(refusal(GrpcCode.RESOURCE_EXHAUSTED, TOO_MANY_MESSAGE))
-        if write and plan.holds_write(path, body):
+        if write and active_faults.holds_write(path, body):
             return self.cut()
         reply = self.standin.run(path, body)
-        if write and plan.loses_answer():
+        if write and active_faults.loses_answer():
             return self.cut()
-        await plan.half_latency()
+        await active_faults.half_latency()
         return self.answer(reply)
 
     def cut(self) -> None:
@@ -219,7 +219,7 @@
         """Stream the changes of a range."""
         # Otherwise each line would wait until the client has acknowledged the one before.
         self.request.connection.stream.set_nodelay(True)
-        await self.standin.plan.while_hanging()
+        await self.standin.active_faults.while_hanging()
         create = decode_message(self.request.body, WatchRequest).create_request
         if not self.standin.rates.open_watch():
             self.set_status(HTTPStatus.TOO_MANY_REQUESTS)
@@ -250,7 +250,7 @@
 
     async def send(self, response: WatchResponse) -> None:
         """Send one line, unless the client has gone."""
-        await self.standin.plan.while_hanging()
+        await self.standin.active_faults.while_hanging()
         if self.is_gone:
             return
         self.write(encode_message(WatchResult(result=response)) + b"\n")
@@ -266,7 +266,7 @@
 
     def get(self) -> None:
         """Answer with the faults in force."""
-        self.finish(msgspec.json.encode(self.standin.plan.faults))
+        self.finish(msgspec.json.encode(self.standin.active_faults.faults))
 
     async def post(self) -> None:
         """Put the faults of the body in force."""
--- a/waxwingglade/standins/store_faults.py
+++ b/waxwingglade/standins/store_faults.py
@@ -120,7 +120,7 @@
     body: bytes
 
 
-class FaultPlan:
+class ActiveFaults:
     """The faults in force, and what is left of those that count down."""
 
     def __init__(self) -> None:
