--- a/waxwingglade/process/duties/tests/test_controller.py
+++ b/waxwingglade/process/duties/tests/test_controller.py
@@ -110,16 +110,16 @@
 
     async def test_an_order_without_effect_is_repeated(self):
         engine = await self.start_engine(("base",))
-        carry_out = engine.orders._carry_out
+        execute = engine.orders._execute
         dropped = []
 
         def drop_the_first(order):
             if dropped:
-                carry_out(order)
+                execute(order)
                 return
             dropped.append(order)
 
-        engine.orders._carry_out = drop_the_first
+        engine.orders._execute = drop_the_first
         await self.set_desired("base", role="decode")
         await self.start_holder("first")
         await until(lambda: engine.orders.state().role == "decode")
--- a/waxwingglade/standins/engine_orders.py
+++ b/waxwingglade/standins/engine_orders.py
@@ -32,7 +32,7 @@
         """Return what is loaded by now."""
         now = self.clock()
         while self.pending and self.pending[0][0] <= now:
-            self._carry_out(self.pending.pop(0)[1])
+            self._execute(self.pending.pop(0)[1])
         return EngineState(list(self.models), list(self.adapters), self.role, self.last_fencing)
 
     def serves(self, model: str) -> bool:
@@ -40,7 +40,7 @@
         state = self.state()
         return not state.models or model in state.models or model in state.adapters
 
-    def _carry_out(self, order: EngineOrder) -> None:
+    def _execute(self, order: EngineOrder) -> None:
         if order.kind is OrderKind.SET_ROLE:
             self.role = order.value
         elif order.kind is OrderKind.LOAD_ADAPTER:
