--- a/waxwingglade/standins/__init__.py
+++ b/waxwingglade/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds the system: small, with faults on demand, for tests and trials."""
+"""Small stand-ins for external services, with faults on demand, for tests and trials."""
 
 from waxwingglade.standins.engine import EngineHistory, EngineStandin
 from waxwingglade.standins.engine_batch import (
--- a/waxwingglade/standins/engine.py
+++ b/waxwingglade/standins/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in for a model engine over HTTP, for tests, the demo and the benchmarks."""
+"""Stand-in for a model engine over HTTP, for tests, the demo and the benchmarks."""
 
 import asyncio
 from collections.abc import Sequence
@@ -14,16 +14,16 @@
 
 
 class EngineHistory(msgspec.Struct, frozen=True):
-    """Everything that a checker needs to know of one engine.
+    """The history of one engine, for checks.
 
     Parameters
     ----------
     requests, controls : list
-        What was asked of the engine, in order of arrival.
+        Completion and control requests to the engine, in order of arrival.
     held : list of ProgramId
         Programs for which it holds cache.
     prefilled_again_tokens : int
-        Tokens prefilled that were cached here before.
+        Prefilled tokens that this engine had cached before.
     ended_token_seconds : float
         Token-seconds held by ended programs.
     """
@@ -36,14 +36,14 @@
 
 
 class EngineStandin:
-    """One engine: its core, what it was ordered to do, and its server.
+    """One engine with its core, its orders and its server.
 
     Parameters
     ----------
     speed : EngineSpeed, optional
         Size and speed.
     models : sequence of str
-        Loaded models; an engine without any serves all.
+        Loaded models; an engine without loaded models serves all.
     honours_fencing : bool
         Whether orders with an old fencing number are refused.
     clock, sleep : callable
@@ -69,7 +69,7 @@
 
     @property
     def url(self) -> str:
-        """Where it listens."""
+        """Base URL of the stand-in."""
         return self.server.url
 
     @property
@@ -83,11 +83,11 @@
 
     @property
     def records(self) -> list[EngineRecord]:
-        """Requests seen, in order of arrival."""
+        """Received requests, in order of arrival."""
         return self.core.records
 
     async def start(self, port: int = 0) -> None:
-        """Listen on a loopback port and begin to work; port 0 takes a free one."""
+        """Listen on a loopback port and begin to generate; port 0 selects a free one."""
         self.server.start(port)
         self.task = asyncio.create_task(self.core.run())
 
@@ -98,12 +98,14 @@
         self.task.cancel()
         await self.server.stop()
 
-    def note(self, kind: str, subject: str, *, fencing: int = 0, accepted: bool = True) -> None:
-        """Add a control to the history."""
+    def record_control(
+        self, kind: str, subject: str, *, fencing: int = 0, accepted: bool = True
+    ) -> None:
+        """Add a control request to the history."""
         self.controls.append(ControlRecord(kind, subject, self.clock(), fencing, accepted))
 
     def history(self) -> EngineHistory:
-        """Return what a checker needs."""
+        """Return the history for checks."""
         return EngineHistory(
             self.records,
             self.controls,
--- a/waxwingglade/standins/engine_batch.py
+++ b/waxwingglade/standins/engine_batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching of the engine stand-in, without HTTP and on any clock."""
+"""Continuous batching of the engine stand-in, independent of HTTP and of the clock."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,25 +29,25 @@
     Parameters
     ----------
     slots : int
-        Requests that run at a time.
+        Requests that run concurrently.
     step_s, step_per_request_s : float
-        Seconds of one step with one request, and for each further one in it.
+        Seconds of a step with one request, and seconds added for each further request.
     prefill_tokens_per_s : float
-        Speed of prefilling uncached tokens; it adds to the steps of all.
+        Speed of prefilling uncached tokens; the prefill lengthens the step for all requests.
     prefill_chunk_tokens : int
-        Tokens prefilled in one step at most.
+        Most tokens prefilled in one step.
     cache_blocks : int
-        Blocks of the prefix cache.
+        Capacity of the prefix cache in blocks.
     shortest_answer, longest_answer : int
-        Tokens of an answer that ends by itself.
+        Limits of an answer's length in tokens, if the request does not choose its length.
     event_delay_s : float
         Seconds from a cache event to its publication.
     event_gap_every : int
-        Every so many events one is lost; 0 for none.
+        Every event whose number is a multiple of this is lost; 0 loses none.
     load_lag_s : float
-        Age of the load that is reported.
+        Age in seconds of the reported load.
     order_s : float
-        Seconds that loading a model or an adapter takes.
+        Seconds from an order, such as to load a model, to its completion.
     """
 
     slots: int = 8
@@ -70,17 +70,17 @@
     Parameters
     ----------
     slow_factor : float
-        Each step takes so many times as long.
+        Factor by which each step takes longer.
     hang : bool
-        No step is made any more; requests are taken in and stay silent.
+        Whether the engine makes no steps; it accepts requests and does not answer them.
     refuse : bool
-        New requests get 503 and run not.
+        Whether new requests get status 503 and do not run.
     delay_s : float
-        Seconds before a new request is taken in.
+        Seconds before a new request is accepted.
     cut_after_tokens : int or None
-        The connection is cut after so many tokens, 0 for before the first byte.
+        Number of tokens after which the connection is closed; 0 closes it before the first byte.
     garbage : bool
-        The stream holds an event that is no JSON.
+        Whether the stream has events that are not valid JSON.
     """
 
     slow_factor: float = 1.0
@@ -92,7 +92,7 @@
 
 
 class JobRequest(msgspec.Struct, frozen=True):
-    """What a job has to generate; the fields are those of `EngineRequest`."""
+    """The request of a job; the fields are those of `EngineRequest`."""
 
     request_id: str
     program: ProgramId
@@ -104,9 +104,9 @@
 
 
 class Job:
-    """A request inside the engine.
+    """A request in the engine.
 
-    `outputs` brings each token and at last None; the reason is then in the record's `outcome`.
+    `outputs` yields each token and finally None; the record's `outcome` then has the reason.
     """
 
     def __init__(self, number: int, request: JobRequest, speed: EngineSpeed, now: float) -> None:
@@ -122,13 +122,13 @@
         self.prompt = engine_text.render_prompt(messages, request.resume_text)
         self.blocks = engine_text.block_hashes(self.prompt)
         self.tokens: list[str] = []
-        self.prefill_left = 0
+        self.prefill_remaining = 0
         self.outputs: asyncio.Queue[str | None] = asyncio.Queue()
         self.record = self._record(now)
 
     def _record(self, now: float) -> EngineRecord:
         request = self.request
-        right = engine_text.answer_text(request.model, request.messages, self.position)
+        expected = engine_text.answer_text(request.model, request.messages, self.position)
         return EngineRecord(
             request.request_id,
             request.program,
@@ -136,13 +136,13 @@
             request.priority,
             f"{self.seed:016x}",
             len(request.resume_text),
-            request.resume_text == right,
+            request.resume_text == expected,
             engine_text.count_tokens(self.prompt),
             now,
         )
 
 
-def _urgency(job: Job) -> tuple[int, int]:
+def _queue_order(job: Job) -> tuple[int, int]:
     return job.request.priority, job.number
 
 
@@ -154,7 +154,7 @@
     speed : EngineSpeed
         Size and speed.
     clock, sleep : callable
-        Time source and way to wait, so that a simulated time can be used.
+        Time source and sleep function; both can be simulated.
     """
 
     def __init__(
@@ -167,12 +167,12 @@
         self.cache = PrefixCache(speed.cache_blocks, clock)
         self.events = EventLog(clock, speed.event_delay_s, speed.event_gap_every)
         self.load = LoadLog(clock, speed.load_lag_s)
-        self.waiting: SortedList[Job] = SortedList(key=_urgency)
+        self.waiting: SortedList[Job] = SortedList(key=_queue_order)
         self.running: list[Job] = []
         self.records: list[EngineRecord] = []
-        self.once_cached: set[str] = set()
+        self.previously_cached: set[str] = set()
         self.group: list[EngineCore] = []
-        self.work = asyncio.Event()
+        self.has_work = asyncio.Event()
         self.job_count = 0
 
     def submit(self, request: JobRequest) -> Job:
@@ -181,26 +181,26 @@
         job = Job(self.job_count, request, self.speed, self.clock())
         self.records.append(job.record)
         self.waiting.add(job)
-        self._note_load()
-        self.work.set()
+        self._record_load()
+        self.has_work.set()
         return job
 
     def refuse(self, request: JobRequest) -> None:
-        """Record a request that does not run."""
+        """Record a refused request."""
         record = Job(0, request, self.speed, self.clock()).record
         record.outcome = REFUSED
         record.ended = self.clock()
         self.records.append(record)
 
     def cancel(self, request_id: str) -> bool:
-        """Stop a request; return whether there was one."""
+        """Cancel a request; return whether it was found."""
         found = [each for each in self._jobs() if each.request.request_id == request_id]
         for job in found:
             self.stop(job, CANCELLED)
         return bool(found)
 
     def stop(self, job: Job, outcome: str) -> None:
-        """End a job that has not ended, and cache what it computed."""
+        """End a job that has not ended, and cache the blocks that it computed."""
         if job in self.waiting:
             self.waiting.remove(job)
         elif job in self.running:
@@ -210,14 +210,14 @@
         job.record.outcome = outcome
         job.record.ended = self.clock()
         job.outputs.put_nowait(None)
-        self._note_load()
+        self._record_load()
 
     def release(self, program: ProgramId) -> None:
-        """Forget the cache of a program."""
+        """Release the cache blocks of a program."""
         self._publish(self.cache.release(program), program)
 
     def export(self, program: ProgramId) -> list[str]:
-        """Return the blocks that a program holds, the start of its prefix first."""
+        """Return the blocks that a program holds, from the start of its prefix."""
         held = self.cache.held.get(program, set())
         return [block for block in reversed(self.cache.holders) if block in held]
 
@@ -226,13 +226,13 @@
         self._publish(self.cache.store(program, blocks), program)
 
     def prefilled_again_tokens(self) -> int:
-        """Return the tokens prefilled here that were cached here before."""
+        """Return the prefilled tokens that this engine had cached before."""
         return sum(each.again_tokens for each in self.records)
 
     async def run(self) -> None:
-        """Make steps for ever, whenever there is work."""
+        """Run steps while there are requests, until cancelled."""
         while True:
-            await self.work.wait()
+            await self.has_work.wait()
             while self.faults.hang:
                 await self.sleep(HANG_POLL_S)
             self._admit()
@@ -240,7 +240,7 @@
             await self.sleep(self._step_s(sum(prefills.values())))
             self._advance(prefills)
             if not self.running and not self.waiting:
-                self.work.clear()
+                self.has_work.clear()
 
     def _jobs(self) -> list[Job]:
         return [*self.running, *self.waiting]
@@ -250,7 +250,7 @@
             job = self.waiting.pop(0)
             self._enter_batch(job)
             self.running.append(job)
-        self._note_load()
+        self._record_load()
 
     def _enter_batch(self, job: Job) -> None:
         matched = self.cache.match(job.blocks)
@@ -259,41 +259,41 @@
         record = job.record
         record.admitted = self.clock()
         record.cached_tokens = matched * BLOCK_TOKENS
-        record.again_tokens = BLOCK_TOKENS * len(self.once_cached.intersection(missing))
+        record.again_tokens = BLOCK_TOKENS * len(self.previously_cached.intersection(missing))
         record.elsewhere_tokens = self._elsewhere_tokens(job.blocks, matched)
-        # The last token is always computed, to get the first one of the answer from it.
-        job.prefill_left = max(1, record.prompt_tokens - record.cached_tokens)
+        # The last token is always computed, since the first token of the answer follows from it.
+        job.prefill_remaining = max(1, record.prompt_tokens - record.cached_tokens)
 
     def _elsewhere_tokens(self, blocks: list[str], matched: int) -> int:
         others = [each.cache.match(blocks) for each in self.group if each is not self]
         return BLOCK_TOKENS * max([0, *(each - matched for each in others)])
 
     def _plan_prefills(self) -> dict[int, int]:
-        """Share the prefill of the next step out, in order of admission."""
-        room = self.speed.prefill_chunk_tokens
+        """Return the prefill tokens of each job in the next step, in order of admission."""
+        capacity = self.speed.prefill_chunk_tokens
         plan = {}
         for job in self.running:
-            plan[job.number] = min(room, job.prefill_left)
-            room -= plan[job.number]
+            plan[job.number] = min(capacity, job.prefill_remaining)
+            capacity -= plan[job.number]
         return plan
 
     def _step_s(self, prefill_tokens: int) -> float:
-        decoding = sum(1 for job in self.running if not job.prefill_left)
+        decoding = sum(1 for job in self.running if not job.prefill_remaining)
         batch_s = self.speed.step_s + self.speed.step_per_request_s * max(0, decoding - 1)
         prefill_s = prefill_tokens / self.speed.prefill_tokens_per_s
         return (batch_s + prefill_s) * self.faults.slow_factor
 
     def _advance(self, prefills: dict[int, int]) -> None:
-        """Give each job that is through with its prefill one token."""
+        """Advance all prefills, and generate a token for each job whose prefill is complete."""
         for job in list(self.running):
-            if job.prefill_left:
+            if job.prefill_remaining:
                 self._prefill(job, prefills.get(job.number, 0))
-            if not job.prefill_left:
+            if not job.prefill_remaining:
                 self._generate(job)
 
     def _prefill(self, job: Job, tokens: int) -> None:
-        job.prefill_left -= tokens
-        if not job.prefill_left:
+        job.prefill_remaining -= tokens
+        if not job.prefill_remaining:
             self._store(job, job.blocks)
 
     def _generate(self, job: Job) -> None:
@@ -310,12 +310,12 @@
     def _leave_batch(self, job: Job) -> None:
         self.running.remove(job)
         self.cache.unpin(job.blocks)
-        if not job.prefill_left:
+        if not job.prefill_remaining:
             self._store(job, engine_text.block_hashes(job.prompt + "".join(job.tokens)))
 
     def _store(self, job: Job, blocks: list[str]) -> None:
         change = self.cache.store(job.request.program, blocks)
-        self.once_cached.update(change.stored)
+        self.previously_cached.update(change.stored)
         self._publish(change, job.request.program)
 
     def _publish(self, change: CacheChange, program: ProgramId) -> None:
@@ -324,7 +324,7 @@
         if change.stored:
             self.events.add(CacheEventKind.STORED, change.stored, program)
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         self.load.add(len(self.running), len(self.waiting), self.cache.used_fraction())
 
 
--- a/waxwingglade/standins/engine_cache.py
+++ b/waxwingglade/standins/engine_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of the engine stand-in, and what of it is wasted."""
+"""Prefix cache of the engine stand-in, with an account of memory held by ended programs."""
 
 from collections import Counter, OrderedDict
 
@@ -16,12 +16,12 @@
 
 
 class PrefixCache:
-    """Blocks in order of their last use, and the programs that hold each.
+    """Cached blocks in order of their last use, with the programs that hold each block.
 
     Parameters
     ----------
     capacity : int
-        Blocks that fit.
+        Capacity in blocks.
     clock : Clock
         Time source for the accounting of memory held by ended programs.
     """
@@ -38,77 +38,77 @@
         self.accounted_at = clock()
 
     def match(self, hashes: list[str]) -> int:
-        """Return how many leading blocks are cached."""
+        """Return the number of leading blocks that are cached."""
         for number, block in enumerate(hashes):
             if block not in self.holders:
                 return number
         return len(hashes)
 
     def used_fraction(self) -> float:
-        """Return the part of the memory in use, 0 to 1."""
+        """Return the fraction of the memory in use, from 0 to 1."""
         return len(self.holders) / self.capacity
 
     def pin(self, hashes: list[str]) -> None:
-        """Keep blocks from eviction while a request runs on them."""
+        """Protect blocks from eviction while a request uses them."""
         self.pins.update(hashes)
 
     def unpin(self, hashes: list[str]) -> None:
-        """Undo one `pin`."""
+        """Revert one `pin`."""
         for block in hashes:
             self.pins[block] -= 1
             if not self.pins[block]:
                 del self.pins[block]
 
     def store(self, program: ProgramId, hashes: list[str]) -> CacheChange:
-        """Cache a prefix for `program`, as far as it fits, and mark it as just used."""
-        self._account()
+        """Cache a prefix for `program` as far as it fits, and mark it as most recently used."""
+        self._accumulate()
         self._touch(hashes)
-        wanted = set(hashes)
+        needed = set(hashes)
         stored: list[str] = []
         removed: list[str] = []
         for block in hashes:
             if block not in self.holders:
-                if not self._make_room(removed, wanted):
+                if not self._free_block(removed, needed):
                     break
                 self.holders[block] = set()
                 stored.append(block)
             self.holders[block].add(program)
             self.held.setdefault(program, set()).add(block)
-            self._judge(block)
+            self._update_wasted(block)
         self._touch(hashes)
         return CacheChange(stored, removed)
 
     def release(self, program: ProgramId) -> CacheChange:
-        """Forget what only `program` holds and no request runs on."""
-        self._account()
+        """Release a program's blocks; remove those that no program holds and no request uses."""
+        self._accumulate()
         removed = []
         for block in self.held.pop(program, set()):
             self.holders[block].discard(program)
             if not self.holders[block] and not self.pins[block]:
                 del self.holders[block]
                 removed.append(block)
-            self._judge(block)
+            self._update_wasted(block)
         return CacheChange(removed=removed)
 
     def mark_ended(self, program: ProgramId) -> None:
-        """Count what `program` holds from now on as wasted."""
-        self._account()
+        """Count the memory that `program` holds as wasted from now on."""
+        self._accumulate()
         self.ended.add(program)
         for block in self.held.get(program, ()):
-            self._judge(block)
+            self._update_wasted(block)
 
     def wasted_token_seconds(self) -> float:
         """Return the token-seconds held by ended programs until now."""
-        self._account()
+        self._accumulate()
         return self.ended_token_seconds
 
-    def _account(self) -> None:
+    def _accumulate(self) -> None:
         now = self.clock()
         self.ended_token_seconds += len(self.wasted) * BLOCK_TOKENS * (now - self.accounted_at)
         self.accounted_at = now
 
-    def _judge(self, block: str) -> None:
-        """Note whether a block is held by ended programs only."""
+    def _update_wasted(self, block: str) -> None:
+        """Update whether a block is wasted: held by ended programs only."""
         holders = self.holders.get(block)
         if holders and holders <= self.ended:
             self.wasted.add(block)
@@ -116,25 +116,25 @@
             self.wasted.discard(block)
 
     def _touch(self, hashes: list[str]) -> None:
-        # The start of a prefix is used last, so that eviction takes its end first.
+        # The start of a prefix is marked last, so that its end is evicted first.
         for block in reversed(hashes):
             if block in self.holders:
                 self.holders.move_to_end(block)
 
-    def _make_room(self, removed: list[str], wanted: set[str]) -> bool:
-        """Evict the block that was used longest ago, if the cache is full."""
+    def _free_block(self, removed: list[str], needed: set[str]) -> bool:
+        """Evict the least recently used block if necessary; return whether a block is free."""
         if len(self.holders) < self.capacity:
             return True
         victim = next((block for block in self.holders if not self.pins[block]), None)
-        if victim is None or victim in wanted:
+        if victim is None or victim in needed:
             return False
         for program in self.holders.pop(victim):
-            self._drop(program, victim)
-        self._judge(victim)
+            self._remove_holder(program, victim)
+        self._update_wasted(victim)
         removed.append(victim)
         return True
 
-    def _drop(self, program: ProgramId, block: str) -> None:
+    def _remove_holder(self, program: ProgramId, block: str) -> None:
         blocks = self.held[program]
         blocks.discard(block)
         if not blocks:
--- a/waxwingglade/standins/engine_handlers.py
+++ b/waxwingglade/standins/engine_handlers.py
@@ -22,7 +22,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """What the stand-in reads of a completion."""
+    """The fields of a completion request that the stand-in reads."""
 
     model: str
     messages: list[Message]
@@ -32,19 +32,19 @@
 
 
 class RequestBody(msgspec.Struct, frozen=True):
-    """Body that names a request."""
+    """Body with the id of a request."""
 
     request_id: str
 
 
 class ProgramBody(msgspec.Struct, frozen=True):
-    """Body that names a program."""
+    """Body with the id of a program."""
 
     program: ProgramId
 
 
 class _Handler(tornado.web.RequestHandler):
-    """Base: knows the stand-in and speaks JSON."""
+    """Base class of the handlers, with JSON bodies."""
 
     def initialize(self, standin: EngineStandin) -> None:
         self.standin = standin
@@ -109,16 +109,16 @@
         )
 
     async def _stream(self, job: Job) -> None:
-        if self._cut_due(job):
+        if self._cut_if_due(job):
             return
         while (token := await job.outputs.get()) is not None:
             self._send_token(token, job.record)
             await self.flush()
-            if self._cut_due(job):
+            if self._cut_if_due(job):
                 return
         self._end(job)
 
-    def _cut_due(self, job: Job) -> bool:
+    def _cut_if_due(self, job: Job) -> bool:
         if self.core.faults.cut_after_tokens != job.record.output_tokens:
             return False
         self.core.stop(job, CUT)
@@ -173,7 +173,7 @@
     def post(self) -> None:
         request_id = self.read(RequestBody).request_id
         found = self.core.cancel(request_id)
-        self.standin.note("cancel", request_id, accepted=found)
+        self.standin.record_control("cancel", request_id, accepted=found)
         self.answer({})
 
 
@@ -181,7 +181,7 @@
     def post(self) -> None:
         program = self.read(ProgramBody).program
         self.core.release(program)
-        self.standin.note("release", program)
+        self.standin.record_control("release", program)
         self.answer({})
 
 
@@ -204,7 +204,7 @@
         if not blocks:
             self.refuse(HTTPStatus.NOT_FOUND, "not_run", "holds no cache of the program")
             return
-        self.standin.note("export", program)
+        self.standin.record_control("export", program)
         self.answer(blocks)
 
 
@@ -212,7 +212,7 @@
     def post(self) -> None:
         program = ProgramId(self.get_argument("program"))
         self.core.import_blocks(program, self.read(list[str]))
-        self.standin.note("import", program)
+        self.standin.record_control("import", program)
         self.answer({})
 
 
@@ -221,7 +221,7 @@
         order = self.read(EngineOrder)
         accepted = self.standin.orders.take(order)
         subject = f"{order.kind.value} {order.value}"
-        self.standin.note("order", subject, fencing=order.fencing, accepted=accepted)
+        self.standin.record_control("order", subject, fencing=order.fencing, accepted=accepted)
         if not accepted:
             self.refuse(HTTPStatus.CONFLICT, "fenced", "old fencing number")
             return
--- a/waxwingglade/standins/engine_orders.py
+++ b/waxwingglade/standins/engine_orders.py
@@ -1,11 +1,11 @@
-"""Orders to the engine stand-in, and what they made of it."""
+"""Execution of orders to the engine stand-in."""
 
 from waxwingglade.base import Clock
 from waxwingglade.connection import EngineOrder, EngineState, OrderKind
 
 
 class OrderExecutor:
-    """Carries orders out, after a delay, and honours or ignores their fencing numbers."""
+    """Executes orders after a delay, and checks or ignores their fencing numbers."""
 
     def __init__(
         self, models: list[str], clock: Clock, order_s: float, honours_fencing: bool
@@ -29,14 +29,14 @@
         return True
 
     def state(self) -> EngineState:
-        """Return what is loaded by now."""
+        """Return the models, adapters and role after the orders that are due."""
         now = self.clock()
         while self.pending and self.pending[0][0] <= now:
             self._execute(self.pending.pop(0)[1])
         return EngineState(list(self.models), list(self.adapters), self.role, self.last_fencing)
 
     def serves(self, model: str) -> bool:
-        """Return whether a model or adapter is loaded; an engine without any serves all."""
+        """Return whether a model or adapter is served; without loaded models all are served."""
         state = self.state()
         return not state.models or model in state.models or model in state.adapters
 
--- a/waxwingglade/standins/engine_reports.py
+++ b/waxwingglade/standins/engine_reports.py
@@ -1,4 +1,4 @@
-"""What the engine stand-in reports of itself: cache events and load, both late, and a history."""
+"""Reports of the engine stand-in: delayed cache events, delayed load and a request history."""
 
 from collections import deque
 
@@ -7,31 +7,31 @@
 from waxwingglade.base import Clock, ProgramId
 from waxwingglade.connection import CacheEvent, CacheEventKind
 
-EVENTS_KEPT = 10_000
-SAMPLES_KEPT = 10_000
+EVENT_CAPACITY = 10_000
+SAMPLE_CAPACITY = 10_000
 
 
 class EngineRecord(msgspec.Struct):
-    """One request that the stand-in saw.
+    """One request that the stand-in received.
 
     Parameters
     ----------
     request_id, program, model, priority
-        As asked for.
+        As in the request.
     seed : str
-        Digest of model and conversation, from which the right answer follows.
+        Digest of model and conversation, which determines the expected answer.
     resume_characters : int
         Length of the text to continue.
     resume_matches : bool
-        Whether that text is the start of the right answer.
+        Whether that text is the start of the expected answer.
     prompt_tokens, cached_tokens, output_tokens : int
-        Tokens; cached ones were not prefilled.
+        Numbers of tokens; cached tokens were not prefilled.
     again_tokens : int
         Prefilled tokens that this engine had cached before.
     elsewhere_tokens : int
-        Prefilled tokens that another engine of the group held at that moment.
+        Prefilled tokens that another engine of the group had cached at that time.
     arrived, admitted, first_token, ended : float
-        Monotonic seconds; 0 where it did not come to that.
+        Times in monotonic seconds; 0 if the request did not get that far.
     outcome : str
         ``running``, ``stop``, ``length``, ``cancelled``, ``cut`` or ``refused``.
     """
@@ -56,7 +56,7 @@
 
 
 class ControlRecord(msgspec.Struct, frozen=True):
-    """A cancel, release, order or other control that the stand-in saw."""
+    """A cancel, release, order or other control request that the stand-in received."""
 
     kind: str
     subject: str
@@ -75,7 +75,7 @@
     delay_s : float
         Seconds from an event to its publication.
     gap_every : int
-        Every so many events one is lost; 0 for none.
+        Every event whose number is a multiple of this is lost; 0 loses none.
     """
 
     def __init__(self, clock: Clock, delay_s: float, gap_every: int) -> None:
@@ -85,16 +85,16 @@
         self.sequence = 0
         self.published_sequence = 0
         self.unpublished: deque[tuple[float, CacheEvent]] = deque()
-        self.published: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
+        self.published: deque[CacheEvent] = deque(maxlen=EVENT_CAPACITY)
 
     def add(self, kind: CacheEventKind, blocks: list[str], program: ProgramId | None) -> None:
-        """Note an event."""
+        """Add an event."""
         self.sequence += 1
         event = CacheEvent(self.sequence, kind, blocks, program)
         self.unpublished.append((self.clock() + self.delay_s, event))
 
     def after(self, sequence: int) -> list[CacheEvent]:
-        """Return the events that are published by now, newer than `sequence`."""
+        """Return the published events newer than `sequence`."""
         while self.unpublished and self.unpublished[0][0] <= self.clock():
             self._publish(self.unpublished.popleft()[1])
         return [each for each in self.published if each.sequence > sequence]
@@ -107,7 +107,7 @@
 
 
 class LoadSample(msgspec.Struct, frozen=True):
-    """Load at one moment."""
+    """Load at one time."""
 
     at: float
     running: int = 0
@@ -121,15 +121,15 @@
     def __init__(self, clock: Clock, lag_s: float) -> None:
         self.clock = clock
         self.lag_s = lag_s
-        self.samples: deque[LoadSample] = deque([LoadSample(clock())], maxlen=SAMPLES_KEPT)
+        self.samples: deque[LoadSample] = deque([LoadSample(clock())], maxlen=SAMPLE_CAPACITY)
 
     def add(self, running: int, waiting: int, kv_used_fraction: float) -> None:
-        """Note the load of now."""
+        """Add the current load."""
         self.samples.append(LoadSample(self.clock(), running, waiting, kv_used_fraction))
         self._drop_old()
 
     def reported(self) -> LoadSample:
-        """Return the newest sample that is at least `lag_s` old, else the oldest one."""
+        """Return the newest sample that is at least `lag_s` old, or else the oldest one."""
         self._drop_old()
         return self.samples[0]
 
--- a/waxwingglade/standins/engine_text.py
+++ b/waxwingglade/standins/engine_text.py
@@ -1,7 +1,7 @@
-"""Deterministic text for the stand-in of a model engine.
+"""Deterministic answers of the engine stand-in.
 
-An answer depends only on the model and the conversation, so a resumed answer must equal the
-uninterrupted one, and a checker can tell an answer to a mixed history from a right one.
+An answer depends only on the model and the conversation.  So a resumed answer must equal the
+uninterrupted one, and a check can detect an answer to a wrong history.
 """
 
 import re
@@ -21,37 +21,37 @@
 
 
 def render(messages: list[Message]) -> str:
-    """Return a conversation as the engine sees it."""
+    """Return the text of a conversation in the engine's input format."""
     return "".join(f"<{each.role.value}>{each.content}\n" for each in messages)
 
 
 def render_prompt(messages: list[Message], answer: str = "") -> str:
     """Return a conversation followed by the start of its next answer.
 
-    It is a prefix of the rendered conversation of the next turn, which therefore finds it cached.
+    It is a prefix of the next turn's conversation, so the cache has the blocks of that prefix.
     """
     return f"{render(messages)}<{MessageRole.ASSISTANT.value}>{answer}"
 
 
 def count_tokens(text: str) -> int:
-    """Return the tokens of a text; an incomplete one counts."""
+    """Return the number of tokens of a text; an incomplete token counts."""
     return -(-len(text) // TOKEN_CHARACTERS)
 
 
 def answer_length(messages: list[Message], shortest: int, longest: int) -> int:
-    """Return after how many tokens the answer ends by itself.
+    """Return the number of tokens of the complete answer.
 
-    ``tokens=N`` in the last message asks for a length.
+    ``tokens=N`` in the last message requests a length.
     """
-    asked = LENGTH_REQUEST.search(messages[-1].content) if messages else None
-    if asked is not None:
-        return int(asked[1])
+    requested = LENGTH_REQUEST.search(messages[-1].content) if messages else None
+    if requested is not None:
+        return int(requested[1])
     seed = xxhash.xxh3_64_intdigest(render(messages).encode())
     return shortest + seed % (longest - shortest + 1)
 
 
 def answer_seed(model: str, messages: list[Message]) -> int:
-    """Return the number from which the tokens of an answer follow."""
+    """Return the seed of the tokens of an answer."""
     return xxhash.xxh3_64_intdigest(f"{model}\n{render(messages)}".encode())
 
 
@@ -65,7 +65,7 @@
 
 
 def answer_text(model: str, messages: list[Message], tokens: int) -> str:
-    """Return the first `tokens` tokens of the right answer, for checkers."""
+    """Return the first `tokens` tokens of the expected answer, for checks."""
     seed = answer_seed(model, messages)
     return "".join(answer_token(seed, position) for position in range(tokens))
 
--- a/waxwingglade/standins/metadata_store.py
+++ b/waxwingglade/standins/metadata_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's metadata store: items, revisions, watches, conditional writes."""
+"""Stand-in for the platform's metadata store with revisions, watches and conditional writes."""
 
 import asyncio
 import base64
@@ -12,7 +12,7 @@
 
 
 class StoreFault(Enum):
-    """What the store does to its callers."""
+    """Fault of the store."""
 
     NONE = "none"
     BUSY = "busy"
@@ -21,21 +21,21 @@
 
 
 class MetadataStore:
-    """Items in memory, and the HTTP server that offers them.
+    """Items in memory, with an HTTP server.
 
     Attributes
     ----------
     calls : int
-        Calls made.
+        Number of calls received.
     fault : StoreFault
-        What is wrong with it at present.
+        Current fault.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.items: dict[str, dict[str, Any]] = {}
         self.history: list[dict[str, Any]] = []
-        self.oldest = 0
+        self.compacted_revision = 0
         self.changed = asyncio.Event()
         self.fault = StoreFault.NONE
         self.calls = 0
@@ -43,7 +43,7 @@
         self.address = ""
 
     def start(self, host: str = "127.0.0.1") -> None:
-        """Begin to serve on a free port."""
+        """Start to serve on a free port."""
         rules = [
             (r"/v1/kv-key", _Key),
             (r"/v1/kv-range", _Range),
@@ -66,7 +66,7 @@
         await self.server.close_all_connections()
 
     def put(self, key: str, value: Any) -> int:
-        """Write an item as the operator or a server would: a JSON value."""
+        """Write a JSON value, as the operator or a server does."""
         return self.put_bytes(key, json.dumps(value).encode())
 
     def put_bytes(self, key: str, value: bytes) -> int:
@@ -81,7 +81,7 @@
             "lease_id": 0,
         }
         self.items[key] = item
-        self._note(item)
+        self._record(item)
         return self.revision
 
     def remove(self, key: str) -> None:
@@ -89,17 +89,17 @@
         if self.items.pop(key, None) is None:
             return
         self.revision += 1
-        self._note({"key": key, "revision": self.revision, "deleted": True})
+        self._record({"key": key, "revision": self.revision, "deleted": True})
 
     def value(self, key: str) -> bytes | None:
-        """Return what a key holds."""
+        """Return the value of a key, or None."""
         item = self.items.get(key)
         return base64.b64decode(item["value"]) if item else None
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the history."""
         self.history.clear()
-        self.oldest = self.revision
+        self.compacted_revision = self.revision
 
     def events(self, prefix: str, after: int) -> list[dict[str, Any]]:
         """Return the changes below a prefix after a revision."""
@@ -109,7 +109,7 @@
             if event["revision"] > after and event["key"].startswith(prefix)
         ]
 
-    def _note(self, event: dict[str, Any]) -> None:
+    def _record(self, event: dict[str, Any]) -> None:
         self.history.append(event)
         self.changed.set()
         self.changed = asyncio.Event()
@@ -159,15 +159,15 @@
         after = int(self.get_argument("after"))
         end_at = asyncio.get_running_loop().time() + int(self.get_argument("wait_ms")) / 1000
         while True:
-            if after < self.store.oldest:
+            if after < self.store.compacted_revision:
                 self.answer(410, {})
                 return
             events = self.store.events(prefix, after)
-            left_s = end_at - asyncio.get_running_loop().time()
-            if events or left_s <= 0:
+            remaining_s = end_at - asyncio.get_running_loop().time()
+            if events or remaining_s <= 0:
                 break
             try:
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(remaining_s):
                     await self.store.changed.wait()
             except TimeoutError:
                 continue
@@ -178,12 +178,12 @@
     def post(self) -> None:
         body = json.loads(self.request.body)
         expected = body.get("expected_rev", [])
-        held = [self.store.items.get(row["key"]) for row in expected]
+        current = [self.store.items.get(row["key"]) for row in expected]
         if any(
             (item["revision"] if item else 0) != row["revision"]
-            for item, row in zip(held, expected, strict=True)
+            for item, row in zip(current, expected, strict=True)
         ):
-            self.answer(412, {"items": [item for item in held if item]})
+            self.answer(412, {"items": [item for item in current if item]})
             return
         for write in body["writes"]:
             self.store.put_bytes(write["key"], base64.b64decode(write["value"]))
--- a/waxwingglade/standins/platform.py
+++ b/waxwingglade/standins/platform.py
@@ -1,4 +1,4 @@
-"""Small stand-in for the platform's list of VMs, which lags behind reality."""
+"""Stand-in for the platform's list of VMs, which lags behind the real state."""
 
 from enum import Enum
 from http import HTTPStatus
@@ -11,7 +11,7 @@
 
 
 class VMState(Enum):
-    """Whether the platform is about to take a VM away."""
+    """State of a VM; the platform is about to remove a leaving VM."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -27,21 +27,21 @@
 
 
 class VMListing(msgspec.Struct, frozen=True):
-    """The VMs as they were from a time on."""
+    """The list of VMs from a time on, in seconds of the clock."""
 
     since: float
     vms: list[VM]
 
 
 class PlatformStandin:
-    """Lists VMs as they were some time ago.
+    """Lists VMs with a delay.
 
-    ``GET /vms`` answers with the list; ``POST /standin/vms`` replaces what it will show.
+    ``GET /vms`` returns the list; ``POST /standin/vms`` replaces it after the delay.
 
     Parameters
     ----------
     lag_s : float
-        Seconds until a change shows.
+        Delay of a change in seconds.
     clock : Clock
         Time source, in seconds.
     """
@@ -59,16 +59,16 @@
 
     @property
     def url(self) -> str:
-        """Address of the stand-in."""
+        """Base URL of the stand-in."""
         return self.server.url
 
     @property
     def vms_url(self) -> str:
-        """Address of the list."""
+        """URL of the list."""
         return f"{self.url}/vms"
 
     async def start(self, port: int = 0) -> None:
-        """Listen; port 0 takes a free one."""
+        """Listen; port 0 selects a free one."""
         self.server.start(port)
 
     async def stop(self) -> None:
@@ -76,27 +76,29 @@
         await self.server.stop()
 
     def set_vms(self, vms: list[VM]) -> None:
-        """Change the VMs; the list shows it after the lag."""
+        """Change the VMs; the list changes after the lag."""
         self.listings.append(VMListing(self.clock(), vms))
 
     def vms(self) -> list[VM]:
-        """Return the VMs as they were before the lag."""
-        shown = [known for known in self.listings if known.since <= self.clock() - self.lag_s]
-        if not shown:
+        """Return the VMs as of `lag_s` seconds ago."""
+        visible = [
+            listing for listing in self.listings if listing.since <= self.clock() - self.lag_s
+        ]
+        if not visible:
             return []
-        self.listings = self.listings[len(shown) - 1 :]
-        return shown[-1].vms
+        self.listings = self.listings[len(visible) - 1 :]
+        return visible[-1].vms
 
 
 class ListHandler(RequestHandler):
-    """Shows the list."""
+    """Returns the list."""
 
     def initialize(self, standin: PlatformStandin) -> None:
-        """Take the stand-in; called by tornado."""
+        """Set the stand-in; called by tornado."""
         self.standin = standin
 
     def get(self) -> None:
-        """Answer with the VMs."""
+        """Answer with the listed VMs."""
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(self.standin.vms()))
 
@@ -105,11 +107,11 @@
     """Changes the VMs."""
 
     def initialize(self, standin: PlatformStandin) -> None:
-        """Take the stand-in; called by tornado."""
+        """Set the stand-in; called by tornado."""
         self.standin = standin
 
     def post(self) -> None:
-        """Replace the VMs by those of the body."""
+        """Replace the VMs with those of the body."""
         try:
             vms = msgspec.json.decode(self.request.body, type=list[VM])
         except msgspec.MsgspecError as error:
--- a/waxwingglade/standins/registered_server.py
+++ b/waxwingglade/standins/registered_server.py
@@ -1,6 +1,6 @@
-"""A stand-in of a server that registers itself in the metadata store: an engine or a plain service.
+"""Stand-in for a server that registers itself in the metadata store: an engine or a plain service.
 
-It speaks HTTP by hand, so that it can answer late, twice, torn or not at all.
+It implements HTTP itself, so that its answers can be late, duplicated, truncated or missing.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class ServerFault(Enum):
-    """What a server does to the next requests."""
+    """Fault of a server in its next requests."""
 
     NONE = "none"
     REFUSED = "refuses as not run"
@@ -29,7 +29,7 @@
 
 
 class Run(msgspec.Struct, frozen=True):
-    """One request that a server ran, and when it began, in monotonic seconds."""
+    """One request that a server ran, with its start in monotonic seconds."""
 
     request: str
     method: str
@@ -40,27 +40,27 @@
 
 
 class RegisteredServer:
-    """One incarnation of a server.
+    """One instance of a server.
 
     Parameters
     ----------
     store : MetadataStore
-        Where it registers itself.
+        Store in which it registers itself.
     service : str
-        Its service.
+        Name of its service.
     events : int
-        Events of a stream; 0 for a plain service.
+        Number of events of a stream; 0 for a plain service.
     event_s : float
-        Seconds between events, or for a plain answer.
+        Seconds between events, or until a plain answer.
 
     Attributes
     ----------
     advertised : str
-        Address that it registers; its own where that is empty.
+        Address that it registers instead of its own, unless it is empty.
     runs : list of Run
-        What it ran.
+        Requests that it ran.
     fault : ServerFault
-        What it does wrong at present.
+        Current fault.
     """
 
     def __init__(
@@ -80,18 +80,18 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, host: str = "127.0.0.1") -> None:
-        """Begin to serve, and register."""
+        """Start to serve, and register."""
         await self.listen(host)
         self.register("ready")
 
     async def listen(self, host: str = "127.0.0.1") -> None:
-        """Begin to serve."""
+        """Start to serve."""
         self.server = await asyncio.start_server(self._serve, host, 0)
         port = self.server.sockets[0].getsockname()[1]
         self.address = f"{host}:{port}"
 
     def register(self, state: str) -> None:
-        """Write this server's entry."""
+        """Write this server's item in the store."""
         self.store.put(
             f"servers/{self.name}",
             {
@@ -107,7 +107,7 @@
         )
 
     async def stop(self) -> None:
-        """Stop at once, and deregister."""
+        """Deregister, and stop without finishing requests."""
         self.store.remove(f"servers/{self.name}")
         assert self.server is not None
         self.server.close()
@@ -202,7 +202,7 @@
 
 
 def event_data(body: bytes, number: int) -> bytes:
-    """Return the data of an event, which depends on the whole prompt."""
+    """Return the data of an event, which depends on the complete request body."""
     return b"%d-%s" % (number, hashlib.sha256(body).hexdigest()[:12].encode())
 
 
--- a/waxwingglade/standins/server.py
+++ b/waxwingglade/standins/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server that the stand-ins share."""
+"""HTTP server of the stand-ins."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 class StandinServer:
-    """A server on a loopback port; `url` is set once it listens."""
+    """A server on a loopback port; `url` is set when it listens."""
 
     def __init__(self, routes: list[tuple[str, type, dict[str, Any]]]) -> None:
         application = tornado.web.Application(routes, log_function=log_nothing)
@@ -19,7 +19,7 @@
         self.url = ""
 
     def start(self, port: int = 0) -> None:
-        """Listen; port 0 takes a free one."""
+        """Listen; port 0 selects a free one."""
         self.url = f"http://{LOOPBACK}:{listen(self.server, port)}"
 
     async def stop(self) -> None:
@@ -29,14 +29,14 @@
 
 
 def listen(server: tornado.httpserver.HTTPServer, port: int) -> int:
-    """Let a server listen on the loopback address, and return the port that it got."""
+    """Start to listen on the loopback address, and return the port."""
     sockets = tornado.netutil.bind_sockets(port, LOOPBACK)
     server.add_sockets(sockets)
     return sockets[0].getsockname()[1]
 
 
 def log_nothing(_handler: tornado.web.RequestHandler) -> None:
-    """Log nothing of a request: refusals are what tests ask for."""
+    """Suppress request logs, since tests provoke many refusals."""
 
 
 __all__ = ["LOOPBACK", "StandinServer", "listen", "log_nothing"]
--- a/waxwingglade/standins/store.py
+++ b/waxwingglade/standins/store.py
@@ -1,7 +1,7 @@
-"""Small stand-in for the platform's key-value service, for tests and trials.
+"""Stand-in for the platform's key-value service, for tests and trials.
 
-It speaks the etcd v3 JSON gateway over a state in memory.  Faults are read and set at
-``/standin/faults``, which answers on a port of its own too, so that it can be reached while the
+It implements the etcd v3 JSON gateway with its state in memory.  Faults are read and set at
+``/standin/faults``.  That path is also served on a port of its own, which is reachable while the
 store refuses connections.
 """
 
@@ -35,17 +35,17 @@
 )
 from waxwingglade.standins.store_state import StoreState
 
-LAPSE_PERIOD_MS = 20
+EXPIRY_PERIOD_MS = 20
 MAX_BODY_BYTES = 8_000_000
 
 
 class StoreStandin:
-    """A store with its listeners and faults.
+    """A store with its HTTP servers and faults.
 
     Parameters
     ----------
     limits : StoreLimits or None
-        Rates above which calls are refused; None for those of the platform.
+        Rates above which calls are refused; None for the default rates, which are the platform's.
     clock : Clock
         Time source of leases and rates, in seconds.
     """
@@ -59,39 +59,39 @@
         self.watch_generation = 0
         self.server: HTTPServer | None = None
         self.control: HTTPServer | None = None
-        self.lapser = PeriodicCallback(self.lapse, LAPSE_PERIOD_MS)
+        self.expiry_timer = PeriodicCallback(self.revoke_expired, EXPIRY_PERIOD_MS)
         self.port = 0
         self.control_port = 0
 
     @property
     def url(self) -> str:
-        """Address of the gateway."""
+        """Base URL of the gateway."""
         return f"http://{LOOPBACK}:{self.port}"
 
     @property
     def control_url(self) -> str:
-        """Address of the fault controls, which answers in every outage."""
+        """Base URL of the fault controls, which answer during any outage."""
         return f"http://{LOOPBACK}:{self.control_port}"
 
     async def start(self, port: int = 0, control_port: int = 0) -> None:
-        """Listen; port 0 takes a free one."""
+        """Listen; port 0 selects a free one."""
         faults_route = (r"/standin/faults", FaultsHandler, {"standin": self})
         self.control = HTTPServer(Application([faults_route], log_function=log_nothing))
         self.control_port = listen(self.control, control_port)
         self.port = port
         self.open_gateway()
-        self.lapser.start()
+        self.expiry_timer.start()
 
     async def stop(self) -> None:
-        """Close the listeners and every connection."""
-        self.lapser.stop()
+        """Close the servers and all connections."""
+        self.expiry_timer.stop()
         self.active_faults.set(StoreFaults())
         await self.close_gateway()
         self.control.stop()
         await self.control.close_all_connections()
 
     def open_gateway(self) -> None:
-        """Listen at the port of the gateway."""
+        """Listen on the port of the gateway."""
         routes = [
             (r"/standin/faults", FaultsHandler, {"standin": self}),
             (r"/v3/watch", WatchHandler, {"standin": self}),
@@ -103,7 +103,7 @@
         self.port = listen(self.server, self.port)
 
     async def close_gateway(self) -> None:
-        """Refuse connections from now on, and close those that there are."""
+        """Refuse new connections, and close the open ones."""
         if self.server is None:
             return
         server = self.server
@@ -113,7 +113,7 @@
         await server.close_all_connections()
 
     async def set_faults(self, faults: StoreFaults) -> None:
-        """Put faults in force, and do at once what acts once."""
+        """Apply faults, and execute the one-shot ones."""
         self.active_faults.set(faults)
         if faults.release_held:
             self.release_held()
@@ -131,32 +131,32 @@
             self.open_gateway()
 
     def run(self, path: str, body: bytes) -> Reply:
-        """Run one call."""
-        self.lapse()
+        """Execute one call."""
+        self.revoke_expired()
         reply = run_call(self.state, path, body)
         self.notify_watches()
         return reply
 
     def release_held(self) -> None:
-        """Let the writes that were kept back take effect, in order."""
+        """Execute the held writes, in order."""
         held = self.active_faults.held
         self.active_faults.held = []
         for write in held:
             self.run(write.path, write.body)
 
-    def lapse(self) -> None:
-        """End leases whose time is over."""
-        self.state.lapse_expired()
+    def revoke_expired(self) -> None:
+        """Revoke expired leases."""
+        self.state.revoke_expired()
         self.notify_watches()
 
     def notify_watches(self) -> None:
-        """Wake the watches if there are changes."""
+        """Wake the watches if the revision has changed."""
         if self.notified_revision != self.state.revision:
             self.notified_revision = self.state.revision
             self.wake_watches()
 
     def wake_watches(self) -> None:
-        """Let every watch look for changes and for its end."""
+        """Make every watch check for changes and for its end."""
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -167,19 +167,19 @@
 
 
 class CallHandler(RequestHandler):
-    """One call with one answer."""
+    """Handles a call with a single answer."""
 
     def initialize(self, standin: StoreStandin) -> None:
-        """Take the stand-in; called by tornado."""
+        """Set the stand-in; called by tornado."""
         self.standin = standin
 
     async def post(self, path: str) -> None:
-        """Run the call, or what the faults make of it."""
+        """Execute the call, subject to the faults."""
         active_faults = self.standin.active_faults
         body = self.request.body
-        if await active_faults.while_hanging():
+        if await active_faults.wait_while_hanging():
             return self.cut()
-        await active_faults.half_latency()
+        await active_faults.wait_half_latency()
         write = is_write(path, body)
         if not self.standin.rates.admit(write):
             return self.answer(refusal(GrpcCode.RESOURCE_EXHAUSTED, TOO_MANY_MESSAGE))
@@ -188,7 +188,7 @@
         reply = self.standin.run(path, body)
         if write and active_faults.loses_answer():
             return self.cut()
-        await active_faults.half_latency()
+        await active_faults.wait_half_latency()
         return self.answer(reply)
 
     def cut(self) -> None:
@@ -203,23 +203,23 @@
 
 
 class WatchHandler(RequestHandler):
-    """One watch, for as long as its connection lives."""
+    """Handles a watch until its connection ends."""
 
     def initialize(self, standin: StoreStandin) -> None:
-        """Take the stand-in; called by tornado."""
+        """Set the stand-in; called by tornado."""
         self.standin = standin
-        self.is_gone = False
+        self.is_disconnected = False
 
     def on_connection_close(self) -> None:
-        """Note that the client has gone."""
-        self.is_gone = True
+        """Record that the client has disconnected."""
+        self.is_disconnected = True
         self.standin.wake_watches()
 
     async def post(self) -> None:
         """Stream the changes of a range."""
-        # Otherwise each line would wait until the client has acknowledged the one before.
+        # Without this, each line would wait until the client has acknowledged the previous one.
         self.request.connection.stream.set_nodelay(True)
-        await self.standin.active_faults.while_hanging()
+        await self.standin.active_faults.wait_while_hanging()
         create = decode_message(self.request.body, WatchRequest).create_request
         if not self.standin.rates.open_watch():
             self.set_status(HTTPStatus.TOO_MANY_REQUESTS)
@@ -231,13 +231,13 @@
             self.standin.rates.close_watch()
 
     async def stream(self, create: WatchCreateRequest) -> None:
-        """Send changes until the watch is dropped, its client goes or it falls behind."""
+        """Send changes until the watch is dropped, its client leaves or its start is compacted."""
         standin = self.standin
         state = standin.state
         generation = standin.watch_generation
         revision = create.start_revision or state.revision + 1
         await self.send(WatchResponse(header=state.header(), created=True))
-        while not self.is_gone and generation == standin.watch_generation:
+        while not self.is_disconnected and generation == standin.watch_generation:
             changed = standin.changed
             if revision <= state.compacted:
                 await self.send(compacted(state))
@@ -249,27 +249,27 @@
             await changed.wait()
 
     async def send(self, response: WatchResponse) -> None:
-        """Send one line, unless the client has gone."""
-        await self.standin.active_faults.while_hanging()
-        if self.is_gone:
+        """Send one line, unless the client has disconnected."""
+        await self.standin.active_faults.wait_while_hanging()
+        if self.is_disconnected:
             return
         self.write(encode_message(WatchResult(result=response)) + b"\n")
         await self.flush()
 
 
 class FaultsHandler(RequestHandler):
-    """Shows and sets the faults."""
+    """Returns and sets the faults."""
 
     def initialize(self, standin: StoreStandin) -> None:
-        """Take the stand-in; called by tornado."""
+        """Set the stand-in; called by tornado."""
         self.standin = standin
 
     def get(self) -> None:
-        """Answer with the faults in force."""
+        """Answer with the current faults."""
         self.finish(msgspec.json.encode(self.standin.active_faults.faults))
 
     async def post(self) -> None:
-        """Put the faults of the body in force."""
+        """Apply the faults of the body."""
         try:
             faults = msgspec.json.decode(self.request.body, type=StoreFaults)
         except msgspec.MsgspecError as error:
@@ -281,7 +281,7 @@
 
 
 def compacted(state: StoreState) -> WatchResponse:
-    """Return the end of a watch whose changes are forgotten."""
+    """Return the last response of a watch whose changes were compacted."""
     return WatchResponse(header=state.header(), canceled=True, compact_revision=state.compacted + 1)
 
 
--- a/waxwingglade/standins/store_calls.py
+++ b/waxwingglade/standins/store_calls.py
@@ -47,7 +47,7 @@
 
 
 def run_call(state: StoreState, path: str, body: bytes) -> Reply:
-    """Run one call and return its answer, a refusal included."""
+    """Execute one call and return its answer, which may be a refusal."""
     operation = OPERATIONS.get(path)
     if operation is None:
         return refusal(GrpcCode.UNIMPLEMENTED, f"no such call: {path}")
@@ -61,13 +61,13 @@
 
 
 def refusal(code: GrpcCode, message: str) -> Reply:
-    """Return an error in the gateway's form."""
+    """Return an error in the gateway's format."""
     error = GatewayError(error=message, code=code.value, message=message)
     return Reply(HTTP_STATUS[code], msgspec.json.encode(error))
 
 
 def is_write(path: str, body: bytes) -> bool:
-    """Return whether a call counts as a write; a transaction of reads only does not."""
+    """Return whether a call counts as a write; a transaction that only reads does not."""
     if path == RANGE_PATH:
         return False
     if path != TXN_PATH:
@@ -85,12 +85,12 @@
 
 
 def run_txn(state: StoreState, body: bytes) -> Message:
-    """Run a transaction."""
+    """Execute a transaction."""
     return state.txn(decode_message(body, TxnRequest))
 
 
 def run_put(state: StoreState, body: bytes) -> Message:
-    """Write a key whatever it holds."""
+    """Write a key unconditionally."""
     op = RequestOp(request_put=decode_message(body, PutRequest))
     return run_one(state, op).response_put
 
@@ -102,7 +102,7 @@
 
 
 def run_one(state: StoreState, op: RequestOp) -> ResponseOp:
-    """Run one operation without a condition."""
+    """Execute one operation without a condition."""
     return state.txn(TxnRequest(success=[op])).responses[0]
 
 
@@ -121,7 +121,7 @@
 
 
 def run_revoke(state: StoreState, body: bytes) -> Message:
-    """End a lease."""
+    """Revoke a lease."""
     state.revoke(decode_message(body, LeaseRequest).ID)
     return LeaseRevokeResponse(header=state.header())
 
--- a/waxwingglade/standins/store_faults.py
+++ b/waxwingglade/standins/store_faults.py
@@ -1,4 +1,4 @@
-"""Rates of the store stand-in, and the faults that a test can turn on in it."""
+"""Rate limits of the store stand-in, and the faults that tests can set."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class Outage(Enum):
-    """How the store is away: not at all, connections are refused, or answers never come."""
+    """Kind of outage: none, connections are refused, or calls are not answered."""
 
     NONE = "none"
     REFUSE = "refuse"
@@ -27,38 +27,38 @@
 
 
 class StoreFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What goes wrong until the next setting; the last five fields act once, when they are set.
+    """Faults until the next setting; the last five fields act once, when they are set.
 
     Parameters
     ----------
     latency_s, jitter_s : float
-        Delay of a call, half before and half after it runs, and the largest random part added
-        to it.
+        Delay of a call in seconds, half before and half after it runs, and the greatest random
+        addition to it.
     seed : int
-        Start of the random numbers.
+        Seed of the random numbers.
     outage : Outage
-        Whether and how the store is away.
+        Kind of outage.
     lost_answer_probability : float
-        Chance that a write takes effect and its connection closes without an answer.
+        Probability that a write takes effect and its connection closes without an answer.
     lost_answers : int
-        Writes from now on whose answer is lost for certain.
+        Number of next writes whose answer is always lost.
     held_writes : int
-        Writes from now on whose connection closes at once and that take effect only on
-        `release_held`, as if the network had kept them.
+        Number of next writes that are held.  Their connection closes immediately, and they take
+        effect only on `release_held`, as if the network had delayed them.
     release_held : bool
         Let the held writes take effect.
     lapse_leases : list of int
-        Leases to end at once.
+        Ids of leases to revoke immediately.
     lapse_all_leases : bool
-        End every lease at once.
+        Revoke all leases immediately.
     compact : bool
-        Forget the history up to now.
+        Discard the history up to now.
     drop_watches : bool
         Close the connections of all watches.
 
     Notes
     -----
-    Writes here are all calls but reads, those for leases too.
+    All calls except reads count as writes, including those for leases.
     """
 
     latency_s: float = 0.0
@@ -76,19 +76,19 @@
 
 
 class StoreLimits(msgspec.Struct, frozen=True):
-    """Rates of the store; a waiting watch takes reads off the second one."""
+    """Rate limits of the store; each waiting watch reduces the available reads."""
 
     writes_per_second: float = 400.0
     reads_per_second: float = 2000.0
 
 
 class CallRates:
-    """Decides which calls exceed the rates of the store.
+    """Limits the rates of calls to the store.
 
     Parameters
     ----------
     limits : StoreLimits
-        Rates.
+        Rate limits.
     clock : Clock
         Time source, in seconds.
     """
@@ -102,26 +102,26 @@
         return self.writes.take() if is_write else self.reads.take()
 
     def open_watch(self) -> bool:
-        """Return whether one more watch may wait, and count it."""
+        """Return whether another watch is within the rate, and count it."""
         if not self.admit(is_write=False):
             return False
         self.reads.reserve_rate(WATCH_CALLS_PER_SECOND)
         return True
 
     def close_watch(self) -> None:
-        """Count one waiting watch less."""
+        """Stop counting one waiting watch."""
         self.reads.reserve_rate(-WATCH_CALLS_PER_SECOND)
 
 
 class HeldWrite(msgspec.Struct, frozen=True):
-    """A write that the network keeps back."""
+    """A write that is held, as if the network had delayed it."""
 
     path: str
     body: bytes
 
 
 class ActiveFaults:
-    """The faults in force, and what is left of those that count down."""
+    """The current faults, and the remaining counts of those that apply to a number of writes."""
 
     def __init__(self) -> None:
         self.held: list[HeldWrite] = []
@@ -129,7 +129,7 @@
         self.set(StoreFaults())
 
     def set(self, faults: StoreFaults) -> None:
-        """Put faults in force."""
+        """Replace the faults."""
         self.faults = msgspec.structs.replace(faults, **ONE_SHOT)
         self.random = random.Random(faults.seed)
         self.answers_to_lose = faults.lost_answers
@@ -137,13 +137,13 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def half_latency(self) -> None:
-        """Wait for half the delay of a call."""
+    async def wait_half_latency(self) -> None:
+        """Wait for half of a call's delay."""
         delay_s = self.faults.latency_s + self.faults.jitter_s * self.random.random()
         if delay_s > 0.0:
             await asyncio.sleep(delay_s / 2.0)
 
-    async def while_hanging(self) -> bool:
+    async def wait_while_hanging(self) -> bool:
         """Wait while the store hangs; return whether it did."""
         if self.faults.outage is not Outage.HANG:
             return False
@@ -152,14 +152,14 @@
         return True
 
     def loses_answer(self) -> bool:
-        """Return whether the answer of a write is to be lost."""
+        """Return whether the answer of a write is lost, and count it."""
         if self.answers_to_lose > 0:
             self.answers_to_lose -= 1
             return True
         return self.random.random() < self.faults.lost_answer_probability
 
     def holds_write(self, path: str, body: bytes) -> bool:
-        """Keep a write back if it is to be, and return whether it was."""
+        """Hold a write if one is to be held; return whether it was."""
         if self.writes_to_hold == 0:
             return False
         self.writes_to_hold -= 1
--- a/waxwingglade/standins/store_state.py
+++ b/waxwingglade/standins/store_state.py
@@ -1,4 +1,4 @@
-"""Contents of the store stand-in: keys with revisions, leases and the history for watches."""
+"""State of the store stand-in: keys with revisions, leases and the history for watches."""
 
 import operator
 import secrets
@@ -35,7 +35,7 @@
 
 MAX_VALUE_BYTES = 1_000_000
 MAX_HISTORY = 10_000
-"""Changes kept for watches; the older half is forgotten above it."""
+"""Greatest number of changes retained for watches; above it, the older half is discarded."""
 
 NO_END = b"\0"
 
@@ -48,7 +48,7 @@
 
 
 class StoreRefusal(Exception):
-    """The store refuses a request, which did not run."""
+    """The store refuses a request without running it."""
 
     def __init__(self, code: GrpcCode, message: str) -> None:
         super().__init__(message)
@@ -57,7 +57,7 @@
 
 
 class LeaseRecord(msgspec.Struct):
-    """A lease and the keys that go with it."""
+    """A lease and the keys that are deleted with it."""
 
     ttl_s: int
     expires: float
@@ -65,9 +65,9 @@
 
 
 class StoreState:
-    """Keys, leases and history of one stand-in.
+    """Keys, leases and history of one store.
 
-    Every change of one transaction has the same revision.
+    All changes of a transaction have the same revision.
 
     Parameters
     ----------
@@ -84,29 +84,29 @@
         self.history: list[Event] = []
 
     def header(self) -> Header:
-        """Return the header of an answer given now."""
+        """Return the header of an answer with the current revision."""
         return Header(revision=self.revision)
 
     def range(self, request: RangeRequest) -> RangeResponse:
-        """Return the keys of a range as they are now."""
+        """Return the current items of a range."""
         if request.revision:
             raise StoreRefusal(GrpcCode.UNIMPLEMENTED, "reads of old revisions are not offered")
         found = [self.items[key] for key in self.keys_of(request.key, request.range_end)]
-        kept = found[: request.limit] if request.limit else found
+        returned = found[: request.limit] if request.limit else found
         return RangeResponse(
-            header=self.header(), kvs=kept, more=len(kept) < len(found), count=len(found)
+            header=self.header(), kvs=returned, more=len(returned) < len(found), count=len(found)
         )
 
     def keys_of(self, key: bytes, range_end: bytes) -> list[bytes]:
-        """Return the present keys of a range, in order."""
+        """Return the existing keys of a range, in order."""
         if not range_end:
             return [key] if key in self.items else []
         end = None if range_end == NO_END else range_end
         return list(self.items.irange(key, end, inclusive=(True, False)))
 
     def txn(self, request: TxnRequest) -> TxnResponse:
-        """Run one transaction; nothing of a refused one takes effect."""
-        succeeded = all(self.holds(compare) for compare in request.compare)
+        """Execute a transaction; a refused one has no effect."""
+        succeeded = all(self.is_met(compare) for compare in request.compare)
         ops = request.success if succeeded else request.failure
         for op in ops:
             self.check(op)
@@ -114,11 +114,11 @@
         responses = [self.run(op, revision) for op in ops]
         return TxnResponse(header=self.header(), succeeded=succeeded, responses=responses)
 
-    def holds(self, compare: Compare) -> bool:
-        """Return whether a condition is met."""
+    def is_met(self, compare: Compare) -> bool:
+        """Return whether a condition is true."""
         item = self.items.get(compare.key, WireKeyValue())
-        actual, asked = _compared(compare, item)
-        return RELATIONS[compare.result](actual, asked)
+        actual, expected = _compared(compare, item)
+        return RELATIONS[compare.result](actual, expected)
 
     def check(self, op: RequestOp) -> None:
         """Raise `StoreRefusal` if an operation cannot run."""
@@ -131,7 +131,7 @@
             raise StoreRefusal(GrpcCode.NOT_FOUND, LEASE_NOT_FOUND_MESSAGE)
 
     def run(self, op: RequestOp, revision: int) -> ResponseOp:
-        """Run one checked operation; a change gets `revision`."""
+        """Execute one checked operation; a change gets `revision`."""
         if op.request_put is not None:
             return ResponseOp(response_put=self.put(op.request_put, revision))
         if op.request_delete_range is not None:
@@ -164,12 +164,12 @@
         keys = self.keys_of(request.key, request.range_end)
         for key in keys:
             self.detach(self.items.pop(key))
-            gone = WireKeyValue(key=key, mod_revision=revision)
-            self.record(Event(type=EventType.DELETE, kv=gone), revision)
+            deleted = WireKeyValue(key=key, mod_revision=revision)
+            self.record(Event(type=EventType.DELETE, kv=deleted), revision)
         return DeleteRangeResponse(header=self.header(), deleted=len(keys))
 
     def detach(self, item: WireKeyValue) -> None:
-        """Take a key out of its lease."""
+        """Remove a key from its lease."""
         if item.lease in self.leases:
             self.leases[item.lease].keys.discard(item.key)
 
@@ -186,12 +186,12 @@
         return [event for event in self.history[start:] if _within(event.kv.key, key, range_end)]
 
     def compact(self, revision: int) -> None:
-        """Forget the history up to and with `revision`."""
+        """Discard the history up to and including `revision`."""
         self.compacted = revision
         del self.history[: bisect_left(self.history, revision + 1, key=_revision_of)]
 
     def grant(self, ttl_s: int, lease: int) -> int:
-        """Create a lease; 0 lets the store choose its id."""
+        """Create a lease; id 0 lets the store choose the id."""
         chosen = lease or secrets.randbits(62) + 1
         if chosen in self.leases:
             raise StoreRefusal(GrpcCode.FAILED_PRECONDITION, LEASE_EXISTS_MESSAGE)
@@ -199,7 +199,7 @@
         return chosen
 
     def keep_alive(self, lease: int) -> int:
-        """Extend a lease and return its seconds; 0 if there is none."""
+        """Extend a lease and return its duration in seconds, or 0 if it does not exist."""
         record = self.leases.get(lease)
         if record is None:
             return 0
@@ -207,7 +207,7 @@
         return record.ttl_s
 
     def revoke(self, lease: int) -> None:
-        """End a lease and delete its keys."""
+        """Revoke a lease and delete its keys."""
         record = self.leases.pop(lease, None)
         if record is None:
             raise StoreRefusal(GrpcCode.NOT_FOUND, LEASE_NOT_FOUND_MESSAGE)
@@ -215,10 +215,10 @@
         for key in sorted(record.keys):
             self.delete(DeleteRangeRequest(key=key), revision)
 
-    def lapse_expired(self) -> None:
-        """End every lease whose time is over."""
+    def revoke_expired(self) -> None:
+        """Revoke all expired leases."""
         now = self.clock()
-        for lease in [lease for lease, held in self.leases.items() if held.expires <= now]:
+        for lease in [lease for lease, record in self.leases.items() if record.expires <= now]:
             self.revoke(lease)
 
 
@@ -227,7 +227,7 @@
 
 
 def _compared(compare: Compare, item: WireKeyValue) -> tuple[int | bytes, int | bytes]:
-    """Return the value that an item has and the one that a comparison asks for."""
+    """Return the actual value of an item and the expected value of a comparison."""
     if compare.target is CompareTarget.MOD:
         return item.mod_revision, compare.mod_revision
     if compare.target is CompareTarget.CREATE:
--- a/waxwingglade/standins/tests/engine_builders.py
+++ b/waxwingglade/standins/tests/engine_builders.py
@@ -1,4 +1,4 @@
-"""Test data for the engine stand-in: simulated time and requests."""
+"""Build simulated time and requests for tests of the engine stand-in."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class SimulatedTime:
-    """A clock that only `sleep` moves."""
+    """A clock that only `sleep` advances."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -26,19 +26,19 @@
 def job_request(
     name: str, text: str = "hello", tokens: int = 4, priority: int = 0, program: str = ""
 ) -> JobRequest:
-    """Return a request for an answer of `tokens` tokens, of a program of its own."""
+    """Return a request for an answer of `tokens` tokens, by default in a program of its own."""
     messages = [Message(MessageRole.USER, f"{text} tokens={tokens}")]
     return JobRequest(name, ProgramId(program or name), MODEL, messages, 1000, priority)
 
 
 def engine_core(**speed: float) -> tuple[EngineCore, SimulatedTime]:
-    """Return a core on simulated time."""
+    """Return a core with simulated time."""
     time = SimulatedTime()
     return EngineCore(EngineSpeed(**speed), time.clock, time.sleep), time
 
 
 async def run_all(core: EngineCore, *jobs: Job) -> list[str]:
-    """Run the core until the jobs have ended and return their texts."""
+    """Run the core until the jobs have ended, and return their texts."""
     task = asyncio.create_task(core.run())
     texts = [await _text_of(job) for job in jobs]
     task.cancel()
--- a/waxwingglade/standins/tests/test_engine_batch.py
+++ b/waxwingglade/standins/tests/test_engine_batch.py
@@ -1,4 +1,4 @@
-"""Batching of the engine stand-in on simulated time."""
+"""Test the batching of the engine stand-in with simulated time."""
 
 import asyncio
 import unittest
@@ -15,7 +15,7 @@
 
 
 class BatchTest(unittest.IsolatedAsyncioTestCase):
-    async def test_lower_priority_number_goes_first_then_order_of_arrival(self) -> None:
+    async def test_requests_run_by_priority_number_then_arrival(self) -> None:
         core, _ = engine_core(slots=1)
         jobs = [
             core.submit(job_request(name, priority=priority))
@@ -29,7 +29,7 @@
         core, time = engine_core(slots=2, step_s=1.0, step_per_request_s=0.5)
         jobs = [core.submit(job_request(name, tokens=4)) for name in ("a", "b")]
         await run_all(core, *jobs)
-        # The first step prefills both; the three others decode two requests each.
+        # The first step prefills both requests; the other three decode two requests each.
         self.assertAlmostEqual(1.0 + 3 * 1.5, time.now, places=2)
 
     async def test_prefill_takes_time_unless_cached(self) -> None:
@@ -41,7 +41,7 @@
         again = core.records[1]
         self.assertEqual(again.prompt_tokens - again.cached_tokens, round(time.now * 100))
 
-    async def test_prefilling_again_is_counted(self) -> None:
+    async def test_repeated_prefill_is_counted(self) -> None:
         core, _ = engine_core(cache_blocks=12)
         await run_all(core, core.submit(job_request("a", BRIEF)))
         await run_all(core, core.submit(job_request("b", BRIEF.upper())))
@@ -60,7 +60,7 @@
         record = core.records[0]
         self.assertEqual(record.prompt_tokens // 16 * 16, record.elsewhere_tokens)
 
-    async def test_cancel_frees_the_slot_and_keeps_what_was_computed(self) -> None:
+    async def test_cancel_frees_the_slot_and_caches_the_computed_blocks(self) -> None:
         core, _ = engine_core(slots=1)
         first = core.submit(job_request("a", BRIEF, tokens=1000))
         second = core.submit(job_request("b"))
@@ -74,7 +74,7 @@
         self.assertFalse(core.cache.pins)
         self.assertFalse(core.cancel("a"))
 
-    async def test_release_during_a_request_leaves_its_cache_behind(self) -> None:
+    async def test_release_during_a_request_does_not_release_its_cache(self) -> None:
         core, _ = engine_core()
         job = core.submit(job_request("a", BRIEF, tokens=50))
         running = asyncio.create_task(core.run())
@@ -111,15 +111,15 @@
         self, text: str, tokens: int, data: st.DataObject
     ) -> None:
         request = job_request("a", text, tokens)
-        whole = answer_text(MODEL, request.messages, tokens)
-        start = whole[: 4 * data.draw(st.integers(0, tokens))]
+        complete = answer_text(MODEL, request.messages, tokens)
+        start = complete[: 4 * data.draw(st.integers(0, tokens))]
         resumed = msgspec.structs.replace(request, resume_text=start)
         core, _ = engine_core()
         rest = asyncio.run(self._run(core, resumed))
-        self.assertEqual(whole, start + rest)
+        self.assertEqual(complete, start + rest)
         self.assertTrue(core.records[0].resume_matches)
 
-    def test_wrong_start_is_noted(self) -> None:
+    def test_a_wrong_start_is_recorded(self) -> None:
         core, _ = engine_core()
         resumed = msgspec.structs.replace(job_request("a"), resume_text="oops")
         asyncio.run(self._run(core, resumed))
--- a/waxwingglade/standins/tests/test_engine_cache.py
+++ b/waxwingglade/standins/tests/test_engine_cache.py
@@ -1,4 +1,4 @@
-"""Invariants of the stand-in's prefix cache."""
+"""Test the invariants of the engine stand-in's prefix cache."""
 
 import unittest
 
@@ -53,7 +53,7 @@
         self.cache.release(B)
         self.assertEqual(0, self.cache.match(["1"]))
 
-    def test_end_of_the_prefix_used_longest_ago_goes_first(self) -> None:
+    def test_the_end_of_the_least_recently_used_prefix_is_evicted_first(self) -> None:
         self.cache.store(A, ["1", "2"])
         self.cache.store(B, ["3", "4"])
         self.assertEqual(["2"], self.cache.store(B, ["3", "4", "5"]).removed)
@@ -65,7 +65,7 @@
         self.time.now = 10.0
         self.cache.mark_ended(A)
         self.time.now = 13.0
-        # Block 1 is still of use to B, block 2 was held for 3 s in vain.
+        # B still uses block 1; block 2 was held by an ended program for 3 s.
         self.assertEqual(3.0 * BLOCK_TOKENS, self.cache.wasted_token_seconds())
         self.cache.release(A)
         self.time.now = 20.0
--- a/waxwingglade/standins/tests/test_engine_standin.py
+++ b/waxwingglade/standins/tests/test_engine_standin.py
@@ -1,4 +1,4 @@
-"""What the stand-ins offer to checkers over HTTP."""
+"""Test the histories and controls that the stand-ins serve over HTTP."""
 
 import unittest
 
@@ -61,7 +61,7 @@
         for path in ("/v1/chat/completions", "/v1/cancel", "/v1/orders", "/standin/faults"):
             self.assertEqual(400, (await self.post(engine.url + path, {"a": 1})).status)
 
-    async def test_doubled_call_shows_unless_the_service_deduplicates(self) -> None:
+    async def test_a_repeated_call_has_two_effects_unless_deduplicated(self) -> None:
         for deduplicates, effects in ((False, 2), (True, 1)):
             service = ToolStandin(deduplicates=deduplicates)
             await service.start()
--- a/waxwingglade/standins/tests/test_store_standin.py
+++ b/waxwingglade/standins/tests/test_store_standin.py
@@ -1,4 +1,4 @@
-"""The stand-ins over plain HTTP."""
+"""Test the stand-ins of the store and the platform over HTTP."""
 
 import json
 import unittest
@@ -19,13 +19,13 @@
 
 
 async def post(url: str, message: object) -> HTTPResponse:
-    """Post JSON and return the answer, whatever its status."""
+    """Post JSON and return the answer with any status."""
     client = AsyncHTTPClient()
     return await client.fetch(url, method="POST", body=json.dumps(message), raise_error=False)
 
 
 class StoreStandinTest(unittest.IsolatedAsyncioTestCase):
-    """Protocol and controls."""
+    """Tests of the protocol and the fault controls."""
 
     async def asyncSetUp(self) -> None:
         self.clock = ManualClock()
@@ -51,13 +51,13 @@
         other = {**equal, "result": "GREATER"}
         self.assertNotIn("succeeded", await self.call("/v3/kv/txn", {"compare": [other]}))
 
-    async def test_leases_lapse_with_their_keys(self) -> None:
+    async def test_leases_expire_with_their_keys(self) -> None:
         lease = (await self.call("/v3/lease/grant", {"TTL": "5"}))["ID"]
         await self.call("/v3/kv/put", {"key": "aw==", "lease": lease})
         self.clock.now += 5.0
         self.assertNotIn("kvs", await self.call("/v3/kv/range", {"key": "aw=="}))
-        kept = await self.call("/v3/lease/keepalive", {"ID": lease})
-        self.assertNotIn("TTL", kept["result"])
+        renewed = await self.call("/v3/lease/keepalive", {"ID": lease})
+        self.assertNotIn("TTL", renewed["result"])
 
     async def test_calls_above_the_rate_are_refused(self) -> None:
         for _ in range(10):
@@ -75,7 +75,7 @@
         admitted = [self.standin.rates.admit(is_write=False) for _ in range(10)]
         self.assertEqual(admitted.count(True), 9)
 
-    async def test_faults_are_set_over_http_in_an_outage_too(self) -> None:
+    async def test_faults_can_be_set_during_an_outage(self) -> None:
         url = self.standin.control_url + "/standin/faults"
         self.standin.state.leases[7] = LeaseRecord(5, self.clock.now + 5.0, set())
         await post(url, {"outage": "refuse", "lapse_all_leases": True})
@@ -97,7 +97,7 @@
 
 
 class PlatformStandinTest(unittest.IsolatedAsyncioTestCase):
-    """The list of VMs."""
+    """Tests of the list of VMs."""
 
     async def test_the_list_lags(self) -> None:
         clock = ManualClock()
--- a/waxwingglade/standins/tool.py
+++ b/waxwingglade/standins/tool.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service with tools, for tests, the demo and the benchmarks."""
+"""Stand-in for a plain service with tools, for tests, the demo and the benchmarks."""
 
 import asyncio
 from http import HTTPStatus
@@ -25,13 +25,13 @@
     Parameters
     ----------
     hang : bool
-        Never answer, and have no effect.
+        Do not answer, without an effect.
     cut_before, cut_after : bool
-        Cut the connection before or after the effect.
+        Close the connection before or after the effect.
     error_before, error_after : bool
         Answer 500 with the verdict "not_run" or "ran".
     garbage : bool
-        Have the effect and answer something else than JSON.
+        Answer with something that is not JSON, after the effect.
     delay_s : float
         Seconds before the effect.
     """
@@ -46,7 +46,7 @@
 
 
 class Effect(msgspec.Struct, frozen=True):
-    """One effect that a call had, and when its request had arrived; monotonic seconds."""
+    """One effect of a call; `at` and the request's arrival are in monotonic seconds."""
 
     tool: str
     key: str
@@ -58,10 +58,9 @@
 
 
 class ToolStandin:
-    """State of the stand-in and its HTTP server.
+    """State of the stand-in with its HTTP server.
 
-    It does not deduplicate by idempotency key unless told to, so that a doubled call shows as two
-    effects.
+    By default it does not deduplicate by idempotency key, so that a repeated call has two effects.
     """
 
     def __init__(
@@ -80,11 +79,11 @@
 
     @property
     def url(self) -> str:
-        """Where it listens."""
+        """Base URL of the stand-in."""
         return self.server.url
 
     async def start(self, port: int = 0) -> None:
-        """Listen on a loopback port; 0 takes a free one."""
+        """Listen on a loopback port; 0 selects a free one."""
         self.server.start(port)
 
     async def stop(self) -> None:
@@ -92,7 +91,7 @@
         await self.server.stop()
 
     def effects_of(self, key: str) -> list[Effect]:
-        """Return every effect of a call; more than one is a doubled call."""
+        """Return all effects of a call; more than one shows that the call was repeated."""
         return [each for each in self.effects if each.key == key]
 
 
