--- a/bench/entry.py
+++ b/bench/entry.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from waxwingglade.base import ConfigVersion
-from waxwingglade.cli.serve import run_until_told
+from waxwingglade.cli.serve import run_until_stopped
 from waxwingglade.process.daemon import Daemon
 from waxwingglade.process.entry import Entry, ResolvedPolicy
 from waxwingglade.process.logs import start_logging
@@ -31,7 +31,7 @@
         await daemon.start()
         print(daemon.url, flush=True)
 
-    await run_until_told(start, daemon.stop, asyncio.Event())
+    await run_until_stopped(start, daemon.stop, asyncio.Event())
 
 
 if __name__ == "__main__":
--- a/waxwingglade/cli/serve.py
+++ b/waxwingglade/cli/serve.py
@@ -45,7 +45,7 @@
         typer.echo(daemon.url)
         typer.echo(daemon.operator_url)
 
-    await run_until_told(start, daemon.drain_and_stop, daemon.drain_requested)
+    await run_until_stopped(start, daemon.drain_and_stop, daemon.drain_requested)
 
 
 @standin_app.command("store")
@@ -78,12 +78,12 @@
         typer.echo(standin.url)
 
     async def run() -> None:
-        await run_until_told(start, standin.stop, asyncio.Event())
+        await run_until_stopped(start, standin.stop, asyncio.Event())
 
     asyncio.run(run())
 
 
-async def run_until_told(
+async def run_until_stopped(
     start: Callable[[], Awaitable[None]],
     stop: Callable[[], Awaitable[None]],
     told: asyncio.Event,
