--- a/waxwingglade/cli/__init__.py
+++ b/waxwingglade/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line of the package."""
+"""Command line of the package."""
 
 from waxwingglade.cli.app import app, main
 
--- a/waxwingglade/cli/app.py
+++ b/waxwingglade/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Application of the command line."""
 
 import sys
 from typing import Annotated
@@ -41,8 +41,8 @@
 app.add_typer(serve.standin_app, name="standin")
 
 
-def _print_version(wanted: bool) -> None:
-    if wanted:
+def _print_version(is_requested: bool) -> None:
+    if is_requested:
         typer.echo(waxwingglade.__version__)
         raise typer.Exit
 
@@ -58,14 +58,15 @@
 
 
 def main() -> None:
-    """Run the command line; whatever is wrong is said in one line for each error."""
+    """Run the command line; each error is printed in one line."""
     try:
         status = app(prog_name=NAME, standalone_mode=False)
     except (SettingsError, FormatError) as error:
         typer.echo(str(error), err=True)
         sys.exit(ExitStatus.USAGE)
     except Exception as error:
-        # Wrong arguments: typer's exceptions are its own in each release, but have this method.
+        # Wrong arguments.  The types of these exceptions differ between releases of typer, but all
+        # of them have this method.
         if not hasattr(error, "format_message"):
             raise
         text = error.format_message()
--- a/waxwingglade/cli/bench.py
+++ b/waxwingglade/cli/bench.py
@@ -1,4 +1,4 @@
-"""``waxwingglade bench``: what an entry adds to a call."""
+"""``waxwingglade bench``: the overhead that an entry adds to a call."""
 
 import asyncio
 import sys
--- a/waxwingglade/cli/config.py
+++ b/waxwingglade/cli/config.py
@@ -1,4 +1,4 @@
-"""``waxwingglade config``: the configuration in force, and changes to it."""
+"""``waxwingglade config``: show and change the configuration in force."""
 
 from typing import Annotated
 from urllib.parse import quote
@@ -8,7 +8,7 @@
 
 from waxwingglade.cli.exits import ExitStatus, stop
 from waxwingglade.cli.output import Json, as_time, print_fields, print_json, print_table
-from waxwingglade.cli.remote import IdOnly, TokenFile, Url, ask, encoded
+from waxwingglade.cli.remote import IdOnly, TokenFile, Url, query_string, request
 from waxwingglade.connection.operator_messages import (
     ApproveBody,
     ConfigView,
@@ -29,7 +29,7 @@
 @config_app.command("show")
 def show(url: Url = "", token_file: TokenFile = None, as_json: Json = False) -> None:
     """Show the version in force and its tree."""
-    view = ask(url, token_file, "GET", "/v1/config", ConfigView)
+    view = request(url, token_file, "GET", "/v1/config", ConfigView)
     if as_json:
         print_json(view)
         return
@@ -49,8 +49,8 @@
     as_json: Json = False,
 ) -> None:
     """Show each value of a program's policy, and the level that it comes from."""
-    arguments = encoded(tenant=tenant, program=program, zone=zone, **{"class": program_class})
-    found = ask(url, token_file, "GET", f"/v1/config/explain{arguments}", ExplanationList)
+    arguments = query_string(tenant=tenant, program=program, zone=zone, **{"class": program_class})
+    found = request(url, token_file, "GET", f"/v1/config/explain{arguments}", ExplanationList)
     if as_json:
         print_json(found)
         return
@@ -74,7 +74,7 @@
     body = ProposeBody(
         [read_change(level, each) for each in changes], base_version=None if base < 0 else base
     )
-    view = ask(url, token_file, "POST", "/v1/config/proposals", ProposalView, body)
+    view = request(url, token_file, "POST", "/v1/config/proposals", ProposalView, body)
     if id_only:
         typer.echo(view.proposal.id)
         return
@@ -86,9 +86,9 @@
     proposal: ProposalName, url: Url = "", token_file: TokenFile = None, as_json: Json = False
 ) -> None:
     """Approve a proposal as it reads now; it takes effect once nothing more is missing."""
-    before = ask(url, token_file, "GET", _path(proposal), ProposalView)
+    before = request(url, token_file, "GET", _path(proposal), ProposalView)
     body = ApproveBody(before.text_digest)
-    view = ask(url, token_file, "POST", f"{_path(proposal)}/approve", ProposalView, body)
+    view = request(url, token_file, "POST", f"{_path(proposal)}/approve", ProposalView, body)
     show_proposal(view, as_json)
 
 
@@ -97,7 +97,7 @@
     proposal: ProposalName, url: Url = "", token_file: TokenFile = None, as_json: Json = False
 ) -> None:
     """Put an approved proposal in force, where the hours did not allow it at its approval."""
-    view = ask(url, token_file, "POST", f"{_path(proposal)}/accept", ProposalView)
+    view = request(url, token_file, "POST", f"{_path(proposal)}/accept", ProposalView)
     show_proposal(view, as_json)
 
 
@@ -111,7 +111,7 @@
 ) -> None:
     """Close a proposal for good."""
     body = RejectBody(reason)
-    view = ask(url, token_file, "POST", f"{_path(proposal)}/reject", ProposalView, body)
+    view = request(url, token_file, "POST", f"{_path(proposal)}/reject", ProposalView, body)
     show_proposal(view, as_json)
 
 
@@ -120,15 +120,15 @@
     proposal: ProposalName, url: Url = "", token_file: TokenFile = None, as_json: Json = False
 ) -> None:
     """Take your own proposal back."""
-    view = ask(url, token_file, "POST", f"{_path(proposal)}/withdraw", ProposalView)
+    view = request(url, token_file, "POST", f"{_path(proposal)}/withdraw", ProposalView)
     show_proposal(view, as_json)
 
 
 @config_app.command("status")
 def status(url: Url = "", token_file: TokenFile = None, as_json: Json = False) -> None:
     """Show which version each entry has in force, and the open proposals."""
-    found = ask(url, token_file, "GET", "/v1/config/status", ConfigStatus)
-    listed = ask(url, token_file, "GET", "/v1/config/proposals?state=open", ProposalList)
+    found = request(url, token_file, "GET", "/v1/config/status", ConfigStatus)
+    listed = request(url, token_file, "GET", "/v1/config/proposals?state=open", ProposalList)
     if as_json:
         print_json({"status": found, "open_proposals": listed.proposals})
         return
@@ -150,7 +150,7 @@
     as_json: Json = False,
 ) -> None:
     """Show the last versions, newest first: what, by whom and when."""
-    found = ask(url, token_file, "GET", f"/v1/config/history?limit={limit}", VersionList)
+    found = request(url, token_file, "GET", f"/v1/config/history?limit={limit}", VersionList)
     if as_json:
         print_json(found)
         return
@@ -168,7 +168,7 @@
 
 
 def read_change(level: str, text: str) -> Change:
-    """Return the change that ``SETTING=VALUE`` means; the value is read as YAML."""
+    """Return the change described by ``SETTING=VALUE``; the value is parsed as YAML."""
     setting, equals, value = text.partition("=")
     if not equals or not setting:
         raise stop(ExitStatus.USAGE, f"`{text}` is not like SETTING=VALUE")
--- a/waxwingglade/cli/demo.py
+++ b/waxwingglade/cli/demo.py
@@ -1,4 +1,4 @@
-"""``waxwingglade demo``: both firms' programs on an embedded system."""
+"""``waxwingglade demo``: run the programs of two firms on an embedded system."""
 
 import asyncio
 import sys
@@ -44,8 +44,8 @@
         print_table(HEADERS, [_row(each) for each in report.classes])
         held = f"{report.ended_token_seconds:.0f} token-seconds"
         typer.echo(f"cache held for programs that had ended: {held}")
-    whole = all(each.finished == each.started and not each.doubled for each in report.classes)
-    raise typer.Exit(int(ExitStatus.OK if whole else ExitStatus.FAILED))
+    succeeded = all(each.finished == each.started and not each.doubled for each in report.classes)
+    raise typer.Exit(int(ExitStatus.OK if succeeded else ExitStatus.FAILED))
 
 
 def _print_progress(ended: int, count: int) -> None:
--- a/waxwingglade/cli/entry.py
+++ b/waxwingglade/cli/entry.py
@@ -1,15 +1,15 @@
-"""``waxwingglade status`` and ``drain``: one entry."""
+"""``waxwingglade status`` and ``drain``: show or drain one entry."""
 
 import typer
 
 from waxwingglade.cli.output import Json, print_fields, print_json, print_table
-from waxwingglade.cli.remote import TokenFile, Url, ask
+from waxwingglade.cli.remote import TokenFile, Url, request
 from waxwingglade.connection.operator_messages import Accepted, EntryStatus
 
 
 def status(url: Url = "", token_file: TokenFile = None, as_json: Json = False) -> None:
     """Show an entry, its peers, its logs and the targets as it sees them."""
-    found = ask(url, token_file, "GET", "/v1/status", EntryStatus)
+    found = request(url, token_file, "GET", "/v1/status", EntryStatus)
     if as_json:
         print_json(found)
         return
@@ -44,7 +44,7 @@
 
 def drain(url: Url = "", token_file: TokenFile = None, as_json: Json = False) -> None:
     """Let an entry leave: no new programs, streams finish, ownership is handed over."""
-    answer = ask(url, token_file, "POST", "/v1/drain", Accepted)
+    answer = request(url, token_file, "POST", "/v1/drain", Accepted)
     if as_json:
         print_json(answer)
         return
--- a/waxwingglade/cli/exits.py
+++ b/waxwingglade/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit statuses of the command line, and errors in one line."""
+"""Exit statuses and error messages of the command line."""
 
 from enum import IntEnum
 
@@ -8,26 +8,26 @@
 
 
 class ExitStatus(IntEnum):
-    """Why a command ended.
+    """Exit status of a command.
 
     OK
-        It did what it was asked.
+        The command succeeded.
     FAILED
-        It failed in a way that has no status of its own.
+        It failed for a reason that has no status of its own.
     USAGE
         Settings or arguments are wrong; nothing was sent.
     UNREACHED
         No entry answered.
     DENIED
-        The token is unknown, or its role is not enough.
+        The token is unknown, or its role is not sufficient.
     NOT_FOUND
         There is no such program, call or proposal.
     CONFLICT
-        It clashes with what is there: read the present state first.
+        The command conflicts with the current state, which should be read first.
     LATER
-        Not now: the same command may succeed later.
+        The command failed temporarily; the same command may succeed later.
     UNCERTAIN
-        It may have taken effect: read the present state first.
+        The command may have taken effect; the current state should be read first.
     """
 
     OK = 0
@@ -53,7 +53,7 @@
 
 
 def exit_status(failure: Failure) -> ExitStatus:
-    """Return the exit status for a failure that an entry answered."""
+    """Return the exit status for a failure in an entry's answer."""
     if failure.code in STATUS_OF_CODE:
         return STATUS_OF_CODE[failure.code]
     if failure.verdict is Verdict.MAY_HAVE_RUN:
@@ -62,6 +62,6 @@
 
 
 def stop(status: ExitStatus, text: str) -> typer.Exit:
-    """Print an error in one line and return the exception that ends the command."""
+    """Print an error in one line, and return the exception that ends the command."""
     typer.echo(f"error: {' '.join(text.split())}", err=True)
     return typer.Exit(int(status))
--- a/waxwingglade/cli/explain.py
+++ b/waxwingglade/cli/explain.py
@@ -1,4 +1,4 @@
-"""Tell from logs why a request ended as it did."""
+"""``waxwingglade explain``: explain from logs why a request ended as it did."""
 
 import json
 from pathlib import Path
@@ -12,16 +12,34 @@
 from waxwingglade.explain import LedgerCause, LogLine, cause_of, ledger_causes, read_files, tell
 from waxwingglade.explain.story import SLOW_ANSWER
 
-INPUTS = ("route", "version", "view_age_s", "epoch", "status", "reason", "seconds", "events")
-"""Fields of a request's line that decided it, in the order in which they are shown."""
-
-ATTEMPT = ("target", "load", "load_age_s", "read_tokens", "verdict", "status", "seconds", "reason")
+DECISION_FIELDS = (
+    "route",
+    "version",
+    "view_age_s",
+    "epoch",
+    "status",
+    "reason",
+    "seconds",
+    "events",
+)
+"""Fields of a request's line that determined its end, in display order."""
+
+ATTEMPT_FIELDS = (
+    "target",
+    "load",
+    "load_age_s",
+    "read_tokens",
+    "verdict",
+    "status",
+    "seconds",
+    "reason",
+)
 
-ASKED = ("replica", "after_s", "seconds", "answer")
+REPLICA_REQUEST_FIELDS = ("replica", "after_s", "seconds", "answer")
 
-HELD_UP = ("seconds", "waited_s", "overtaken")
+DELAYED_CHANGE_FIELDS = ("seconds", "waited_s", "overtaken")
 
-TELLING = (
+LEADING_FIELDS = (
     "request",
     "status",
     "reason",
@@ -32,10 +50,10 @@
     "silent",
     "seconds",
 )
-"""Fields that are shown before the others of a line in a table."""
+"""Fields that a table shows first, because long cells are truncated."""
 
-HIDDEN = ("asked", "attempts", "program", "route")
-"""Fields that are left out of a table: too long, or the same in all lines."""
+HIDDEN_FIELDS = ("asked", "attempts", "program", "route")
+"""Fields that are not shown in tables, because they are long or the same in all lines."""
 
 
 def explain(
@@ -57,24 +75,26 @@
     _print_causes(causes)
     _print_lines("its turn at the ledger", story.turn)
     for line in story.turn:
-        _print_asked(line)
-    _print_held_up(story.account)
-    _print_lines("other requests of its program that did not end well", story.program)
-    _print_lines("losses and changes around it", story.around)
+        _print_replica_requests(line)
+    _print_delayed_changes(story.account)
+    _print_lines("other failed requests of its program", story.program)
+    _print_lines("failures and changes around it", story.around)
 
 
 def _print_request(line: LogLine) -> None:
-    """Print the end of a request: its cause, what decided it, and each sending."""
-    typer.echo(f"{_moment(line.time)}  {line.source}: {cause_of(line)}")
-    shown = [(name, line.fields[name]) for name in INPUTS if name in line.fields]
+    """Print the end of a request: its cause, the fields that determined it, and each attempt."""
+    typer.echo(f"{_format_time(line.time)}  {line.source}: {cause_of(line)}")
+    shown = [(name, line.fields[name]) for name in DECISION_FIELDS if name in line.fields]
     if shown:
         print_fields(shown)
     if attempts := line.fields.get("attempts"):
-        print_table(ATTEMPT, [[attempt.get(name) for name in ATTEMPT] for attempt in attempts])
+        print_table(
+            ATTEMPT_FIELDS, [[attempt.get(name) for name in ATTEMPT_FIELDS] for attempt in attempts]
+        )
 
 
 def _print_causes(causes: list[LedgerCause]) -> None:
-    """Print what it waited for at the ledger, if it did."""
+    """Print what the request waited for at the ledger, if it did wait."""
     if not causes:
         return
     typer.echo("\nwhat it waited for at the ledger")
@@ -82,25 +102,34 @@
         typer.echo(f"- {cause.text}")
 
 
-def _print_asked(line: LogLine) -> None:
-    """Print each asking of the ledger that an entry's line tells of."""
+def _print_replica_requests(line: LogLine) -> None:
+    """Print each request to a ledger replica that an entry logged in a line."""
     asked = line.fields.get("asked")
     if line.event != SLOW_ANSWER or not asked:
         return
-    typer.echo(f"\n{line.fields.get('request')} of {line.source}, from {_moment(line.began_at)}")
-    print_table(ASKED, [[each.get(name) for name in ASKED] for each in asked])
+    typer.echo(
+        f"\n{line.fields.get('request')} of {line.source}, from {_format_time(line.began_at)}"
+    )
+    print_table(
+        REPLICA_REQUEST_FIELDS,
+        [[each.get(name) for name in REPLICA_REQUEST_FIELDS] for each in asked],
+    )
 
 
-def _print_held_up(lines: list[LogLine]) -> None:
-    """Print the changes of its program's account that were held up, if there are any."""
+def _print_delayed_changes(lines: list[LogLine]) -> None:
+    """Print the delayed changes of the program's account, if there are any."""
     if not lines:
         return
-    typer.echo("\nchanges of its program's account that were held up")
+    typer.echo("\ndelayed changes of its program's account")
     rows = [
-        [_moment(line.time), line.source, *(line.fields.get(name) for name in HELD_UP)]
+        [
+            _format_time(line.time),
+            line.source,
+            *(line.fields.get(name) for name in DELAYED_CHANGE_FIELDS),
+        ]
         for line in lines
     ]
-    print_table(("time", "log", *HELD_UP), rows)
+    print_table(("time", "log", *DELAYED_CHANGE_FIELDS), rows)
 
 
 def _print_lines(title: str, lines: list[LogLine]) -> None:
@@ -108,18 +137,20 @@
     if not lines:
         return
     typer.echo(f"\n{title}")
-    rows = [[_moment(line.time), line.source, line.event, _short(line)] for line in lines]
+    rows = [
+        [_format_time(line.time), line.source, line.event, _format_fields(line)] for line in lines
+    ]
     print_table(("time", "log", "event", "fields"), rows)
 
 
-def _moment(seconds: float) -> str:
+def _format_time(seconds: float) -> str:
     return f"{as_time(seconds)}.{int(seconds % 1 * 1000):03d}"
 
 
-def _short(line: LogLine) -> str:
-    """Return the fields of a line, what tells most first, since a cell is cut."""
-    first = {name: line.fields[name] for name in TELLING if name in line.fields}
-    rest = {name: value for name, value in line.fields.items() if name not in HIDDEN}
+def _format_fields(line: LogLine) -> str:
+    """Return the fields of a line as JSON, the most informative ones first."""
+    first = {name: line.fields[name] for name in LEADING_FIELDS if name in line.fields}
+    rest = {name: value for name, value in line.fields.items() if name not in HIDDEN_FIELDS}
     return json.dumps({**first, **rest}, ensure_ascii=False)
 
 
--- a/waxwingglade/cli/output.py
+++ b/waxwingglade/cli/output.py
@@ -1,4 +1,4 @@
-"""Answers as tables for people, or as JSON for programs."""
+"""Print answers as tables for people or as JSON for programs."""
 
 import json
 import time
@@ -9,10 +9,10 @@
 import typer
 
 Json = Annotated[bool, typer.Option("--json", help="Print JSON, for programs.")]
-"""The option of every command that can print its answer for programs."""
+"""Option of the commands that can print their answer as JSON."""
 
 COLUMN_GAP = "  "
-LONGEST_CELL = 60
+MAX_CELL_CHARACTERS = 60
 
 
 def print_json(value: Any) -> None:
@@ -30,20 +30,20 @@
 
 
 def print_fields(fields: Sequence[tuple[str, object]]) -> None:
-    """Print names and values, a line each."""
+    """Print one line for each name and value."""
     width = max(len(name) for name, _ in fields)
     for name, value in fields:
         typer.echo(f"{name.ljust(width)}{COLUMN_GAP}{_text(value)}".rstrip())
 
 
 def as_time(seconds: float) -> str:
-    """Return a time in seconds since 1970 as people read it, in UTC."""
+    """Return a time in seconds since 1970 as readable text, in UTC."""
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(seconds))
 
 
 def _cell(value: object) -> str:
     text = _text(value)
-    return text if len(text) <= LONGEST_CELL else text[: LONGEST_CELL - 1] + "…"
+    return text if len(text) <= MAX_CELL_CHARACTERS else text[: MAX_CELL_CHARACTERS - 1] + "…"
 
 
 def _text(value: object) -> str:
--- a/waxwingglade/cli/programs.py
+++ b/waxwingglade/cli/programs.py
@@ -1,4 +1,4 @@
-"""``waxwingglade program``: programs of all tenants."""
+"""``waxwingglade program``: show, create and cancel programs of all tenants."""
 
 from typing import Annotated
 from urllib.parse import quote
@@ -7,7 +7,7 @@
 
 from waxwingglade.base import Failure
 from waxwingglade.cli.output import Json, as_time, print_fields, print_json, print_table
-from waxwingglade.cli.remote import IdOnly, TokenFile, Url, ask, encoded
+from waxwingglade.cli.remote import IdOnly, TokenFile, Url, query_string, request
 from waxwingglade.connection.operator_messages import CancelBody, History, NewTenantProgram
 from waxwingglade.connection.peer_messages import ProgramFilter, ProgramListing, ProgramView
 from waxwingglade.program import Done
@@ -29,7 +29,7 @@
 ) -> None:
     """Create a program for a tenant."""
     body = NewTenantProgram(tenant, program_class, name=name or None)
-    view = ask(url, token_file, "POST", "/v1/programs", ProgramView, body)
+    view = request(url, token_file, "POST", "/v1/programs", ProgramView, body)
     if id_only:
         typer.echo(view.program)
         return
@@ -47,8 +47,8 @@
     as_json: Json = False,
 ) -> None:
     """List programs, wherever they are."""
-    arguments = encoded(tenant=tenant, state=state.value, after=after, limit=limit)
-    listing = ask(url, token_file, "GET", f"/v1/programs{arguments}", ProgramListing)
+    arguments = query_string(tenant=tenant, state=state.value, after=after, limit=limit)
+    listing = request(url, token_file, "GET", f"/v1/programs{arguments}", ProgramListing)
     if as_json:
         print_json(listing)
         return
@@ -56,7 +56,7 @@
 
 
 def show_listing(listing: ProgramListing) -> None:
-    """Print a page of programs, and on standard error what it lacks."""
+    """Print a page of programs; on standard error, print what is missing from it."""
     print_table(
         ["PROGRAM", "TENANT", "CLASS", "STATE", "TURNS", "ENTRY", "CREATED (UTC)"],
         [
@@ -83,7 +83,7 @@
     program: Program, url: Url = "", token_file: TokenFile = None, as_json: Json = False
 ) -> None:
     """Show a program's state, budget and calls, without what was said in it."""
-    show_view(ask(url, token_file, "GET", _path(program), ProgramView), as_json)
+    show_view(request(url, token_file, "GET", _path(program), ProgramView), as_json)
 
 
 @program_app.command("history")
@@ -91,7 +91,7 @@
     program: Program, url: Url = "", token_file: TokenFile = None, as_json: Json = False
 ) -> None:
     """Show what was said in a program; this needs the role admin."""
-    found = ask(url, token_file, "GET", f"{_path(program)}/history", History)
+    found = request(url, token_file, "GET", f"{_path(program)}/history", History)
     if as_json:
         print_json(found)
         return
@@ -109,7 +109,7 @@
 ) -> None:
     """End a program and its sub-agents."""
     body = CancelBody(reason) if reason else CancelBody()
-    view = ask(url, token_file, "POST", f"{_path(program)}/cancel", ProgramView, body)
+    view = request(url, token_file, "POST", f"{_path(program)}/cancel", ProgramView, body)
     show_view(view, as_json)
 
 
--- a/waxwingglade/cli/remote.py
+++ b/waxwingglade/cli/remote.py
@@ -1,4 +1,4 @@
-"""Commands that ask a running entry, over the operators' interface."""
+"""Requests of commands to a running entry, over the operators' interface."""
 
 import asyncio
 import os
@@ -28,7 +28,7 @@
 IdOnly = Annotated[bool, typer.Option("--id-only", help="Print the id and nothing else.")]
 
 
-def ask(
+def request(
     url: str,
     token_file: Path | None,
     method: str,
@@ -36,16 +36,16 @@
     model: type[T],
     body: Any = None,
 ) -> T:
-    """Return an entry's answer, or end the command with one line that says why not."""
+    """Return an entry's answer, or end the command with an error message of one line."""
     if not url:
         raise stop(ExitStatus.USAGE, f"name an entry by --url or {URL_VARIABLE}")
-    sent = asyncio.run(_send(url.rstrip("/"), _token(token_file), method, path, body))
-    if sent.is_err():
-        raise _stop_without_answer(sent.err_value, method)
-    outcome = read_answer(sent.ok_value, model)
+    answer = asyncio.run(_send(url.rstrip("/"), _token(token_file), method, path, body))
+    if answer.is_err():
+        raise _stop_without_answer(answer.err_value, method)
+    outcome = read_answer(answer.ok_value, model)
     if outcome.is_ok():
         return outcome.ok_value
-    raise _stop_for(outcome.err_value)
+    raise _stop_for_failure(outcome.err_value)
 
 
 async def _send(url: str, token: str, method: str, path: str, body: Any) -> Outcome[HttpAnswer]:
@@ -57,7 +57,10 @@
 
 
 def _token(token_file: Path | None) -> str:
-    """Return the token; it is never an argument, since other users see those."""
+    """Return the token.
+
+    It is never a command line argument, because other users can see these.
+    """
     if token_file is None:
         token = os.environ.get(TOKEN_VARIABLE, "")
     else:
@@ -71,22 +74,22 @@
 
 
 def _stop_without_answer(failure: Failure, method: str) -> typer.Exit:
-    changes_nothing = method == "GET" or failure.verdict is Verdict.NOT_RUN
-    status = ExitStatus.UNREACHED if changes_nothing else ExitStatus.UNCERTAIN
+    has_no_effect = method == "GET" or failure.verdict is Verdict.NOT_RUN
+    status = ExitStatus.UNREACHED if has_no_effect else ExitStatus.UNCERTAIN
     return stop(status, f"no answer: {failure.message}")
 
 
-def _stop_for(failure: Failure) -> typer.Exit:
+def _stop_for_failure(failure: Failure) -> typer.Exit:
     text = f"{failure.code.value}: {failure.message} ({failure.verdict.value})"
     if failure.retry_after_s is not None:
         text = f"{text}; try again after {failure.retry_after_s:g} s"
     return stop(exit_status(failure), text)
 
 
-def encoded(**arguments: str | int | None) -> str:
-    """Return a query string of the arguments that are given."""
+def query_string(**arguments: str | int | None) -> str:
+    """Return a query string of the arguments that are not empty."""
     pairs = {name: value for name, value in arguments.items() if value not in (None, "")}
     return f"?{urlencode(pairs)}" if pairs else ""
 
 
-__all__ = ["IdOnly", "TokenFile", "Url", "ask", "encoded"]
+__all__ = ["IdOnly", "TokenFile", "Url", "query_string", "request"]
--- a/waxwingglade/cli/serve.py
+++ b/waxwingglade/cli/serve.py
@@ -1,4 +1,4 @@
-"""The commands that run until they are told to stop."""
+"""Commands that run until they are stopped."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 
 class Standin(Protocol):
-    """What every stand-in can do."""
+    """Interface of all stand-ins."""
 
     url: str
 
@@ -86,13 +86,13 @@
 async def run_until_stopped(
     start: Callable[[], Awaitable[None]],
     stop: Callable[[], Awaitable[None]],
-    told: asyncio.Event,
+    stop_requested: asyncio.Event,
 ) -> None:
-    """Start, wait for SIGTERM, SIGINT or `told`, and stop."""
+    """Start, wait for SIGTERM, SIGINT or `stop_requested`, and stop."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     await start()
     with contextlib.suppress(asyncio.CancelledError):
-        await told.wait()
+        await stop_requested.wait()
     await stop()
--- a/waxwingglade/cli/settings.py
+++ b/waxwingglade/cli/settings.py
@@ -1,4 +1,4 @@
-"""``waxwingglade check`` and ``key``: settings files."""
+"""``waxwingglade check`` and ``key``: check settings files and make keys for them."""
 
 from pathlib import Path
 from typing import Annotated
--- a/waxwingglade/cli/targets.py
+++ b/waxwingglade/cli/targets.py
@@ -1,4 +1,4 @@
-"""``waxwingglade target``: what operators want of model engines, and what became of it."""
+"""``waxwingglade target``: the desired and the actual state of model engines."""
 
 from typing import Annotated
 from urllib.parse import quote
@@ -6,7 +6,7 @@
 import typer
 
 from waxwingglade.cli.output import Json, as_time, print_fields, print_json, print_table
-from waxwingglade.cli.remote import TokenFile, Url, ask, encoded
+from waxwingglade.cli.remote import TokenFile, Url, query_string, request
 from waxwingglade.connection.operator_messages import (
     DesiredList,
     DesiredView,
@@ -26,11 +26,11 @@
 @target_app.command("list")
 def list_targets(url: Url = "", token_file: TokenFile = None, as_json: Json = False) -> None:
     """List the model engines of all zones with what is wanted of them."""
-    found = ask(url, token_file, "GET", "/v1/targets", DesiredList)
+    found = request(url, token_file, "GET", "/v1/targets", DesiredList)
     if as_json:
         print_json(found)
         return
-    rows = [[each.target, each.zone, *_wanted(each), each.version] for each in found.targets]
+    rows = [[each.target, each.zone, *_desired_cells(each), each.version] for each in found.targets]
     print_table(["TARGET", "ZONE", "MODELS", "ADAPTERS", "ROLE", "VERSION"], rows)
 
 
@@ -39,7 +39,7 @@
     target: TargetName, url: Url = "", token_file: TokenFile = None, as_json: Json = False
 ) -> None:
     """Show what is wanted of one model engine."""
-    print_view(ask(url, token_file, "GET", _path(target), DesiredView), as_json)
+    print_view(request(url, token_file, "GET", _path(target), DesiredView), as_json)
 
 
 @target_app.command("set")
@@ -57,7 +57,7 @@
 ) -> None:
     """Ask for a whole state: what is loaded and not named here is unloaded."""
     body = SetTargetBody(model, adapter or [], role, None if base == NO_BASE else base)
-    print_view(ask(url, token_file, "PUT", _path(target), DesiredView, body), as_json)
+    print_view(request(url, token_file, "PUT", _path(target), DesiredView, body), as_json)
 
 
 @target_app.command("unset")
@@ -69,14 +69,14 @@
     as_json: Json = False,
 ) -> None:
     """Ask for nothing any more: the engine stays as it is and gets calls as by the settings."""
-    path = _path(target) + encoded(base_version=None if base == NO_BASE else base)
-    print_view(ask(url, token_file, "DELETE", path, DesiredView), as_json)
+    path = _path(target) + query_string(base_version=None if base == NO_BASE else base)
+    print_view(request(url, token_file, "DELETE", path, DesiredView), as_json)
 
 
 @target_app.command("status")
 def status(url: Url = "", token_file: TokenFile = None, as_json: Json = False) -> None:
     """Show what the engines of the asked entry's zone have loaded, and what is waited for."""
-    found = ask(url, token_file, "GET", "/v1/orders", OrdersStatus)
+    found = request(url, token_file, "GET", "/v1/orders", OrdersStatus)
     if as_json:
         print_json(found)
         return
@@ -90,11 +90,11 @@
 
 
 def print_view(view: DesiredView, as_json: bool) -> None:
-    """Print what is wanted of one model engine."""
+    """Print the desired state of one model engine."""
     if as_json:
         print_json(view)
         return
-    models, adapters, role = _wanted(view)
+    models, adapters, role = _desired_cells(view)
     changed = as_time(view.changed_at) if view.version else None
     print_fields(
         [
@@ -108,8 +108,8 @@
     )
 
 
-def _wanted(view: DesiredView) -> tuple[object, object, object]:
-    """Return models, adapters and role, as cells; dashes where nothing is asked for."""
+def _desired_cells(view: DesiredView) -> tuple[object, object, object]:
+    """Return desired models, adapters and role as cells; None without a desired state."""
     if view.desired is None:
         return None, None, None
     return view.desired.models, view.desired.adapters, view.desired.role or None
--- a/waxwingglade/cli/tests/cli_builders.py
+++ b/waxwingglade/cli/tests/cli_builders.py
@@ -1,4 +1,4 @@
-"""Runs the command line for tests."""
+"""Run the command line in tests."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class CommandResult(msgspec.Struct):
-    """What a command printed, and how it ended."""
+    """Output and exit status of a command."""
 
     status: int
     output: str
@@ -28,7 +28,7 @@
 
 
 class CommandLine:
-    """The command line as one operator uses it against one entry of an embedded system."""
+    """The command line, as used by one operator with one entry of an embedded system."""
 
     def __init__(self, running: Any, operator: str = "adam", entry: int = 0) -> None:
         self.environment = {
@@ -41,7 +41,7 @@
         return await asyncio.to_thread(self._run, arguments)
 
     async def json(self, *arguments: str) -> Any:
-        """Run a command with ``--json`` and return what it prints."""
+        """Run a command with ``--json`` and return its decoded output."""
         result = await self.run(*arguments, "--json")
         assert result.status == 0, result
         return result.json()
@@ -52,7 +52,7 @@
 
 
 def run_process(*arguments: str) -> CommandResult:
-    """Run a command as a process of its own."""
+    """Run a command in a new process."""
     command = [sys.executable, "-m", "waxwingglade", *arguments]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
     return CommandResult(done.returncode, done.stdout, done.stderr)
--- a/waxwingglade/cli/tests/test_local.py
+++ b/waxwingglade/cli/tests/test_local.py
@@ -1,4 +1,4 @@
-"""The commands that need no entry: check, key, version, completion, wrong arguments."""
+"""Test the commands that need no entry: check, key, version, completion, wrong arguments."""
 
 import hashlib
 import tempfile
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).resolve().parents[3]
 EXAMPLES = [ROOT / "examples" / f"{firm}-entry.yaml" for firm in ("kettu", "kiprono")]
 
-BROKEN = """
+INVALID = """
 entry: Entry One
 zonne: helsinki-1
 listen: {caller_port: 99999, peer_prt: 1}
@@ -54,7 +54,7 @@
 
 class Check(unittest.TestCase):
     def test_every_error_is_named_with_file_path_and_reason(self):
-        errors = self.errors_of(BROKEN)
+        errors = self.errors_of(INVALID)
         for expected in EXPECTED:
             with self.subTest(expected):
                 self.assertTrue(any(expected in error for error in errors), errors)
@@ -68,13 +68,13 @@
                 self.assertTrue(any(part in error for error in errors), errors)
         self.assertEqual(len(parts), len(errors), errors)
 
-    def test_files_that_are_no_settings(self):
+    def test_files_without_settings(self):
         for text in ("", "- a list", "a: [", "\udcff"):
             with self.subTest(text):
                 self.assertEqual(1, len(self.errors_of(text)))
         self.assertEqual(2, run_process("check", "/nonexistent.yaml").status)
 
-    def test_the_examples_of_both_firms_are_good_and_of_their_size(self):
+    def test_the_examples_of_both_firms_are_valid_and_have_all_targets(self):
         for path in EXAMPLES:
             settings = check_file(path)
             kinds = [target.kind.value for target in settings.targets]
@@ -94,7 +94,7 @@
 
 
 class Keys(unittest.TestCase):
-    def test_the_printed_lines_go_into_settings_and_fit_the_token(self):
+    def test_the_printed_lines_are_settings_that_match_the_token(self):
         result = run_process("key", "operator", "ada", "admin")
         token = result.output.splitlines()[1].removeprefix("# ")
         stored = yaml.safe_load(result.output)["operator_keys"][0]
@@ -107,7 +107,7 @@
 
 
 class Arguments(unittest.TestCase):
-    def test_wrong_arguments_end_in_one_line_and_status_2(self):
+    def test_wrong_arguments_give_one_line_and_status_2(self):
         for arguments in (("bogus",), ("program", "list", "--limit", "x"), ("check",)):
             with self.subTest(arguments):
                 result = run_process(*arguments)
--- a/waxwingglade/cli/tests/test_remote.py
+++ b/waxwingglade/cli/tests/test_remote.py
@@ -1,4 +1,4 @@
-"""The commands that ask a running entry."""
+"""Test the commands that send requests to a running entry."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 def setUpModule():
-    """Keep the logs of the entry out of what commands print: both are in one process here."""
+    """Disable the logs of the entry, which would mix with the output of commands in one process."""
     logger.disable("waxwingglade")
     unittest.addModuleCleanup(logger.enable, "waxwingglade")
 
