--- a/waxwingglade/demo/__init__.py
+++ b/waxwingglade/demo/__init__.py
@@ -1,4 +1,4 @@
-"""The demo: both firms' programs on an embedded system."""
+"""Demo: the programs of two firms on an embedded system."""
 
 from waxwingglade.demo.embedded import MODEL, Embedded, EmbeddedSettings, embedded
 
--- a/waxwingglade/demo/embedded.py
+++ b/waxwingglade/demo/embedded.py
@@ -1,7 +1,6 @@
-"""Everything in one process: entries, and stand-ins for all that surrounds them.
+"""Run a complete system in one process: entries and the stand-ins of their external services.
 
-For the demo and for tests; the parts talk over sockets of the loopback address as they would
-between VMs.
+It serves the demo and tests.  The parts communicate over loopback sockets as they do between VMs.
 """
 
 import asyncio
@@ -48,13 +47,13 @@
     zones : tuple of str
         Availability zone of each entry.
     engines, services : int
-        Model servers and application servers.
+        Numbers of model servers and application servers.
     tenants : tuple of str
         Tenants that get a key.
     operators : dict
         Role of each operator that gets a key.
     config : dict
-        First tree of the configuration, in nested form; the operators are added to it.
+        Initial tree of the configuration in nested form; the operators are added to it.
     speed : EngineSpeed
         Speed of the model servers.
     """
@@ -92,7 +91,7 @@
 
     @property
     def urls(self) -> list[str]:
-        """Return where each entry serves callers."""
+        """URL at which each entry serves callers."""
         return [daemon.url for daemon in self.daemons]
 
     async def start(self, **overrides: Any) -> None:
@@ -104,7 +103,7 @@
         await self._wait_for_peers()
 
     async def start_entry(self, number: int, **overrides: Any) -> Daemon:
-        """Start one entry, in addition to those that run."""
+        """Start one entry in addition to the running ones."""
         settings = msgspec.structs.replace(self.entry_settings(number), **overrides)
         daemon = Daemon(Entry(settings))
         await daemon.start()
@@ -112,9 +111,9 @@
         return daemon
 
     async def _wait_for_peers(self) -> None:
-        """Wait until every entry has heard of every other."""
-        wanted = len(self.daemons) - 1
-        while any(len(each.entry.members.usable()) < wanted for each in self.daemons):
+        """Wait until each entry can use every other as a peer."""
+        expected = len(self.daemons) - 1
+        while any(len(each.entry.members.usable()) < expected for each in self.daemons):
             await asyncio.sleep(0.01)
 
     async def stop(self) -> None:
@@ -125,7 +124,7 @@
             await standin.stop()
 
     def entry_settings(self, number: int) -> ProcessSettings:
-        """Return the settings of one entry; peers that run already are named in them."""
+        """Return the settings of one entry; its peers are the entries that run already."""
         return ProcessSettings(
             entry=f"entry-{number + 1}",
             zone=self.settings.zones[number],
@@ -141,16 +140,16 @@
                 OperatorKey(name, self.settings.operators[name], key.salt, key.sha256)
                 for name, key in self.operator_keys.items()
             ],
-            config=self.first_tree(),
+            config=self.initial_tree(),
         )
 
-    def first_tree(self) -> dict[str, Any]:
-        """Return the first tree of the configuration."""
+    def initial_tree(self) -> dict[str, Any]:
+        """Return the initial tree of the configuration."""
         roles = {name: role.value for name, role in self.settings.operators.items()}
         return {**self.settings.config, "operators": roles} if roles else self.settings.config
 
     def target_settings(self) -> list[TargetSettings]:
-        """Return the settings of all targets, spread over the zones."""
+        """Return the settings of all targets, distributed over the zones."""
         zones = self.settings.zones
         engines = [
             TargetSettings(
@@ -183,7 +182,7 @@
 async def embedded(
     settings: EmbeddedSettings | None = None, **overrides: Any
 ) -> AsyncIterator[Embedded]:
-    """Run an embedded system for the time of a block."""
+    """Run an embedded system during a ``with`` block."""
     running = Embedded(settings)
     try:
         await running.start(**overrides)
@@ -193,7 +192,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition, looking often."""
+    """Poll until a condition is true."""
     while not condition():
         await asyncio.sleep(0.01)
 
--- a/waxwingglade/demo/overhead.py
+++ b/waxwingglade/demo/overhead.py
@@ -1,4 +1,4 @@
-"""What an entry adds to a model call: the same call straight to the engine, and through it."""
+"""Measure the overhead of an entry: the same model call directly to an engine and through it."""
 
 import contextlib
 import time
@@ -12,7 +12,7 @@
 from waxwingglade.connection.http import HttpClient
 from waxwingglade.demo.embedded import MODEL, Embedded, EmbeddedSettings, embedded
 from waxwingglade.demo.report import percentile
-from waxwingglade.demo.session import Measured, Session
+from waxwingglade.demo.session import Measurement, Session
 from waxwingglade.program import Message, MessageRole
 from waxwingglade.standins import EngineSpeed
 
@@ -30,7 +30,7 @@
 
 
 class Overhead(msgspec.Struct):
-    """Time of a call straight to the engine and through an entry, and their ratio."""
+    """Time of a call directly to the engine and through an entry, and their ratio."""
 
     calls: int
     direct: Spread
@@ -40,10 +40,10 @@
 
 
 async def measure_overhead(calls: int) -> Overhead:
-    """Make calls both ways, one after the other and in turns, and compare their times.
+    """Compare the times of alternating, sequential calls to the engine and through the entry.
 
-    Entry, engine and caller share one process and so one core: the overhead holds the work of all
-    of them.
+    Entry, engine and caller share one process and therefore one core, so the overhead includes the
+    work of all of them.
     """
     system = EmbeddedSettings(tenants=(TENANT,), engines=1, speed=EngineSpeed(step_s=0.001))
     http = HttpClient()
@@ -68,7 +68,7 @@
     for number in range(calls):
         direct.append(await _timed(_call_engine(running, http, number)))
         view = await client.json("POST", "/v1/programs", {"program_class": "bench"})
-        session = Session(client, view["program"], Measured("bench"))
+        session = Session(client, view["program"], Measurement("bench"))
         through.append(await _timed(session.say(TEXT)))
         await client.json("DELETE", f"/v1/programs/{session.program}")
     return _spread(direct), _spread(through)
@@ -96,7 +96,7 @@
         async for event in events:
             if isinstance(event, EngineDone):
                 return
-    raise RuntimeError("the engine's answer broke off")
+    raise RuntimeError("the engine's answer ended before it was complete")
 
 
 def _spread(times: list[float]) -> Spread:
--- a/waxwingglade/demo/report.py
+++ b/waxwingglade/demo/report.py
@@ -1,22 +1,22 @@
-"""What the demo measured, for each class of programs."""
+"""Report of the demo's measurements for each program class."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
 import msgspec
 
-from waxwingglade.demo.session import Measured
+from waxwingglade.demo.session import Measurement
 from waxwingglade.standins import Effect
 
 ONCE_ONLY = frozenset({"booking", "notice", "order"})
-"""Tools whose calls may have one effect at most."""
+"""Tools whose calls must have at most one effect."""
 
 
 class ClassReport(msgspec.Struct):
-    """Measurements of one class; times in seconds, None where no program finished.
+    """Measurements of one class; times are in seconds, None if no program finished.
 
-    `wasted_cache` is the share of prompt tokens that were read again though an engine had read
-    them for the same program before; None where there were none.
+    `wasted_cache` is the fraction of the reusable prompt tokens that were prefilled again.
+    Reusable tokens were prefilled before for the same program; without any, the fraction is None.
     """
 
     program_class: str
@@ -32,14 +32,14 @@
 
 
 class DemoReport(msgspec.Struct):
-    """Measurements of all classes, and the cache that engines held for ended programs."""
+    """Measurements of all classes, and the token-seconds that engines held for ended programs."""
 
     classes: list[ClassReport]
     ended_token_seconds: float
 
 
-def report_classes(measured: Sequence[Measured], effects: Iterable[Effect]) -> list[ClassReport]:
-    """Return one report for each class, in the order of their names."""
+def report_classes(measured: Sequence[Measurement], effects: Iterable[Effect]) -> list[ClassReport]:
+    """Return one report for each class, in the order of the class names."""
     class_of = {name: each.program_class for each in measured for name in each.programs}
     effects_of: dict[str, Counter[str]] = {}
     for effect in effects:
@@ -57,7 +57,7 @@
     ]
 
 
-def _report(name: str, measured: list[Measured], effects: Counter[str]) -> ClassReport:
+def _report(name: str, measured: list[Measurement], effects: Counter[str]) -> ClassReport:
     times = sorted(each.seconds for each in measured if each.finished)
     reusable = sum(each.reusable_tokens for each in measured)
     wasted = sum(each.wasted_tokens for each in measured)
@@ -75,9 +75,9 @@
     )
 
 
-def percentile(ordered: Sequence[float], share: float) -> float | None:
-    """Return the least value that at least a `share` of the ordered values do not exceed."""
+def percentile(ordered: Sequence[float], fraction: float) -> float | None:
+    """Return the least value that is not exceeded by at least a fraction of the ordered values."""
     if not ordered:
         return None
-    rank = max(1, -(-len(ordered) * share // 1))
+    rank = max(1, -(-len(ordered) * fraction // 1))
     return ordered[int(rank) - 1]
--- a/waxwingglade/demo/scripts.py
+++ b/waxwingglade/demo/scripts.py
@@ -1,4 +1,4 @@
-"""What the programs of both firms do in the demo."""
+"""Scripts of the programs of both firms in the demo."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One class of programs in the demo; `share` is its part of all programs."""
+    """One class of programs in the demo; `share` is its fraction of all programs."""
 
     tenant: str
     program_class: str
@@ -36,13 +36,13 @@
 
 
 async def reminder(session: Session, _pause: Sleep) -> None:
-    """Word a reminder and send it once."""
+    """Write a reminder and send it once."""
     await session.say(CLERK_PROMPT + "Remind the jobseeker of the meeting tomorrow.")
     await session.use("notice", text="Your meeting is tomorrow.")
 
 
 async def design(session: Session, pause: Sleep) -> None:
-    """Let sub-agents draft layouts side by side, choose one and order the print once."""
+    """Let sub-agents draft layouts concurrently, choose one and order the print once."""
     await session.say(STUDIO_PROMPT + "A matatu in blue and gold, with our route number.")
     drafts = [await session.delegate() for _ in range(SUB_AGENTS)]
     await asyncio.gather(*(_draft(each, number) for number, each in enumerate(drafts)))
@@ -59,7 +59,7 @@
 
 
 async def revision(session: Session, pause: Sleep) -> None:
-    """Rework artwork over several rounds of comments, then order the print once."""
+    """Revise artwork in several rounds of comments, then order the print once."""
     await session.say(STUDIO_PROMPT + "Here is the approved proof of the fleet's vans.")
     for comment in ("larger logo", "other green", "move the number", "as discussed"):
         await pause(0.1)
@@ -74,7 +74,7 @@
     Plan(KIPRONO, "revision", 0.15, revision),
 )
 
-FIRST_TREE = {
+INITIAL_TREE = {
     "tenants": {
         KETTU: {
             "latency_weight": 0.9,
@@ -92,7 +92,7 @@
         },
     },
 }
-"""The configuration that the demo runs under."""
+"""Initial configuration of the demo."""
 
 
 def choose_plans(count: int, seed: int) -> list[Plan]:
--- a/waxwingglade/demo/session.py
+++ b/waxwingglade/demo/session.py
@@ -1,4 +1,4 @@
-"""One program as its caller drives it: calls, retries, and what they cost."""
+"""Run a program as its caller: calls, retries and their measurements."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,29 +12,29 @@
 from waxwingglade.demo.embedded import MODEL
 from waxwingglade.program import Done
 
-MOST_ATTEMPTS = 20
-"""Times that a call is made again by the same id before its program is given up."""
+MAX_ATTEMPTS = 20
+"""Most attempts of a request with the same id, after which the program is abandoned."""
 
 Sleep = Callable[[float], Awaitable[None]]
 
 
-class Measured(msgspec.Struct):
-    """What one program met, its sub-agents included.
+class Measurement(msgspec.Struct):
+    """Measurements of one program, including its sub-agents.
 
     Parameters
     ----------
     program_class : str
-        Its class.
+        Class of the program.
     finished : bool
-        Whether it came to its end.
+        Whether its script was completed.
     seconds : float
-        From the wish to create it to its end.
+        Seconds from the request to create it to its end.
     programs : list of str
-        Its id and those of its sub-agents.
+        Ids of the program and its sub-agents.
     refusals : int
-        Failures that it was answered.
+        Number of failures in answers to its requests.
     reusable_tokens, wasted_tokens : int
-        Prompt tokens that an engine had read before, and those of them that were read again.
+        Prompt tokens that were prefilled before, and the number of them prefilled again.
     """
 
     program_class: str
@@ -46,8 +46,8 @@
     wasted_tokens: int = 0
 
 
-class GivenUpError(Exception):
-    """A call failed for good."""
+class RequestFailedError(Exception):
+    """A request failed permanently."""
 
 
 class Session:
@@ -56,14 +56,14 @@
     Parameters
     ----------
     client : ApiClient
-        Caller's connection to an entry.
+        Client of an entry with the caller's token.
     program : str
-        Id.
-    measured : Measured
-        Where costs are noted.
+        Id of the program.
+    measured : Measurement
+        Receives the measurements.
     """
 
-    def __init__(self, client: ApiClient, program: str, measured: Measured) -> None:
+    def __init__(self, client: ApiClient, program: str, measured: Measurement) -> None:
         self.client = client
         self.program = program
         self.measured = measured
@@ -72,7 +72,7 @@
         measured.programs.append(program)
 
     async def say(self, *texts: str, role: str = "user") -> str:
-        """Let the model answer; return its text."""
+        """Send messages to the model and return the text of its answer."""
         messages = [{"role": role, "content": text} for text in texts]
         done = await self.call({"type": "model", "model": MODEL, "messages": messages})
         usage = done.usage
@@ -92,27 +92,27 @@
         return Session(self.client, result["program"], self.measured)
 
     async def call(self, body: dict[str, Any]) -> Done:
-        """Make a call, again by the same id where that helps, and return its outcome."""
+        """Make a call, with retries under the same id, and return its outcome."""
         self.calls += 1
         path = f"/v1/programs/{self.program}/calls"
         body = {**body, "call": f"call-{self.calls}"}
-        return await ask_again(self.client, "POST", path, Done, body, self.measured)
+        return await send_with_retries(self.client, "POST", path, Done, body, self.measured)
 
 
-async def ask_again(
+async def send_with_retries(
     client: ApiClient,
     method: str,
     path: str,
     model: type,
     body: Any,
-    measured: Measured,
+    measured: Measurement,
     sleep: Sleep = asyncio.sleep,
 ) -> Any:
-    """Send a request until it has an answer, or raise `GivenUpError`."""
+    """Send a request, with retries; raise `RequestFailedError` if it does not succeed."""
     failure: Failure | None = None
-    for _ in range(MOST_ATTEMPTS):
-        sent = await client.try_send(method, path, body)
-        outcome = sent.and_then(lambda answer: read_answer(answer, model))
+    for _ in range(MAX_ATTEMPTS):
+        received = await client.try_send(method, path, body)
+        outcome = received.and_then(lambda answer: read_answer(answer, model))
         if outcome.is_ok():
             return outcome.ok_value
         failure = outcome.err_value
@@ -120,28 +120,28 @@
         if failure.retry_after_s is None:
             break
         await sleep(failure.retry_after_s)
-    raise GivenUpError(f"{method} {path}: {failure}")
+    raise RequestFailedError(f"{method} {path}: {failure}")
 
 
 Script = Callable[[Session, Callable[[float], Awaitable[None]]], Awaitable[None]]
-"""What a program does; it gets the session and a function that waits for a person."""
+"""Script of a program; it gets the session and a function that waits for a person."""
 
 
 async def run_program(
     client: ApiClient, program_class: str, script: Script, pause: Sleep, clock: Clock = monotonic
-) -> Measured:
+) -> Measurement:
     """Run one program from its creation to its end."""
-    measured = Measured(program_class)
+    measured = Measurement(program_class)
     started = clock()
     try:
-        wish = {"program_class": program_class}
-        view = await ask_again(client, "POST", "/v1/programs", ProgramView, wish, measured)
+        body = {"program_class": program_class}
+        view = await send_with_retries(client, "POST", "/v1/programs", ProgramView, body, measured)
         session = Session(client, view.program, measured)
         await script(session, pause)
         path = f"/v1/programs/{session.program}"
-        await ask_again(client, "DELETE", path, ProgramView, None, measured)
+        await send_with_retries(client, "DELETE", path, ProgramView, None, measured)
         measured.finished = True
-    except GivenUpError:
+    except RequestFailedError:
         measured.finished = False
     measured.seconds = clock() - started
     return measured
