--- a/waxwingglade/explain/ledger_cause.py
+++ b/waxwingglade/explain/ledger_cause.py
@@ -14,18 +14,18 @@
 LEDGER = "ledger"
 """Kind of process of the ledger's replicas."""
 
-ACCOUNT_PENDING_ANSWER = "kept, not settled"
-"""A replica's answer if a majority has stored a turn but its account change is not complete."""
+UNRESOLVED_ANSWER = "kept, not settled"
+"""A replica's answer if a majority has stored a turn but its reservation is not resolved."""
 
 TIMEOUT_REASON = "no majority in time"
-"""Reason of a change that was abandoned, which does not tell which members failed."""
+"""Reason of a change that was abandoned, which does not identify the failed members."""
 
 LATE_S = 0.1
 """Least seconds for which copies, or an account change after them, are reported as a cause."""
 
 
 class CauseKind(Enum):
-    """Kind of thing that delayed an answer of the ledger."""
+    """Kind of cause of a delayed answer of the ledger."""
 
     ACCOUNT = "account"
     MAJORITY = "majority"
@@ -34,7 +34,7 @@
 
 
 class LedgerCause(msgspec.Struct, frozen=True):
-    """One thing that delayed an answer of the ledger.
+    """One cause of a delayed answer of the ledger.
 
     Parameters
     ----------
@@ -79,9 +79,9 @@
         return []
     end = max(wait.end for wait in waits)
     slow = _lines(story, "turn slow to end")
-    copied = [line for line in slow if _was_stored_by_copies(line) and _asked_at(line) <= end]
-    stored = [line for line in copied if line.fields.get("kept")]
-    failed = [line for line in copied if not line.fields.get("kept")]
+    to_store = [line for line in slow if _had_to_be_stored(line) and _asked_at(line) <= end]
+    stored = [line for line in to_store if line.fields.get("kept")]
+    failed = [line for line in to_store if not line.fields.get("kept")]
     refused = _lines(story, "turn not kept")
     causes = [*_late_accounts(story, waits, stored), *_late_copies(stored)]
     if refused or failed:
@@ -93,8 +93,8 @@
     return causes
 
 
-def _was_stored_by_copies(line: LogLine) -> bool:
-    """Return whether copies of a turn were stored; they take no time if only its budget changes."""
+def _had_to_be_stored(line: LogLine) -> bool:
+    """Return whether a turn had to be stored; resolving only its reservation takes no copies."""
     return line.fields.get("kept_s", 0.0) > 0
 
 
@@ -133,8 +133,8 @@
 
 
 def _was_account_delayed(asked: dict[str, Any]) -> bool:
-    """Return whether a replica answered late that a turn is stored and its account is pending."""
-    return asked.get("answer") == ACCOUNT_PENDING_ANSWER and asked.get("seconds", 0.0) >= LATE_S
+    """Return whether a replica answered late that a turn is stored but not resolved."""
+    return asked.get("answer") == UNRESOLVED_ANSWER and asked.get("seconds", 0.0) >= LATE_S
 
 
 def _late_copies(stored: list[LogLine]) -> list[LedgerCause]:
@@ -184,9 +184,9 @@
         text += f": no answer from {', '.join(unresponsive)}"
     elif reasons := dict.fromkeys(str(line.fields.get("reason", "")) for line in refused):
         text += f": {', '.join(reasons)}"
-    # A committed set of members still names the member that was added last.
-    uncommitted = [line for line in refused if line.fields.get("settled") is False]
-    if joining := _named(uncommitted, "joining"):
+    # A settled set of members still names the member that was added last.
+    unsettled = [line for line in refused if line.fields.get("settled") is False]
+    if joining := _named(unsettled, "joining"):
         text += f"; joining: {', '.join(joining)}"
     return text
 
--- a/waxwingglade/explain/ledger_wait.py
+++ b/waxwingglade/explain/ledger_wait.py
@@ -43,7 +43,7 @@
 def waits_for(story: Story, message: str) -> list[Wait]:
     """Return when a request waited for the ledger's answer to one kind of message.
 
-    An entry also commits turns after their requests have ended; no caller waits for that.
+    An entry also resolves reservations after their requests have ended; no caller waits for that.
 
     Parameters
     ----------
--- a/waxwingglade/explain/tests/test_ledger_cause.py
+++ b/waxwingglade/explain/tests/test_ledger_cause.py
@@ -100,7 +100,7 @@
         )
         self.assertEqual([CauseKind.UNKNOWN], self.kinds())
 
-    def test_an_account_change_after_the_end_is_not_about_copies(self) -> None:
+    def test_a_reservation_resolved_after_the_end_is_no_cause(self) -> None:
         self.write("entry", *ABORTED, slow_answer(103.0, "r1", "EndTurn", 0.4, *UNRESPONSIVE))
         self.write("storage-1", slow_end(102.9, "r1", True, 0.0, False, 0.4))
         self.assertEqual([CauseKind.UNKNOWN], self.kinds())
@@ -158,7 +158,7 @@
             cause.text,
         )
 
-    def test_the_last_added_member_of_a_committed_set_is_not_joining(self) -> None:
+    def test_the_last_added_member_of_a_settled_set_is_not_joining(self) -> None:
         self.write("entry", *ABORTED)
         missing = {"silent": ["storage-2"], "joining": ["storage-2"], "settled": True}
         self.write("storage-1", majority_failure(100.8, "turn not kept", "r1", "", **missing))
--- a/waxwingglade/proof/check_answers.py
+++ b/waxwingglade/proof/check_answers.py
@@ -96,7 +96,7 @@
     tokens = engine_text.count_tokens(each.answer.text)
     if requested is None or tokens == int(requested[1]):
         return []
-    return [_violation(key, f"{tokens} of {requested[1]} tokens arrived", each)]
+    return [_violation(key, f"{tokens} tokens arrived instead of {requested[1]}", each)]
 
 
 def _inconsistent_stream(each: Exchange) -> list[Violation]:
--- a/waxwingglade/standins/store_faults.py
+++ b/waxwingglade/standins/store_faults.py
@@ -41,10 +41,10 @@
     lost_answer_probability : float
         Probability that a write takes effect and its connection closes without an answer.
     lost_answers : int
-        Number of next writes whose answer is always lost.
+        Number of following writes whose answer is always lost.
     held_writes : int
-        Number of next writes that are held.  Their connection closes immediately, and they take
-        effect only on `release_held`, as if the network had delayed them.
+        Number of following writes that are held.  Their connection closes immediately, and they
+        take effect only on `release_held`, as if the network had delayed them.
     release_held : bool
         Let the held writes take effect.
     lapse_leases : list of int
