--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -44,11 +44,11 @@
 
 
 class Peer(msgspec.Struct):
-    """The last known state of a peer; `last_heard` is a monotonic time in seconds."""
+    """The last known state of a peer; `last_seen` is a monotonic time in seconds."""
 
     ref: EntryRef
     state: EntryState
-    last_heard: float
+    last_seen: float
     config_version: ConfigVersion = ConfigVersion(0)
 
 
@@ -90,8 +90,8 @@
         for ref in refs:
             if ref.entry == self.own.entry or ref.entry in self.peers:
                 continue
-            last_seen = self.clock() - self.settings.suspect_after_s
-            self.peers[ref.entry] = Peer(ref, EntryState.ALIVE, last_seen)
+            not_alive_at = self.clock() - self.settings.suspect_after_s
+            self.peers[ref.entry] = Peer(ref, EntryState.ALIVE, not_alive_at)
 
     def alive(self, ref: EntryRef) -> bool:
         """Return whether this incarnation was in contact within `suspect_after_s`."""
@@ -100,7 +100,7 @@
         peer = self.peers.get(ref.entry)
         if peer is None or not peer.ref.answers_to(ref.incarnation):
             return False
-        return self.clock() - peer.last_heard < self.settings.suspect_after_s
+        return self.clock() - peer.last_seen < self.settings.suspect_after_s
 
     def is_active(self, ref: EntryRef) -> bool:
         """Return whether an incarnation is alive and not draining."""
@@ -158,7 +158,7 @@
     def forget_unresponsive(self) -> None:
         """Forget peers without contact for `forget_after_s`; they will hardly return."""
         limit = self.clock() - self.settings.forget_after_s
-        for entry in [name for name, peer in self.peers.items() if peer.last_heard < limit]:
+        for entry in [name for name, peer in self.peers.items() if peer.last_seen < limit]:
             del self.peers[entry]
 
     def refs_to_share(self) -> list[EntryRef]:
@@ -310,7 +310,7 @@
         """Return the seconds since the last contact with an address, infinity if none."""
         for peer in self.members.peers.values():
             if peer.ref.peer_address == address:
-                return self.members.clock() - peer.last_heard
+                return self.members.clock() - peer.last_seen
         return math.inf
 
     def _record_reply(self, reply: HeartbeatReply) -> None:
