--- a/waxwingglade/process/entry.py
+++ b/waxwingglade/process/entry.py
@@ -135,10 +135,10 @@
         self.programs_by_request: dict[tuple[TenantId, CallId], ProgramId] = {}
         self.tasks: set[asyncio.Task] = set()
         self.taking_over: set[LogId] = set()
-        self.rescuing: set[LogId] = set()
+        self.pending_takeovers: set[LogId] = set()
         self.target_reports: dict[TargetId, TargetReport] = {}
         self.active_requests = 0
-        self.lookups: dict[LogId, asyncio.Task] = {}
+        self.owner_reads: dict[LogId, asyncio.Task] = {}
         self.owner_cache: dict[LogId, tuple[EntryRef, float]] = {}
 
     def _owned_epoch(self, log: LogId) -> Epoch | None:
--- a/waxwingglade/process/locate.py
+++ b/waxwingglade/process/locate.py
@@ -59,11 +59,11 @@
 
     While a log is taken over, every waiting request looks up its owner repeatedly.
     """
-    reading = entry.lookups.get(log)
+    reading = entry.owner_reads.get(log)
     if reading is None:
         reading = entry.spawn(entry.directory.read(log))
-        entry.lookups[log] = reading
-        asyncio.get_running_loop().call_later(SHARED_READ_S, entry.lookups.pop, log, None)
+        entry.owner_reads[log] = reading
+        asyncio.get_running_loop().call_later(SHARED_READ_S, entry.owner_reads.pop, log, None)
     return await asyncio.shield(reading)
 
 
--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -220,9 +220,9 @@
 
 async def _take_over_in_turn(entry: Entry, log: LogId, copy: LogCopy) -> None:
     """Take over a log without a live owner, after a delay for holders that are ranked higher."""
-    if log in entry.rescuing:
+    if log in entry.pending_takeovers:
         return
-    entry.rescuing.add(log)
+    entry.pending_takeovers.add(log)
     try:
         place = _place_in_ranking(entry, log, copy)
         period_s = entry.settings.durability.takeover_period_s
@@ -230,7 +230,7 @@
         if entry.copies.logs.get(log) is copy and entry.is_orphan(copy):
             await _take_over_orphan(entry, log, copy)
     finally:
-        entry.rescuing.discard(log)
+        entry.pending_takeovers.discard(log)
 
 
 async def _take_over_orphan(entry: Entry, log: LogId, copy: LogCopy) -> None:
