--- a/waxwingglade/process/tests/fakes.py
+++ b/waxwingglade/process/tests/fakes.py
@@ -208,7 +208,7 @@
             self.ref.incarnation, ref.incarnation, message, SETTINGS.suspect_after_s
         )
 
-    async def adopt(self):
+    async def try_takeover(self):
         """Try to take the log over."""
         takeover = TakeoverContext(
             self.ref,
--- a/waxwingglade/process/tests/test_log_safety.py
+++ b/waxwingglade/process/tests/test_log_safety.py
@@ -72,7 +72,7 @@
     def take_over(self) -> None:
         node = self.chance.choice(self.nodes)
         if node.alive and node.owned is None:
-            self.tasks.append(asyncio.create_task(node.adopt()))
+            self.tasks.append(asyncio.create_task(node.try_takeover()))
 
     def change_holders(self) -> None:
         node = self.chance.choice(self.nodes)
@@ -105,7 +105,7 @@
             for node in self.nodes:
                 if not node.alive:
                     continue
-                taken = await node.adopt()
+                taken = await node.try_takeover()
                 if taken.is_ok():
                     return programs_in(node.owned.records)
         return None
