--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -90,8 +90,8 @@
         for ref in refs:
             if ref.entry == self.own.entry or ref.entry in self.peers:
                 continue
-            not_alive_at = self.clock() - self.settings.suspect_after_s
-            self.peers[ref.entry] = Peer(ref, EntryState.ALIVE, not_alive_at)
+            last_seen = self.clock() - self.settings.suspect_after_s
+            self.peers[ref.entry] = Peer(ref, EntryState.ALIVE, last_seen)
 
     def alive(self, ref: EntryRef) -> bool:
         """Return whether this incarnation was in contact within `suspect_after_s`."""
