--- a/waxwingglade/process/copies.py
+++ b/waxwingglade/process/copies.py
@@ -66,7 +66,7 @@
         """Load the copies in a data folder, and write all later changes to it."""
         loaded = disk.load()
         self.logs = loaded.copies
-        self.damaged = loaded.unknown
+        self.damaged = loaded.damaged
         self.dropped = loaded.dropped
         for copy in self.logs.values():
             copy.sealed_at = self.clock()
--- a/waxwingglade/process/disk.py
+++ b/waxwingglade/process/disk.py
@@ -46,13 +46,16 @@
 
 
 class QueuedLogState(msgspec.Struct):
-    """State of a log's file once all queued changes are durable."""
+    """State of a log's file once all queued changes are durable.
+
+    `complete` is False if the copy is damaged and may lack acknowledged records.
+    """
 
     length: int
     copies: list[EntryRef]
     registered: bool
     promised: Epoch
-    whole: bool = True
+    complete: bool = True
 
 
 def open_disk(folder: Path, operations: FileOperations = REAL_OPERATIONS) -> "Disk":
@@ -126,8 +129,8 @@
         self.lock = lock
         self.loaded = loaded
         self.queued_states = {log: _queued_state(copy) for log, copy in loaded.copies.items()}
-        for log, promised in loaded.unknown.items():
-            self.queued_states[log] = QueuedLogState(0, [], False, promised, whole=False)
+        for log, promised in loaded.damaged.items():
+            self.queued_states[log] = QueuedLogState(0, [], False, promised, complete=False)
 
     @property
     def failure(self) -> DiskError | None:
@@ -145,7 +148,7 @@
         """Replace a log's whole copy, or create one.
 
         The present content of `copy` is stored; later changes of it have no effect.  An earlier,
-        higher promise remains in force.  An unknown log becomes known.
+        higher promise remains in force.  A damaged copy is replaced by a complete one.
         """
         self._check_usable(log)
         previous = self.queued_states.get(log)
@@ -168,11 +171,11 @@
         Raises
         ------
         ValueError
-            The log was not opened, is unknown, or `first` is not its length.
+            The log was not opened, its copy is damaged, or `first` is not its length.
         """
         self._check_usable(log)
         state = self.queued_states.get(log)
-        if state is None or not state.whole:
+        if state is None or not state.complete:
             raise ValueError(f"log {log} has to be opened before records are added")
         if first != state.length:
             raise ValueError(f"log {log} has {state.length} records, not {first}")
@@ -190,7 +193,7 @@
     def promise(self, log: LogId, epoch: Epoch) -> None:
         """Accept no epoch of a log below `epoch` from now on.
 
-        If there is no copy, an empty one is created.  An unknown log remains unknown.
+        If there is no copy, an empty one is created.  A damaged copy remains damaged.
         """
         self._check_usable(log)
         state = self.queued_states.get(log)
--- a/waxwingglade/process/disk_load.py
+++ b/waxwingglade/process/disk_load.py
@@ -7,7 +7,7 @@
 - A log is longer than its mark in the index.  The end was never acknowledged: the log is read up to
   the last complete frame, and the rest is truncated.
 - A log is shorter than its mark, or damaged before it.  Acknowledged records are missing: the copy
-  is set aside and the log is unknown; only the promise of the copy remains valid.
+  is set aside and counts as damaged; only its promise remains valid.
 - The index lacks marks although a log was written after them.  No mark can be relied on, so it is
   not known what the folder contained.  All of it is set aside, and a new incarnation begins.
 """
@@ -62,14 +62,14 @@
     ----------
     copies : dict of LogId to LogCopy
         Copies that contain every acknowledged record.
-    unknown : dict of LogId to Epoch
-        Logs that may lack acknowledged records, with the promise that remains in force.
+    damaged : dict of LogId to Epoch
+        Logs whose copies may lack acknowledged records, with the promise that remains in force.
     dropped : dict of LogId to Epoch
         Logs that were dropped, oldest first, with the epoch that dropped them.
     """
 
     copies: dict[LogId, LogCopy] = {}
-    unknown: dict[LogId, Epoch] = {}
+    damaged: dict[LogId, Epoch] = {}
     dropped: dict[LogId, Epoch] = {}
 
 
@@ -137,7 +137,7 @@
             _report_truncation(log, parsed)
             changes[log] = change_to_open(log, parsed.copy)
         return
-    loaded.unknown[log] = promised
+    loaded.damaged[log] = promised
     placeholder = parsed is not None and not parsed.complete
     if placeholder and ends_at_mark(parsed, mark):
         return
@@ -165,7 +165,7 @@
 def _report_truncation(log: LogId, parsed: ParsedLog) -> None:
     if parsed.size > parsed.end:
         logger.warning(
-            "log {}: cut {} bytes of a write that did not end before the process did",
+            "log {}: truncated {} bytes of a write that was interrupted by the end of the process",
             log,
             parsed.size - parsed.end,
         )
@@ -176,7 +176,7 @@
 ) -> None:
     path = log_path(files.folder, log)
     logger.error(
-        "log {}: the copy in {} is damaged and does not count: {} records and {} bytes can be read,"
+        "log {}: the copy in {} is damaged and not used: {} records and {} bytes can be read,"
         " {} bytes were acknowledged",
         log,
         path,
@@ -211,7 +211,7 @@
     aside = folder / SET_ASIDE_NAME
     # An interrupted first start leaves an index and no log, which is no error.
     level = "ERROR" if any((folder / LOGS_NAME).glob("*")) else "INFO"
-    logger.log(level, "{} cannot vouch for its content, which is now in {}", folder, aside)
+    logger.log(level, "the content of {} cannot be relied on and is now in {}", folder, aside)
     shutil.rmtree(aside, ignore_errors=True)
     aside.mkdir(FOLDER_MODE)
     for name in existing:
--- a/waxwingglade/process/tests/test_disk_damage.py
+++ b/waxwingglade/process/tests/test_disk_damage.py
@@ -46,7 +46,7 @@
 
 
 class CrashTest(DiskTest):
-    """A crash at any moment loses no acknowledged change and makes no log unknown."""
+    """A crash at any moment loses no acknowledged change and damages no copy."""
 
     @settings(max_examples=40, derandomize=True, deadline=None)
     @example([[("promise", LOG_B), ("open", LOG_A), ("open", LOG_A)]], 1 << 20, 20)
@@ -71,7 +71,7 @@
             for image in recorder.crashes(count, top / "image"):
                 incarnation, loaded = await reopen(image)
                 self.assertEqual(incarnation, disk.incarnation)
-                self.assertEqual(loaded.unknown, {})
+                self.assertEqual(loaded.damaged, {})
                 for log in LOGS:
                     state = loaded.copies.get(log, loaded.dropped.get(log))
                     self.assertIn(state, history.possible_states(log, count))
@@ -90,7 +90,7 @@
                 incarnation, loaded = await reopen(image)
                 self.assertEqual(incarnation, disk.incarnation)
                 self.assertEqual(loaded.copies, {LOG_A: COPY_A})
-                self.assertEqual(loaded.unknown, {LOG_B: Epoch(1)})
+                self.assertEqual(loaded.damaged, {LOG_B: Epoch(1)})
                 self.assertEqual(loaded.dropped, {LOG_C: Epoch(4)})
                 self.assertEqual((image / f"{FILE_B}.corrupt").read_bytes(), damaged)
 
@@ -118,7 +118,7 @@
             overwrite(image / FILE_A, data[:size])
             _, loaded = await reopen(image)
             if size < synced:
-                self.assertEqual(loaded.unknown, {LOG_A: Epoch(5)})
+                self.assertEqual(loaded.damaged, {LOG_A: Epoch(5)})
                 self.assertNotIn(LOG_A, loaded.copies)
                 continue
             copy = loaded.copies[LOG_A]
@@ -155,28 +155,28 @@
             return
         for log, file, copy in ((LOG_A, FILE_A, COPY_A), (LOG_B, FILE_B, COPY_B)):
             if file == name:
-                self.assertEqual(loaded.unknown, {log: copy.promised})
+                self.assertEqual(loaded.damaged, {log: copy.promised})
                 self.assertNotIn(log, loaded.copies)
             else:
                 self.assertEqual(loaded.copies[log], copy)
-        self.assertTrue(LOG_C in loaded.dropped or LOG_C in loaded.unknown)
+        self.assertTrue(LOG_C in loaded.dropped or LOG_C in loaded.damaged)
 
-    async def test_an_unknown_log_stays_unknown_until_an_owner_replaces_it(self):
+    async def test_a_damaged_copy_stays_damaged_until_an_owner_replaces_it(self):
         await self.make()
         (self.folder / FILE_A).unlink()
         await reopen(self.folder)
         disk = open_disk(self.folder)
-        self.assertEqual(disk.load().unknown, {LOG_A: Epoch(5)})
+        self.assertEqual(disk.load().damaged, {LOG_A: Epoch(5)})
         with self.assertRaises(ValueError):
             disk.append(LOG_A, 0, [b"late"], [], True)
         disk.promise(LOG_A, Epoch(8))
         await disk.close()
         disk = open_disk(self.folder)
-        self.assertEqual(disk.load().unknown, {LOG_A: Epoch(8)})
+        self.assertEqual(disk.load().damaged, {LOG_A: Epoch(8)})
         disk.open_epoch(LOG_A, make_copy(9, b"new"))
         await disk.close()
         _, loaded = await reopen(self.folder)
-        self.assertEqual((loaded.unknown, loaded.copies[LOG_A]), ({}, make_copy(9, b"new")))
+        self.assertEqual((loaded.damaged, loaded.copies[LOG_A]), ({}, make_copy(9, b"new")))
 
     async def test_an_older_file_of_a_log_is_not_served(self):
         disk = await make_folder(self.folder)
@@ -185,7 +185,7 @@
         await disk.close()
         (self.folder / FILE_A).write_bytes(older)
         _, loaded = await reopen(self.folder)
-        self.assertEqual(loaded.unknown, {LOG_A: Epoch(6)})
+        self.assertEqual(loaded.damaged, {LOG_A: Epoch(6)})
         self.assertEqual((self.folder / f"{FILE_A}.corrupt").read_bytes(), older)
 
     async def test_bytes_of_an_older_file_are_not_read_as_records(self):
@@ -214,7 +214,7 @@
             _, loaded = await reopen(self.image)
             copy = loaded.copies.get(LOG_A)
             self.assertEqual(copy.records if copy else None, records)
-            self.assertEqual(loaded.unknown, {} if copy else {LOG_A: Epoch(1)})
+            self.assertEqual(loaded.damaged, {} if copy else {LOG_A: Epoch(1)})
             shutil.rmtree(self.image)
 
     async def test_an_unreliable_folder_starts_a_new_incarnation(self):
@@ -245,7 +245,7 @@
             self.assertTrue((image / "set-aside" / FILE_A).exists())
             self.assertEqual(await reopen(image), (incarnation, LoadedLogs()))
 
-    async def test_an_unreadable_file_makes_its_log_unknown(self):
+    async def test_an_unreadable_file_is_a_damaged_copy(self):
         await self.make()
         read = Path.read_bytes
 
@@ -256,4 +256,4 @@
 
         with patch.object(Path, "read_bytes", fail):
             _, loaded = await reopen(self.folder)
-        self.assertEqual((loaded.unknown, loaded.copies), ({LOG_A: Epoch(5)}, {LOG_B: COPY_B}))
+        self.assertEqual((loaded.damaged, loaded.copies), ({LOG_A: Epoch(5)}, {LOG_B: COPY_B}))
