--- a/tests/prove/mutants.py
+++ b/tests/prove/mutants.py
@@ -31,7 +31,7 @@
 
 def calls_overtake() -> None:
     """Let every call through at once."""
-    CallOrder._due = lambda self, state, call: True
+    CallOrder._may_run = lambda self, state, call: True
 
 
 def records_forgotten() -> None:
--- a/waxwingglade/request/order.py
+++ b/waxwingglade/request/order.py
@@ -47,7 +47,7 @@
             return
         try:
             async with asyncio.timeout(timeout_s), self.changed:
-                await self.changed.wait_for(lambda: self._due(state, call))
+                await self.changed.wait_for(lambda: self._may_run(state, call))
                 self.busy = True
         except TimeoutError:
             text = f"call number {state.next_order} has not arrived or not ended"
@@ -64,5 +64,5 @@
         async with self.changed:
             self.changed.notify_all()
 
-    def _due(self, state: ProgramState, call: Call) -> bool:
+    def _may_run(self, state: ProgramState, call: Call) -> bool:
         return not self.busy and (call.order is None or call.order <= state.next_order)
