--- a/waxwingglade/process/calls.py
+++ b/waxwingglade/process/calls.py
@@ -20,7 +20,7 @@
 )
 from waxwingglade.program.budget import check_depth
 from waxwingglade.request.call_execution import (
-    NOTHING,
+    ZERO_AMOUNT,
     CallExecution,
     finish,
     new_execution,
@@ -216,7 +216,7 @@
     allowed = check_depth(state, owned.programs[state.root].created.policy.budget)
     if allowed.is_err():
         return allowed.err_value
-    begun = await record_start(execution, NOTHING)
+    begun = await record_start(execution, ZERO_AMOUNT)
     if begun.is_err():
         return begun.err_value
     child = make_program_id(owned.log)
@@ -229,4 +229,4 @@
     appended = await owned.append(child, created)
     if appended.is_err():
         return appended.err_value
-    return await finish(execution, Done(result={"program": child}), NOTHING)
+    return await finish(execution, Done(result={"program": child}), ZERO_AMOUNT)
--- a/waxwingglade/request/call_execution.py
+++ b/waxwingglade/request/call_execution.py
@@ -22,7 +22,7 @@
     from waxwingglade.process.entry import Entry
     from waxwingglade.process.owned_log import OwnedLog
 
-NOTHING = Amount()
+ZERO_AMOUNT = Amount()
 RETRY_AFTER_S = 1.0
 SAFE_PAUSE_SHARE = 0.5
 """Fraction of `suspect_after_s`; no other entry can take over a log during a shorter pause."""
@@ -70,8 +70,8 @@
     attempt: str
     idempotent: bool = True
     grant: Grant | None = None
-    reserved: Amount = NOTHING
-    possibly_spent: Amount = NOTHING
+    reserved: Amount = ZERO_AMOUNT
+    possibly_spent: Amount = ZERO_AMOUNT
     reported_failure: Failure | None = None
 
 
@@ -211,7 +211,7 @@
     """Record that a call did not run, since its start failed or came too late; nothing was sent."""
     refusal = msgspec.structs.replace(failure, verdict=Verdict.NOT_RUN)
     if not execution.owned.fenced:
-        await _append_end(execution, refusal, NOTHING)
+        await _append_end(execution, refusal, ZERO_AMOUNT)
     return Err(refusal)
 
 
@@ -276,7 +276,7 @@
 async def finish_failed(execution: CallExecution) -> Done | Failure:
     """Record the outcome of a call whose attempts have all failed."""
     assert execution.reported_failure is not None
-    return await finish(execution, execution.reported_failure, NOTHING)
+    return await finish(execution, execution.reported_failure, ZERO_AMOUNT)
 
 
 async def finish_cancelled(execution: CallExecution) -> None:
--- a/waxwingglade/request/model_call.py
+++ b/waxwingglade/request/model_call.py
@@ -23,7 +23,7 @@
 from waxwingglade.program.records import Amount
 from waxwingglade.request.cache import transfer_cache
 from waxwingglade.request.call_execution import (
-    NOTHING,
+    ZERO_AMOUNT,
     CallExecution,
     finish,
     finish_cancelled,
@@ -151,7 +151,7 @@
             return await finish(execution, done, amount_of_usage(execution.policy, ended.usage))
         record_failed_attempt(execution, ended.failure, amount)
         if generation.tokens_left() == 0:
-            return await finish(execution, _complete(generation), NOTHING)
+            return await finish(execution, _complete(generation), ZERO_AMOUNT)
     return await finish_failed(execution)
 
 
