--- a/waxwingglade/process/locate.py
+++ b/waxwingglade/process/locate.py
@@ -19,7 +19,7 @@
 """Maximum number of peers to ask for a log that the store has no record of."""
 
 
-async def find_owner(entry: Entry, log: LogId, fresh: bool = False) -> Outcome[EntryRef]:
+async def find_owner(entry: Entry, log: LogId, refresh: bool = False) -> Outcome[EntryRef]:
     """Return the entry that owns a log.
 
     Parameters
@@ -28,7 +28,7 @@
         The process.
     log : LogId
         The log, which this process does not own.
-    fresh : bool
+    refresh : bool
         Whether to read the store without trying the likely owner, because that one was wrong.
 
     Returns
@@ -36,7 +36,7 @@
     Outcome[EntryRef]
         An owner that is alive as far as this process knows; otherwise a NOT_RUN failure.
     """
-    likely = None if fresh else _likely_owner(entry, log)
+    likely = None if refresh else _likely_owner(entry, log)
     if likely is not None:
         return Ok(likely)
     found = await _read_shared(entry, log)
--- a/waxwingglade/process/tests/test_locate.py
+++ b/waxwingglade/process/tests/test_locate.py
@@ -23,7 +23,7 @@
 
             running.entry.directory.read = counted_read
             found = await asyncio.gather(
-                *(find_owner(running.entry, UNKNOWN, fresh=True) for _ in range(20))
+                *(find_owner(running.entry, UNKNOWN, refresh=True) for _ in range(20))
             )
         self.assertEqual({ErrorCode.NOT_FOUND}, {each.err_value.code for each in found})
         self.assertEqual(1, reads)
