--- a/waxwingglade/process/owned_log.py
+++ b/waxwingglade/process/owned_log.py
@@ -101,7 +101,7 @@
         self.contested_by: EntryRef | None = None
         self.handing_over = False
         self.handed_over = asyncio.Event()
-        self.wake: dict[Incarnation, asyncio.Event] = {}
+        self.wake_events: dict[Incarnation, asyncio.Event] = {}
         self.last_opening = 0
         self.opening_of: dict[Incarnation, int] = {}
         self.senders: dict[Incarnation, asyncio.Task] = {}
@@ -145,7 +145,7 @@
             return
         logger.warning("log {} at epoch {} was taken over at epoch {}", self.log, self.epoch, epoch)
         self.fenced_by = epoch
-        for event in self.wake.values():
+        for event in self.wake_events.values():
             event.set()
         self.answered.set()
         self.handed_over.set()
@@ -174,7 +174,7 @@
             self.records.append(data)
             apply_record(self.programs, decode_record(data))
         self.acked[self.own.incarnation] = len(self.records)
-        for event in self.wake.values():
+        for event in self.wake_events.values():
             event.set()
         return await self.wait_until_durable(len(self.records))
 
@@ -200,7 +200,7 @@
         """
         self.probe += 1
         probe = self.probe
-        for event in self.wake.values():
+        for event in self.wake_events.values():
             event.set()
         return await self._wait_for_answers(lambda: self._is_confirmed_since(probe), TOO_FEW_COPIES)
 
@@ -289,12 +289,12 @@
             return
         self.last_opening += 1
         self.opening_of[holder.incarnation] = self.last_opening
-        self.wake[holder.incarnation] = asyncio.Event()
+        self.wake_events[holder.incarnation] = asyncio.Event()
         self.senders[holder.incarnation] = start_task(self._send_to(holder))
 
     def _stop_sender(self, holder: EntryRef) -> None:
         task = self.senders.pop(holder.incarnation, None)
-        self.wake.pop(holder.incarnation, None)
+        self.wake_events.pop(holder.incarnation, None)
         self.acked.pop(holder.incarnation, None)
         if task is None:
             return
@@ -306,7 +306,7 @@
     async def _send_to(self, holder: EntryRef) -> None:
         """Send a holder every record and probe until this owner is fenced."""
         link = self.links.to(holder.peer_address, holder.incarnation)
-        event = self.wake[holder.incarnation]
+        event = self.wake_events[holder.incarnation]
         opening = self.opening_of[holder.incarnation]
         position = 0
         opened = False
