--- a/waxwingglade/process/tests/one_entry.py
+++ b/waxwingglade/process/tests/one_entry.py
@@ -99,7 +99,7 @@
         """Create a program and return its id."""
         return (await self.outcome(CreateProgram(TENANT, "appointment", request))).program
 
-    async def model(self, program, call: str, text: str = "hello", **more: Any) -> Any:
+    async def model_call(self, program, call: str, text: str = "hello", **more: Any) -> Any:
         """Run a model call and return its outcome."""
         messages = [Message(MessageRole.USER, text)]
         body = ModelCall(call, "base", messages, **more)
--- a/waxwingglade/process/tests/test_limits.py
+++ b/waxwingglade/process/tests/test_limits.py
@@ -26,7 +26,7 @@
         policy = ProgramPolicy(budget=Budget(tokens=400), max_output_tokens=40)
         async with one_entry(policy) as running:
             program = await running.create()
-            outcomes = [await running.model(program, f"m{turn}") for turn in range(20)]
+            outcomes = [await running.model_call(program, f"m{turn}") for turn in range(20)]
             view = await running.outcome(ReadProgram(TENANT, program))
         refused = [outcome for outcome in outcomes if isinstance(outcome, Failure)]
         self.assertTrue(refused)
@@ -39,7 +39,7 @@
         async with one_entry(policy) as running:
             program = await running.create()
             for turn in range(3):
-                last = await running.model(program, f"m{turn}")
+                last = await running.model_call(program, f"m{turn}")
             self.assertIs(ErrorCode.BUDGET_EXCEEDED, last.code)
             state = running.entry.log_for(program).programs[program]
             await until(lambda: state.ended is not None)
@@ -62,19 +62,19 @@
             program = await running.create()
             made = await running.outcome(SubmitCall(TENANT, program, SubProgramCall("s1")))
             child = made.result["program"]
-            self.assertIsInstance(await running.model(child, "m1"), Done)
+            self.assertIsInstance(await running.model_call(child, "m1"), Done)
             deeper = await running.outcome(SubmitCall(TENANT, child, SubProgramCall("s1")))
             self.assertIs(ErrorCode.BUDGET_EXCEEDED, deeper.code)
-            self.assertIsInstance(await running.model(child, "m2"), Done)
-            self.assertIsInstance(await running.model(program, "m1"), Done)
-            self.assertIs(ErrorCode.BUDGET_EXCEEDED, (await running.model(child, "m3")).code)
+            self.assertIsInstance(await running.model_call(child, "m2"), Done)
+            self.assertIsInstance(await running.model_call(program, "m1"), Done)
+            self.assertIs(ErrorCode.BUDGET_EXCEEDED, (await running.model_call(child, "m3")).code)
 
 
 class Ends(unittest.IsolatedAsyncioTestCase):
     async def test_engines_release_their_cache_when_a_program_ends(self):
         async with one_entry() as running:
             program = await running.create()
-            await running.model(program, "m1", LONG)
+            await running.model_call(program, "m1", LONG)
             self.assertIn(program, running.engine.core.cache.held)
             await running.outcome(EndProgram(TENANT, program))
             await until(lambda: program not in running.engine.core.cache.held)
@@ -83,7 +83,7 @@
         async with one_entry(sampling={"sweep_period_s": 0.05}) as running:
             cache = running.engine.core.cache
             program = await running.create()
-            await running.model(program, "m1", LONG)
+            await running.model_call(program, "m1", LONG)
             unknown = f"{program}x"
             cache.store(unknown, list(cache.held[program]))
             await until(lambda: unknown not in cache.held)
@@ -112,10 +112,10 @@
             running.platform.set_vms(vms)
             await until(lambda: running.entry.table.targets["engine-1"].leaving)
             program = await running.create()
-            refused = await running.model(program, "m1")
+            refused = await running.model_call(program, "m1")
             self.assertIs(Verdict.NOT_RUN, refused.verdict)
             self.assertIsNotNone(refused.retry_after_s)
             self.assertEqual([], running.engine.records)
             running.platform.set_vms([VM("engine-1", "zone-1", VMState.LIVE, "127.0.0.1"), vms[1]])
             await until(lambda: not running.entry.table.targets["engine-1"].leaving)
-            self.assertIsInstance(await running.model(program, "m1"), Done)
+            self.assertIsInstance(await running.model_call(program, "m1"), Done)
--- a/waxwingglade/process/tests/test_log_safety.py
+++ b/waxwingglade/process/tests/test_log_safety.py
@@ -26,9 +26,9 @@
     """One run with random faults, and its acknowledged records."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
-        self.network = Network(self.chance)
-        self.store = FakeStore(self.chance)
+        self.rng = random.Random(seed)
+        self.network = Network(self.rng)
+        self.store = FakeStore(self.rng)
         self.nodes = [
             Node(number, zone, self.network, self.store) for number, zone in enumerate(ZONES)
         ]
@@ -42,8 +42,8 @@
         first.owned = first.build(LOG, Epoch(1), [])
         await first.register()
         for _ in range(STEPS):
-            self.chance.choice(self.actions())()
-            await asyncio.sleep(self.chance.choice([0, 0, 0.001, 0.01]))
+            self.rng.choice(self.actions())()
+            await asyncio.sleep(self.rng.choice([0, 0, 0.001, 0.01]))
         await asyncio.gather(*self.tasks)
         return await self.final_programs()
 
@@ -70,17 +70,17 @@
             self.acknowledged.append(program)
 
     def take_over(self) -> None:
-        node = self.chance.choice(self.nodes)
+        node = self.rng.choice(self.nodes)
         if node.alive and node.owned is None:
             self.tasks.append(asyncio.create_task(node.try_takeover()))
 
     def change_holders(self) -> None:
-        node = self.chance.choice(self.nodes)
+        node = self.rng.choice(self.nodes)
         if node.alive:
             self.tasks.append(asyncio.create_task(node.change_holders()))
 
     def partition(self) -> None:
-        one, other = self.chance.sample(self.nodes, 2)
+        one, other = self.rng.sample(self.nodes, 2)
         self.network.partitioned.add(frozenset((one.ref.incarnation, other.ref.incarnation)))
 
     def heal(self) -> None:
@@ -90,12 +90,12 @@
         self.store.down = not self.store.down
 
     def lose_answers(self) -> None:
-        self.store.lost_answer_rate = self.chance.choice([0.0, 0.3])
+        self.store.lost_answer_rate = self.rng.choice([0.0, 0.3])
 
     def kill(self) -> None:
         """Kill a node permanently, at most one per run: three copies tolerate one failed node."""
         if all(node.alive for node in self.nodes):
-            self.chance.choice(self.nodes).alive = False
+            self.rng.choice(self.nodes).alive = False
 
     async def final_programs(self) -> list | None:
         self.network.partitioned.clear()
--- a/waxwingglade/process/tests/test_owned_log.py
+++ b/waxwingglade/process/tests/test_owned_log.py
@@ -15,9 +15,9 @@
     """An owner and two holders, the second of them in another zone."""
 
     def __init__(self) -> None:
-        chance = random.Random(1)
-        self.network = Network(chance)
-        store = FakeStore(chance)
+        rng = random.Random(1)
+        self.network = Network(rng)
+        store = FakeStore(rng)
         zones = ("z0", "z0", "z1")
         self.nodes = [Node(number, zone, self.network, store) for number, zone in enumerate(zones)]
 
--- a/waxwingglade/request/tests/test_cache.py
+++ b/waxwingglade/request/tests/test_cache.py
@@ -14,7 +14,7 @@
     async def cache_during_tool_call(self, running, pause_s: float):
         """Start a call of a tool whose past calls took `pause_s`; return the program and task."""
         program = await running.create()
-        await running.model(program, "m1", LONG_PROMPT)
+        await running.model_call(program, "m1", LONG_PROMPT)
         running.tool.faults = ToolFaults(hang=True)
         call = asyncio.create_task(running.tool_call(program, "t1", "booking"))
         pauses = running.entry.dispatcher.pauses
--- a/waxwingglade/request/tests/test_call_execution.py
+++ b/waxwingglade/request/tests/test_call_execution.py
@@ -44,10 +44,10 @@
             for engine in (running.engine, second):
                 engine.faults = EngineFaults(cut_after_tokens=cut_after)
             program = await running.create()
-            continued = await running.model(program, "m1", LONG_ANSWER, max_tokens=TOKENS)
+            continued = await running.model_call(program, "m1", LONG_ANSWER, max_tokens=TOKENS)
             for engine in (running.engine, second):
                 engine.faults = EngineFaults()
-            uninterrupted = await running.model(
+            uninterrupted = await running.model_call(
                 await running.create("r2"), "m1", LONG_ANSWER, max_tokens=TOKENS
             )
             view = await running.outcome(ReadProgram(TENANT, program))
@@ -61,7 +61,7 @@
         async with one_entry(policy) as running:
             running.engine.faults = EngineFaults(cut_after_tokens=1)
             program = await running.create()
-            outcome = await running.model(program, "m1")
+            outcome = await running.model_call(program, "m1")
             view = await running.outcome(ReadProgram(TENANT, program))
         self.assertIsInstance(outcome, Failure)
         self.assertIs(Verdict.MAY_HAVE_RUN, outcome.verdict)
@@ -72,7 +72,7 @@
         async with one_entry() as running:
             running.engine.faults = EngineFaults(refuse=True)
             program = await running.create()
-            outcome = await running.model(program, "m1")
+            outcome = await running.model_call(program, "m1")
             view = await running.outcome(ReadProgram(TENANT, program))
         self.assertIs(Verdict.NOT_RUN, outcome.verdict)
         self.assertEqual((0, 0, 0), (view.tokens_spent, view.tokens_reserved, view.turns))
@@ -81,7 +81,7 @@
         async with one_entry() as running:
             running.engine.faults = EngineFaults(hang=True)
             program = await running.create()
-            call = asyncio.create_task(running.model(program, "m1"))
+            call = asyncio.create_task(running.model_call(program, "m1"))
             view = running.entry.table.targets["engine-1"]
             async with asyncio.timeout(20):
                 while not view.in_flight:
@@ -97,14 +97,14 @@
         async with one_entry(ProgramPolicy(max_output_tokens=TOKENS)) as running:
             program = await running.create()
             running.engine.faults = EngineFaults(delay_s=0.2)
-            first = asyncio.create_task(running.model(program, "m1", LONG_ANSWER))
+            first = asyncio.create_task(running.model_call(program, "m1", LONG_ANSWER))
             view = running.entry.table.targets["engine-1"]
             async with asyncio.timeout(20):
                 while not view.in_flight:
                     await asyncio.sleep(0.01)
             newer_version = ResolvedPolicy(ProgramPolicy(max_output_tokens=3), ConfigVersion(2))
             running.entry.policy_for = lambda path: newer_version
-            second = await running.model(program, "m2", LONG_ANSWER)
+            second = await running.model_call(program, "m2", LONG_ANSWER)
             log = running.entry.log_for(program)
             started = [decode_record(data).body for data in log.records]
             versions = [body.config_version for body in started if isinstance(body, CallStarted)]
