--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -40,11 +40,14 @@
 this fraction."""
 
 MEMBERS_PER_REMOTE_ZONE = 3
-"""Entries of each other zone that an entry wants to know in a large fleet."""
+"""Number of entries of each other zone that an entry tries to know in a large fleet."""
 
 
 class Peer(msgspec.Struct):
-    """The last known state of a peer; `last_seen` is a monotonic time in seconds."""
+    """The last known state of a peer.
+
+    `last_seen` is the monotonic time, in seconds, of the last heartbeat or reply from it.
+    """
 
     ref: EntryRef
     state: EntryState
@@ -73,7 +76,7 @@
         self.clock = clock
         self.state = EntryState.ALIVE
         self.peers: dict[EntryId, Peer] = {}
-        self.started = clock()
+        self.started_at = clock()
         self.watched_since: dict[EntryId, float] = {}
         self.watches_all = True
 
@@ -109,15 +112,15 @@
         peer = self.peers.get(ref.entry)
         return peer is None or peer.state is EntryState.ALIVE
 
-    def set_watched(self, watch: WatchedPeers) -> None:
+    def set_watched(self, watched: WatchedPeers) -> None:
         """Record the peers to exchange heartbeats with.
 
         Lack of contact with any other peer does not show that it is unreachable.
         """
         now = self.clock()
         before = self.watched_since
-        self.watched_since = {entry: before.get(entry, now) for entry in watch.entries}
-        self.watches_all = watch.all_peers
+        self.watched_since = {entry: before.get(entry, now) for entry in watched.entries}
+        self.watches_all = watched.all_peers
 
     def is_unreachable(self, ref: EntryRef) -> bool:
         """Return whether this incarnation was without contact for long enough to replace it."""
@@ -127,7 +130,7 @@
         if peer is not None and not peer.ref.answers_to(ref.incarnation) and self.alive(peer.ref):
             # A later incarnation of the entry is running.
             return True
-        since = self.started if self.watches_all else self.watched_since.get(ref.entry)
+        since = self.started_at if self.watches_all else self.watched_since.get(ref.entry)
         return since is not None and self.clock() - since >= self.settings.suspect_after_s
 
     def usable(self) -> list[EntryRef]:
@@ -153,16 +156,16 @@
 
     def alive_refs(self) -> list[EntryRef]:
         """Return this entry and the peers that are alive."""
-        return [self.own, *(p.ref for p in self.peers.values() if self.alive(p.ref))]
+        return [self.own, *(peer.ref for peer in self.peers.values() if self.alive(peer.ref))]
 
     def forget_unresponsive(self) -> None:
-        """Forget peers without contact for `forget_after_s`; they will hardly return."""
-        limit = self.clock() - self.settings.forget_after_s
-        for entry in [name for name, peer in self.peers.items() if peer.last_seen < limit]:
+        """Forget peers without contact for `forget_after_s`; they are unlikely to return."""
+        oldest = self.clock() - self.settings.forget_after_s
+        for entry in [name for name, peer in self.peers.items() if peer.last_seen < oldest]:
             del self.peers[entry]
 
     def refs_to_share(self) -> list[EntryRef]:
-        """Return the entries to report to peers: all, or those of this zone in a large fleet."""
+        """Return the live entries to report to peers, in a large fleet those of this zone only."""
         if self.watches_all:
             return self.alive_refs()
         return [ref for ref in self.alive_refs() if ref.zone == self.own.zone]
@@ -174,7 +177,7 @@
         return self.refs_to_share()[:MEMBERS_PER_REMOTE_ZONE] if heartbeat.wants_members else []
 
     def needs_members_of(self, zone: ZoneId) -> bool:
-        """Return whether this entry knows fewer entries of a zone than it wants to."""
+        """Return whether this entry knows fewer than `MEMBERS_PER_REMOTE_ZONE` entries of a zone."""
         return sum(peer.ref.zone == zone for peer in self.peers.values()) < MEMBERS_PER_REMOTE_ZONE
 
     def digest(self) -> int:
@@ -198,9 +201,9 @@
         Connections of the process.
     seeds : list of str
         Endpoints to contact at the start.
-    config : callable
+    config_digest : callable
         Returns the digest of the configuration in force.
-    on_config : callable
+    on_config_digest : callable
         Called with a peer and the digest of its configuration whenever the peer reports it.
     partners : callable
         Returns the entries that own or hold a log which this entry holds or owns.
@@ -211,15 +214,15 @@
         members: Members,
         links: PeerLinks,
         seeds: list[str],
-        config: Callable[[], ConfigDigest],
-        on_config: Callable[[EntryRef, ConfigDigest], None],
+        config_digest: Callable[[], ConfigDigest],
+        on_config_digest: Callable[[EntryRef, ConfigDigest], None],
         partners: Callable[[], list[EntryRef]] = list,
     ) -> None:
         self.members = members
         self.links = links
         self.seeds = seeds
-        self.config = config
-        self.on_config = on_config
+        self.config_digest = config_digest
+        self.on_config_digest = on_config_digest
         self.partners = partners
         self.tasks: dict[str, asyncio.Task] = {}
         self.supervisor = start_task(self._supervise())
@@ -232,8 +235,8 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def message(self, zone: ZoneId | None = None) -> Heartbeat:
-        """Return the current heartbeat for an entry of `zone`, None where its zone is unknown."""
-        members, config = self.members, self.config()
+        """Return the current heartbeat for an entry of `zone`; None if its zone is not known."""
+        members, config = self.members, self.config_digest()
         wants_members = zone is None or members.needs_members_of(zone)
         return Heartbeat(
             members.own,
@@ -248,11 +251,11 @@
     def answer(self, heartbeat: Heartbeat) -> HeartbeatReply:
         """Record a peer's heartbeat and return the reply to it."""
         self.members.record_contact(heartbeat.sender, heartbeat.state, heartbeat.config_version)
-        self.on_config(heartbeat.sender, _config_of(heartbeat))
-        known = self.members.refs_missing_at(heartbeat)
-        members, config = self.members, self.config()
+        self.on_config_digest(heartbeat.sender, _config_digest_of(heartbeat))
+        missing = self.members.refs_missing_at(heartbeat)
+        members, config = self.members, self.config_digest()
         return HeartbeatReply(
-            members.own, members.state, config.version, known, config.hash, config.confirmed
+            members.own, members.state, config.version, missing, config.hash, config.confirmed
         )
 
     async def send_to_all(self) -> None:
@@ -279,9 +282,9 @@
         partners = self.partners()
         members.add_reported(partners)
         known = [peer.ref for peer in members.peers.values()]
-        watch = choose_watched(members.own, known, partners, members.settings)
-        members.set_watched(watch)
-        addresses = {ref.peer_address for ref in known if ref.entry in watch.entries}
+        watched = choose_watched(members.own, known, partners, members.settings)
+        members.set_watched(watched)
+        addresses = {ref.peer_address for ref in known if ref.entry in watched.entries}
         return (addresses | set(self.seeds)) - {members.own.peer_address}
 
     async def _send_heartbeats(self, address: str) -> None:
@@ -316,8 +319,8 @@
     def _record_reply(self, reply: HeartbeatReply) -> None:
         self.members.add_reported(reply.members)
         self.members.record_contact(reply.sender, reply.state, reply.config_version)
-        self.on_config(reply.sender, _config_of(reply))
+        self.on_config_digest(reply.sender, _config_digest_of(reply))
 
 
-def _config_of(message: Heartbeat | HeartbeatReply) -> ConfigDigest:
+def _config_digest_of(message: Heartbeat | HeartbeatReply) -> ConfigDigest:
     return ConfigDigest(message.config_version, message.config_hash, message.config_confirmed)
--- a/waxwingglade/process/tests/test_members.py
+++ b/waxwingglade/process/tests/test_members.py
@@ -100,17 +100,17 @@
         return choose_watched(ref("own"), known, list(partners), self.settings)
 
     def test_in_a_small_fleet_all_peers_are_watched(self):
-        watch = self.choose(self.local)
-        self.assertTrue(watch.all_peers)
-        self.assertEqual({peer.entry for peer in self.local}, watch.entries)
+        chosen = self.choose(self.local)
+        self.assertTrue(chosen.all_peers)
+        self.assertEqual({peer.entry for peer in self.local}, chosen.entries)
 
     def test_in_a_large_fleet_some_peers_are_watched(self):
-        watch = self.choose(self.local + self.remote, [self.remote[0]])
+        chosen = self.choose(self.local + self.remote, [self.remote[0]])
         local = {peer.entry for peer in self.local}
-        self.assertLessEqual(local, watch.entries)
-        self.assertIn(self.remote[0].entry, watch.entries)
+        self.assertLessEqual(local, chosen.entries)
+        self.assertIn(self.remote[0].entry, chosen.entries)
         watched = [
-            peer for peer in self.remote if peer.entry in watch.entries - {self.remote[0].entry}
+            peer for peer in self.remote if peer.entry in chosen.entries - {self.remote[0].entry}
         ]
         self.assertLessEqual(len(watched), 2)
         self.assertEqual(len(watched), len({peer.zone for peer in watched}))
@@ -118,8 +118,8 @@
     def test_watched_peers_of_other_zones_are_in_different_zones(self):
         for number in range(10):
             own = ref(f"own-{number}")
-            watch = choose_watched(own, self.local + self.remote, [], self.settings)
-            zones = [peer.zone for peer in self.remote if peer.entry in watch.entries]
+            chosen = choose_watched(own, self.local + self.remote, [], self.settings)
+            zones = [peer.zone for peer in self.remote if peer.entry in chosen.entries]
             self.assertEqual(2, len(set(zones)))
 
     def test_the_number_of_watched_peers_does_not_grow_with_the_fleet(self):
