--- a/waxwingglade/process/calls.py
+++ b/waxwingglade/process/calls.py
@@ -38,7 +38,7 @@
 async def submit(
     entry: Entry, owned: OwnedLog, state: ProgramState, request: SubmitCall
 ) -> AsyncIterator[CallerEvent]:
-    """Run a call and yield its events; follow a running call, replay a recorded one.
+    """Yield the events of a call: run a new call, follow a running one, or replay a recorded one.
 
     Parameters
     ----------
@@ -59,8 +59,8 @@
     running = entry.running_program(state)
     events = running.calls.get(request.call.call)
     known = state.calls.get(request.call.call)
-    first = events.call if events is not None else known.call if known is not None else None
-    if first is not None and first != _with_recorded_defaults(request.call, first):
+    original = events.call if events is not None else known.call if known is not None else None
+    if original is not None and original != _with_recorded_defaults(request.call, original):
         text = f"call {request.call.call} was made before with other content"
         yield Failure(Verdict.NOT_RUN, ErrorCode.CONFLICT, text)
         return
@@ -162,13 +162,13 @@
 ) -> None:
     call = request.call
     outcome: Done | Failure | None = None
-    started = entry.clock()
+    started_at = entry.clock()
     try:
         with log_context(owned, state, call.call):
             outcome = await _run_in_order(entry, owned, state, running, request, events)
     finally:
-        running.service_received_s += entry.clock() - started
-        entry.metrics.observe_call(state.created, entry.clock() - started)
+        running.service_received_s += entry.clock() - started_at
+        entry.metrics.observe_call(state.created, entry.clock() - started_at)
         running.calls.pop(call.call, None)
         events.finish(outcome or _interrupted(owned))
 
@@ -216,9 +216,9 @@
     allowed = check_depth(state, owned.programs[state.root].created.policy.budget)
     if allowed.is_err():
         return allowed.err_value
-    begun = await record_start(execution, ZERO_AMOUNT)
-    if begun.is_err():
-        return begun.err_value
+    started = await record_start(execution, ZERO_AMOUNT)
+    if started.is_err():
+        return started.err_value
     child = make_program_id(owned.log)
     created = msgspec.structs.replace(
         state.created,
--- a/waxwingglade/process/configuration.py
+++ b/waxwingglade/process/configuration.py
@@ -31,10 +31,10 @@
 
 WATCHERS_PER_ZONE = 2
 WATCH_DUTY = LogId("watch-configuration")
-TIDY_DUTY = LogId("tidy-configuration")
+CLEANUP_DUTY = LogId("tidy-configuration")
 """Keys by which entries are ranked for a duty."""
 
-TIDY_PERIOD_S = 600.0
+CLEANUP_PERIOD_S = 600.0
 FETCH_TIMEOUT_S = 2.0
 MAX_FETCHES = 2
 """Peers asked for a version at the same time; more than one, since the first may not answer."""
@@ -47,6 +47,7 @@
 RETRY_S = 0.2
 POLL_S = 0.02
 NO_VERSION = ConfigVersion(-1)
+"""Lower than every version; a request for the versions after it gets a full snapshot."""
 
 
 class Configuration:
@@ -68,9 +69,9 @@
         self.store_read_attempted = False
 
     def start(self) -> None:
-        """Begin to follow the store where that is this entry's duty, and to save a copy on disk."""
+        """Start the tasks that follow the store, delete its old records and save a copy on disk."""
         self.entry.spawn(self._do_duties())
-        self.entry.spawn(self._tidy())
+        self.entry.spawn(self._clean_up())
         folder = self.entry.settings.data_folder
         if folder is not None:
             Path(folder).mkdir(parents=True, exist_ok=True)
@@ -208,12 +209,12 @@
             await asyncio.sleep(pause_s)
         await follow_store(self.service.config_store, self.active)
 
-    async def _tidy(self) -> None:
+    async def _clean_up(self) -> None:
         """Periodically remove old records from the store if this entry ranks first of all."""
         while True:
-            await asyncio.sleep(TIDY_PERIOD_S)
+            await asyncio.sleep(CLEANUP_PERIOD_S)
             own = self.entry.own
-            if rank(TIDY_DUTY, [own, *self.entry.members.usable()])[0] == own:
+            if rank(CLEANUP_DUTY, [own, *self.entry.members.usable()])[0] == own:
                 await delete_old_records(self.service.config_store, self.entry.wall_clock())
 
 
--- a/waxwingglade/process/daemon.py
+++ b/waxwingglade/process/daemon.py
@@ -65,8 +65,8 @@
         await configuration.wait_until_current()
         open_logs(entry)
         self._start_tasks()
-        self._start_callers(peer_server, caller_sockets)
-        self._start_operators(configuration)
+        self._serve_callers(peer_server, caller_sockets)
+        self._serve_operators(configuration)
         logger.info("entry {} serves callers at {}", entry.own.entry, self.url)
 
     def _bind_addresses(self, peer_server: PeerServer) -> list[socket]:
@@ -91,7 +91,7 @@
         entry.spawn(watch_vms(entry))
         entry.spawn(give_orders(entry))
 
-    def _start_callers(self, peer_server: PeerServer, sockets: list[socket]) -> None:
+    def _serve_callers(self, peer_server: PeerServer, sockets: list[socket]) -> None:
         """Begin to serve callers on sockets that are already bound."""
         entry = self.entry
         application = caller_application(
@@ -104,7 +104,7 @@
         self.http_server = http_server(application, entry.settings.limits)
         self.http_server.add_sockets(sockets)
 
-    def _start_operators(self, configuration: Configuration) -> None:
+    def _serve_operators(self, configuration: Configuration) -> None:
         """Open the port for operators."""
         entry = self.entry
         listen = entry.settings.listen
--- a/waxwingglade/process/duties/controller.py
+++ b/waxwingglade/process/duties/controller.py
@@ -40,7 +40,7 @@
 
 
 class ManagedTarget:
-    """State that the controller keeps for one target."""
+    """What the controller knows about one target, and its pending order."""
 
     def __init__(self, settings: TargetSettings) -> None:
         self.settings = settings
@@ -180,8 +180,7 @@
             return False
         if step.kind is OrderKind.SET_ROLE or not lacks_weights(desired, state):
             return True
-        # A target that must first unload something takes its place among the loading targets
-        # before it unloads.
+        # A target that has to unload something first counts as loading before it unloads.
         if not self.permits.begin(target.name) or (step.loads and not self.permits.take()):
             target.note = f"waits for a permit of the weight store: {step}"
             return False
--- a/waxwingglade/process/expiry.py
+++ b/waxwingglade/process/expiry.py
@@ -23,7 +23,7 @@
             try:
                 await _expire_programs_of(entry, owned)
             except Exception:
-                logger.exception("ending programs over their limits failed; trying again")
+                logger.exception("ending programs over their limits failed; retrying")
 
 
 async def _expire_programs_of(entry: Entry, owned: OwnedLog) -> None:
--- a/waxwingglade/process/listing.py
+++ b/waxwingglade/process/listing.py
@@ -20,7 +20,7 @@
 """Seconds after which a request to a peer for its programs times out."""
 
 REPORT_UNRESPONSIVE_S = 60.0
-"""Seconds since the last contact for which an unresponsive entry is listed as unanswered."""
+"""Seconds after the last contact until which an unresponsive entry is listed as unanswered."""
 
 
 async def list_programs(entry: Entry, request: ListPrograms, forwarded: bool) -> ProgramListing:
@@ -88,7 +88,7 @@
 
 
 def _recently_unresponsive(entry: Entry) -> set[str]:
-    """Return the known entries that became unresponsive within `REPORT_UNRESPONSIVE_S`."""
+    """Return the unresponsive entries that were last seen within `REPORT_UNRESPONSIVE_S`."""
     members = entry.members
     now = members.clock()
     return {
--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -177,7 +177,7 @@
         return self.refs_to_share()[:MEMBERS_PER_REMOTE_ZONE] if heartbeat.wants_members else []
 
     def needs_members_of(self, zone: ZoneId) -> bool:
-        """Return whether this entry knows fewer than `MEMBERS_PER_REMOTE_ZONE` entries of a zone."""
+        """Return whether fewer than `MEMBERS_PER_REMOTE_ZONE` entries of a zone are known."""
         return sum(peer.ref.zone == zone for peer in self.peers.values()) < MEMBERS_PER_REMOTE_ZONE
 
     def digest(self) -> int:
--- a/waxwingglade/process/operating.py
+++ b/waxwingglade/process/operating.py
@@ -184,8 +184,8 @@
         return
     accepted = await configuration.service.accept(proposal, operator)
     waits_for = accepted.err_value.message if accepted.is_err() else ""
-    now = await configuration.service.proposal(proposal)
-    handler.finish_outcome(now.map(lambda found: _view(found, waits_for)))
+    current = await configuration.service.proposal(proposal)
+    handler.finish_outcome(current.map(lambda found: _view(found, waits_for)))
 
 
 async def _accept(configuration: Configuration, handler: ApiHandler, name: str) -> None:
--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -66,8 +66,9 @@
 def log_for_new_program(entry: Entry, cut_policy: CutPolicy) -> OwnedLog | None:
     """Return the open log with the fewest programs among those as fault tolerant as a new log.
 
-    If there is none, a log is opened.  A change of a log's holders requires the store, while a new
+    If no open log is as fault tolerant, a log is opened.  A change of a log's holders requires the store, while a new
     log does not; until its holders are changed, a log with few holders stalls once it loses one.
+    Returns None if no open log can be appended to.
     """
     roll_logs(entry, cut_policy)
     candidates = [entry.owned.get(log) for log in entry.open_logs[cut_policy]]
@@ -92,7 +93,7 @@
 
 
 def roll_logs(entry: Entry, cut_policy: CutPolicy) -> None:
-    """Close logs that are full, fenced or partitioned from their copies, and open new ones."""
+    """Close logs that are full, fenced or without enough reachable copies, and open new ones."""
     limit = entry.settings.durability.programs_per_log
     previous = entry.open_logs[cut_policy]
     entry.open_logs[cut_policy] = [
@@ -157,7 +158,7 @@
                 await _maintain_log(entry, owned)
             _check_for_orphans(entry)
         except Exception:
-            logger.exception("maintaining logs failed; trying again")
+            logger.exception("maintaining logs failed; retrying")
 
 
 def demote_fenced_logs(entry: Entry) -> None:
@@ -215,10 +216,10 @@
         if log in entry.taking_over or log in entry.owned:
             continue
         if copy.owner is not None and entry.is_orphan(copy):
-            entry.spawn(_take_over_in_turn(entry, log, copy))
+            entry.spawn(_take_over_after_delay(entry, log, copy))
 
 
-async def _take_over_in_turn(entry: Entry, log: LogId, copy: LogCopy) -> None:
+async def _take_over_after_delay(entry: Entry, log: LogId, copy: LogCopy) -> None:
     """Take over a log without a live owner, after a delay for holders that are ranked higher."""
     if log in entry.pending_takeovers:
         return
--- a/waxwingglade/process/sampling.py
+++ b/waxwingglade/process/sampling.py
@@ -55,12 +55,12 @@
 
 
 async def _read(entry: Entry, name: TargetId) -> TargetLoad | None:
-    started = entry.clock()
+    started_at = entry.clock()
     answer = await read_load(entry.http, entry.targets[name])
     if answer.is_err():
         return None
     load = answer.ok_value
-    age_s = entry.clock() - started
+    age_s = entry.clock() - started_at
     return TargetLoad(name, load.running, load.waiting, load.kv_used_fraction, age_s)
 
 
--- a/waxwingglade/process/scrape.py
+++ b/waxwingglade/process/scrape.py
@@ -37,8 +37,8 @@
         for purpose, calls in entry.store.calls_by_purpose.items():
             metrics.store_calls.set({"purpose": purpose.value}, calls)
         self._count_takeovers()
-        for end in (self.server, *entry.links.links.values()):
-            self._count_bytes(end)
+        for connection in (self.server, *entry.links.links.values()):
+            self._count_bytes(connection)
         states = [state for owned in entry.owned.values() for state in owned.programs.values()]
         ended = sum(state.ended is not None for state in states)
         metrics.programs.set({"state": "open"}, len(states) - ended)
@@ -54,12 +54,12 @@
         self.entry.metrics.takeovers.add({}, len(taken_over - self.counted_takeovers))
         self.counted_takeovers = taken_over | self.counted_takeovers
 
-    def _count_bytes(self, end: PeerServer | PeerLink) -> None:
-        sent, received = self.counted_bytes.get(end, (0, 0))
-        self.counted_bytes[end] = (end.bytes_sent, end.bytes_received)
+    def _count_bytes(self, connection: PeerServer | PeerLink) -> None:
+        sent, received = self.counted_bytes.get(connection, (0, 0))
+        self.counted_bytes[connection] = (connection.bytes_sent, connection.bytes_received)
         counter = self.entry.metrics.peer_bytes
-        counter.add({"direction": "sent"}, end.bytes_sent - sent)
-        counter.add({"direction": "received"}, end.bytes_received - received)
+        counter.add({"direction": "sent"}, connection.bytes_sent - sent)
+        counter.add({"direction": "received"}, connection.bytes_received - received)
 
 
 def metrics_route(collector: MetricsCollector) -> Route:
--- a/waxwingglade/program/state.py
+++ b/waxwingglade/program/state.py
@@ -53,7 +53,7 @@
         ErrorCode.UNAVAILABLE,
     }
 )
-"""Reasons of failures that a repeat may not meet."""
+"""Codes of failures after which a repeat of the call may succeed."""
 
 
 class Account(msgspec.Struct):
--- a/waxwingglade/request/call_execution.py
+++ b/waxwingglade/request/call_execution.py
@@ -24,8 +24,8 @@
 
 ZERO_AMOUNT = Amount()
 RETRY_AFTER_S = 1.0
-SAFE_PAUSE_SHARE = 0.5
-"""Fraction of `suspect_after_s`; no other entry can take over a log during a shorter pause."""
+SAFE_PAUSE_FRACTION = 0.5
+"""Fraction of `suspect_after_s`.  No other entry can take over a log during a shorter pause."""
 
 
 class CallExecution(msgspec.Struct):
@@ -86,7 +86,7 @@
 
 
 def work_for(execution: CallExecution, pool: Pool) -> Work:
-    """Return the call as input to queueing and routing; the prompt's fields are set elsewhere."""
+    """Return the call as input to queueing and routing, without the fields of a model's prompt."""
     entry, state = execution.entry, execution.state
     running = entry.running_program(state)
     created = state.created
@@ -103,13 +103,13 @@
     )
 
 
-def _deadline_at(seen_at: float, now: float, policy: ProgramPolicy) -> float:
+def _deadline_at(created_at: float, now: float, policy: ProgramPolicy) -> float:
     """Return the monotonic time, in seconds, until which a call may wait for a target.
 
-    This is the program's deadline.  A program that misses its deadline still has to finish, so its
-    calls may wait for at least `queue_patience_s`.
+    This is the program's deadline, with `created_at` in monotonic seconds.  A program that misses
+    its deadline still has to finish, so each of its calls may wait at least `queue_patience_s`.
     """
-    return max(seen_at + policy.deadline_s, now + policy.queue_patience_s)
+    return max(created_at + policy.deadline_s, now + policy.queue_patience_s)
 
 
 async def start(execution: CallExecution, work: Work, amount: Amount) -> Outcome[Grant]:
@@ -189,7 +189,7 @@
     if execution.owned.fenced:
         return not_run(ErrorCode.FENCED, "another entry owns the program now", RETRY_AFTER_S)
     paused_s = execution.entry.clock() - since
-    if paused_s < execution.entry.settings.durability.suspect_after_s * SAFE_PAUSE_SHARE:
+    if paused_s < execution.entry.settings.durability.suspect_after_s * SAFE_PAUSE_FRACTION:
         return Ok(None)
     return await execution.owned.confirm_ownership()
 
@@ -292,7 +292,9 @@
     appended = await _append_end(execution, failure, execution.reserved)
     if appended.is_err():
         logger.warning(
-            "call {} of {} stays unsettled", execution.call.call, execution.state.program
+            "the outcome of call {} of {} could not be made durable",
+            execution.call.call,
+            execution.state.program,
         )
 
 
--- a/waxwingglade/request/order.py
+++ b/waxwingglade/request/order.py
@@ -32,7 +32,7 @@
         state : ProgramState
             The program; the next numbered call to run has the number `next_order`.
         call : Call
-            The call that wants to run.
+            The call to run.
         timeout_s : float
             Seconds to wait for earlier calls.
 
