--- a/waxwingglade/process/duties/tests/test_controller.py
+++ b/waxwingglade/process/duties/tests/test_controller.py
@@ -28,14 +28,14 @@
 
 
 class WaitOut(OrdersTestCase):
-    def previous_holder(self):
+    def store_previous_holder(self):
         """Store a record by which orders of an earlier holder may still be in flight."""
         last = LastOrders(1, entry_ref("before"), 1, FOREVER_S)
         write_directly(self.standin, orders_key(ZONE), msgspec.json.encode(last))
 
     async def test_an_unprotected_engine_gets_no_order_before_the_wait_is_over(self):
         engine = await self.start_engine()
-        self.previous_holder()
+        self.store_previous_holder()
         await self.set_desired("new")
         holder = await self.start_holder("first")
         await until(lambda: note(holder).startswith("waits for the end of the previous"))
@@ -63,7 +63,7 @@
 
     async def test_an_engine_that_honours_fencing_need_not_wait(self):
         engine = await self.start_engine()
-        WaitOut.previous_holder(self)
+        WaitOut.store_previous_holder(self)
         await self.set_desired("new")
         await self.start_holder("first")
         await until(lambda: engine.orders.state().models == ["new"])
--- a/waxwingglade/process/duties/tests/test_reports.py
+++ b/waxwingglade/process/duties/tests/test_reports.py
@@ -11,13 +11,13 @@
 from waxwingglade.settings import WeightStoreSettings
 
 PERMITS = WeightStoreSettings(loads_at_once=2, loads_per_minute=60_000.0)
-SHORT_LEASE = {"target_orders": QUICK, "weight_store": PERMITS}
+QUICK_ORDERS = {"target_orders": QUICK, "weight_store": PERMITS}
 
 
 class EndToEnd(unittest.IsolatedAsyncioTestCase):
     async def test_every_entry_sends_calls_only_where_the_model_is_loaded(self):
         zones = ("helsinki-1", "helsinki-1", "helsinki-1")
-        async with system(*zones, **SHORT_LEASE) as (running, http, operator):
+        async with system(*zones, **QUICK_ORDERS) as (running, http, operator):
             for name in ("engine-1", "engine-2"):
                 models = ["base"] if name == "engine-1" else ["base@2"]
                 put = await operator("petra").send("PUT", f"/v1/targets/{name}", {"models": models})
@@ -38,15 +38,15 @@
 
     async def test_an_entry_that_starts_later_gets_all_reports(self):
         zones = ("helsinki-1", "helsinki-1")
-        async with system("helsinki-1", **SHORT_LEASE) as (running, _, operator):
+        async with system("helsinki-1", **QUICK_ORDERS) as (running, _, operator):
             await operator("petra").send("PUT", "/v1/targets/engine-1", {"models": ["base@2"]})
             await until(lambda: serves(running.daemons[0]).get("base@2") == ["engine-1"])
             running.settings = EmbeddedSettings(zones, operators=OPERATORS)
-            late = await running.start_entry(1, **SHORT_LEASE)
+            late = await running.start_entry(1, **QUICK_ORDERS)
             await until(lambda: serves(late).get("base@2") == ["engine-1"])
 
     async def test_a_desired_state_can_be_removed(self):
-        async with system("helsinki-1", **SHORT_LEASE) as (running, _, operator):
+        async with system("helsinki-1", **QUICK_ORDERS) as (running, _, operator):
             petra = operator("petra")
             await petra.send("PUT", "/v1/targets/engine-1", {"models": ["base@2"]})
             await until(lambda: "engine-1" not in serves(running.daemons[0])["base"])
--- a/waxwingglade/process/duties/tests/test_two_holders.py
+++ b/waxwingglade/process/duties/tests/test_two_holders.py
@@ -33,9 +33,10 @@
         """Let the paused holder send its order."""
         self.paused.gate.resume()
         await until(lambda: len(self.paused.sent) == self.expected_sent)
-        await until(lambda: self.paused.term.fencing in self.seen())
+        await until(lambda: self.paused.term.fencing in self.stale_fencing_numbers())
 
-    def seen(self):
+    def stale_fencing_numbers(self):
+        """Return the fencing numbers of the orders for `stale` that the engine received."""
         return [each.fencing for each in self.engine.controls if each.subject.endswith("stale")]
 
 
--- a/waxwingglade/process/ownership.py
+++ b/waxwingglade/process/ownership.py
@@ -66,9 +66,9 @@
 def log_for_new_program(entry: Entry, cut_policy: CutPolicy) -> OwnedLog | None:
     """Return the open log with the fewest programs among those as fault tolerant as a new log.
 
-    If no open log is as fault tolerant, a log is opened.  A change of a log's holders requires the store, while a new
-    log does not; until its holders are changed, a log with few holders stalls once it loses one.
-    Returns None if no open log can be appended to.
+    If no open log is as fault tolerant, a log is opened; if none can be appended to, None is
+    returned.  A change of a log's holders requires the store, while a new log does not; until its
+    holders are changed, a log with few holders stalls once it loses one.
     """
     roll_logs(entry, cut_policy)
     candidates = [entry.owned.get(log) for log in entry.open_logs[cut_policy]]
--- a/waxwingglade/process/tests/test_configuration.py
+++ b/waxwingglade/process/tests/test_configuration.py
@@ -26,7 +26,7 @@
 from waxwingglade.settings import DurabilitySettings, ProcessSettings
 from waxwingglade.settings.process import PeerSettings
 from waxwingglade.version import ActiveConfig, ConfigDigest, Source
-from waxwingglade.version import ConfigSnapshot as Tree
+from waxwingglade.version import ConfigSnapshot as VersionSnapshot
 from waxwingglade.version.snapshot import replay
 from waxwingglade.version.tests.builders import make_tree, next_record, set_value, with_timeout
 
@@ -43,7 +43,7 @@
 class NewerPeers:
     """Peers with a newer configuration version; they answer once `may_answer` is set."""
 
-    def __init__(self, start: Tree) -> None:
+    def __init__(self, start: VersionSnapshot) -> None:
         self.active = ActiveConfig(start)
         self.active.offer_records([next_record(start, set_value(7))], Source.STORE)
         self.active.confirmed = True
@@ -63,7 +63,7 @@
         self.entry = Entry(ProcessSettings(entry="own", zone="zone-1", durability=durability))
         self.addAsyncCleanup(self.entry.store.close)
         self.addAsyncCleanup(self.entry.http.close)
-        self.entry.config = ActiveConfig(Tree(ConfigVersion(4), make_tree()))
+        self.entry.config = ActiveConfig(VersionSnapshot(ConfigVersion(4), make_tree()))
         self.configuration = Configuration(self.entry)
         self.newer_peers = NewerPeers(self.entry.config.current)
         self.entry.links = mock.Mock(to=lambda *_: self.newer_peers)
@@ -98,7 +98,7 @@
         await with_timeout(waiting)
         self.assertTrue(self.entry.config.confirmed)
 
-    async def read_store(self, *outcomes: Outcome[bool]) -> asyncio.Task:
+    async def start_with_missing_peer(self, *outcomes: Outcome[bool]) -> asyncio.Task:
         """Start an entry with a missing peer; return the task that waits until it may serve."""
         durability = DurabilitySettings(suspect_after_s=SHORT_S)
         missing = PeerSettings(entry="peer", zone="zone-2", peer_address="tcp://peer:1")
@@ -116,7 +116,7 @@
         which happens if it serves after a failed read of the store.
         """
         with mock.patch.object(self.configuration, "is_watcher", return_value=False):
-            waiting = await self.read_store(NOT_READ, NOT_READ, Ok(True))
+            waiting = await self.start_with_missing_peer(NOT_READ, NOT_READ, Ok(True))
             await asyncio.sleep(RETRY_S + SHORT_S)
             self.assertFalse(waiting.done())
             await with_timeout(waiting)
@@ -127,7 +127,7 @@
             mock.patch.object(self.configuration, "is_watcher", return_value=False),
             mock.patch("waxwingglade.process.configuration.STORE_READ_LIMIT_S", SHORT_S),
         ):
-            waiting = await self.read_store(NOT_READ, NOT_READ)
+            waiting = await self.start_with_missing_peer(NOT_READ, NOT_READ)
             await with_timeout(waiting)
         self.assertFalse(self.entry.config.confirmed)
 
@@ -141,8 +141,11 @@
         self.assertEqual([4] * MAX_FETCHES, self.newer_peers.asked)
 
     async def test_a_version_that_does_not_follow_from_the_own_one_is_fetched_in_full(self):
-        other = replay(Tree(4, make_tree()), [next_record(Tree(4, make_tree()), set_value(9))])
-        self.newer_peers = NewerPeers(Tree(ConfigVersion(4), other.tree))
+        other = replay(
+            VersionSnapshot(4, make_tree()),
+            [next_record(VersionSnapshot(4, make_tree()), set_value(9))],
+        )
+        self.newer_peers = NewerPeers(VersionSnapshot(ConfigVersion(4), other.tree))
         self.newer_peers.may_answer.set()
         self.receive_heartbeat(PEERS[0])
         await with_timeout(self.wait_for_tasks())
--- a/waxwingglade/process/tests/test_limits.py
+++ b/waxwingglade/process/tests/test_limits.py
@@ -11,7 +11,7 @@
 from waxwingglade.standins.platform import VM, VMState
 
 WAIT_LIMIT_S = 20.0
-LONG = "a text that fills whole blocks of the prefix cache " * 20
+LONG_PROMPT = "a text that fills whole blocks of the prefix cache " * 20
 
 
 async def until(condition):
@@ -74,7 +74,7 @@
     async def test_engines_release_their_cache_when_a_program_ends(self):
         async with one_entry() as running:
             program = await running.create()
-            await running.model_call(program, "m1", LONG)
+            await running.model_call(program, "m1", LONG_PROMPT)
             self.assertIn(program, running.engine.core.cache.held)
             await running.outcome(EndProgram(TENANT, program))
             await until(lambda: program not in running.engine.core.cache.held)
@@ -83,7 +83,7 @@
         async with one_entry(sampling={"sweep_period_s": 0.05}) as running:
             cache = running.engine.core.cache
             program = await running.create()
-            await running.model_call(program, "m1", LONG)
+            await running.model_call(program, "m1", LONG_PROMPT)
             unknown = f"{program}x"
             cache.store(unknown, list(cache.held[program]))
             await until(lambda: unknown not in cache.held)
--- a/waxwingglade/process/tests/test_observing.py
+++ b/waxwingglade/process/tests/test_metrics_and_logs.py
@@ -128,5 +128,5 @@
             logger.exception("something failed")
         exception = self.records()[0]["exception"]
         self.assertEqual("ValueError", exception[0])
-        self.assertTrue(re.search(r"test_observing\.py:\d+", exception[1]))
+        self.assertTrue(re.search(r"test_metrics_and_logs\.py:\d+", exception[1]))
         self.assertNotIn(SECRET, self.stream.getvalue())
--- a/waxwingglade/request/tests/test_cache.py
+++ b/waxwingglade/request/tests/test_cache.py
@@ -11,7 +11,7 @@
 
 
 class Pauses(unittest.IsolatedAsyncioTestCase):
-    async def cache_during_tool_call(self, running, pause_s: float):
+    async def start_paused_program(self, running, pause_s: float):
         """Start a call of a tool whose past calls took `pause_s`; return the program and task."""
         program = await running.create()
         await running.model_call(program, "m1", LONG_PROMPT)
@@ -26,7 +26,7 @@
 
     async def test_cache_is_released_during_a_long_pause(self):
         async with one_entry(sampling={"period_s": 1000.0}) as running:
-            program, call = await self.cache_during_tool_call(running, pause_s=1000.0)
+            program, call = await self.start_paused_program(running, pause_s=1000.0)
             async with asyncio.timeout(20):
                 while program in running.engine.core.cache.held:
                     await asyncio.sleep(0.01)
@@ -34,7 +34,7 @@
 
     async def test_cache_is_retained_during_a_short_pause(self):
         async with one_entry(sampling={"period_s": 1000.0}) as running:
-            program, call = await self.cache_during_tool_call(running, pause_s=1.0)
+            program, call = await self.start_paused_program(running, pause_s=1.0)
             for _ in range(20):
                 await asyncio.sleep(0)
             self.assertIn(program, running.engine.core.cache.held)
--- a/waxwingglade/request/tests/test_call_execution.py
+++ b/waxwingglade/request/tests/test_call_execution.py
@@ -12,11 +12,11 @@
 from waxwingglade.standins import EngineFaults, EngineStandin, ToolFaults
 
 TOKENS = 20
-LONG_ANSWER = "tell me all"
-"""A question to which the stand-in's answer is longer than TOKENS."""
+LONG_ANSWER_PROMPT = "tell me all"
+"""A prompt to which the stand-in's answer is longer than `TOKENS`."""
 
 
-async def with_second_engine(running):
+async def add_second_engine(running):
     """Add a second engine and return it; the first engine gets work before it."""
     second = EngineStandin()
     await second.start()
@@ -40,15 +40,17 @@
         """Truncate every stream after some tokens; compare with an answer in one stream."""
         policy = ProgramPolicy(max_output_tokens=TOKENS)
         async with one_entry(policy) as running:
-            second = await with_second_engine(running)
+            second = await add_second_engine(running)
             for engine in (running.engine, second):
                 engine.faults = EngineFaults(cut_after_tokens=cut_after)
             program = await running.create()
-            continued = await running.model_call(program, "m1", LONG_ANSWER, max_tokens=TOKENS)
+            continued = await running.model_call(
+                program, "m1", LONG_ANSWER_PROMPT, max_tokens=TOKENS
+            )
             for engine in (running.engine, second):
                 engine.faults = EngineFaults()
             uninterrupted = await running.model_call(
-                await running.create("r2"), "m1", LONG_ANSWER, max_tokens=TOKENS
+                await running.create("r2"), "m1", LONG_ANSWER_PROMPT, max_tokens=TOKENS
             )
             view = await running.outcome(ReadProgram(TENANT, program))
             await second.stop()
@@ -97,14 +99,14 @@
         async with one_entry(ProgramPolicy(max_output_tokens=TOKENS)) as running:
             program = await running.create()
             running.engine.faults = EngineFaults(delay_s=0.2)
-            first = asyncio.create_task(running.model_call(program, "m1", LONG_ANSWER))
+            first = asyncio.create_task(running.model_call(program, "m1", LONG_ANSWER_PROMPT))
             view = running.entry.table.targets["engine-1"]
             async with asyncio.timeout(20):
                 while not view.in_flight:
                     await asyncio.sleep(0.01)
             newer_version = ResolvedPolicy(ProgramPolicy(max_output_tokens=3), ConfigVersion(2))
             running.entry.policy_for = lambda path: newer_version
-            second = await running.model_call(program, "m2", LONG_ANSWER)
+            second = await running.model_call(program, "m2", LONG_ANSWER_PROMPT)
             log = running.entry.log_for(program)
             started = [decode_record(data).body for data in log.records]
             versions = [body.config_version for body in started if isinstance(body, CallStarted)]
