--- a/waxwingglade/process/tests/fakes.py
+++ b/waxwingglade/process/tests/fakes.py
@@ -173,7 +173,7 @@
         self.copies.retain_demoted(self.owned)
         self.owned = None
 
-    def build(self, log: LogId, epoch: Epoch, records: list[bytes], copies=None) -> OwnedLog:
+    def build_log(self, log: LogId, epoch: Epoch, records: list[bytes], copies=None) -> OwnedLog:
         """Return a started log with holders among the reachable nodes."""
         owned = OwnedLog(
             log=log,
@@ -214,7 +214,7 @@
             self.ref,
             Directory(self.store),
             self.ask,
-            self.build,
+            self.build_log,
             self.copies.retain_demoted,
             MIN_COPIES,
         )
--- a/waxwingglade/process/tests/test_log_safety.py
+++ b/waxwingglade/process/tests/test_log_safety.py
@@ -39,7 +39,7 @@
     async def execute(self) -> list | None:
         """Run, remove all faults, and return the programs in the log; None if no takeover works."""
         first = self.nodes[0]
-        first.owned = first.build(LOG, Epoch(1), [])
+        first.owned = first.build_log(LOG, Epoch(1), [])
         await first.register()
         for _ in range(STEPS):
             self.rng.choice(self.actions())()
@@ -144,7 +144,7 @@
     """Change to unreachable holders, kill the owner, and count its only record in the log."""
     run = Run(seed=1)
     owner, second, third, *others = run.nodes
-    owner.owned = owner.build(LOG, Epoch(1), [], [owner.ref, second.ref, third.ref])
+    owner.owned = owner.build_log(LOG, Epoch(1), [], [owner.ref, second.ref, third.ref])
     await owner.register()
     program, body = new_record()
     await owner.owned.append(program, body)
--- a/waxwingglade/process/tests/test_owned_log.py
+++ b/waxwingglade/process/tests/test_owned_log.py
@@ -24,7 +24,7 @@
     def open(self) -> None:
         """Make the first node the owner of the log."""
         owner = self.nodes[0]
-        owner.owned = owner.build(LOG, Epoch(1), [], [node.ref for node in self.nodes])
+        owner.owned = owner.build_log(LOG, Epoch(1), [], [node.ref for node in self.nodes])
 
     def partition(self, one: int, other: int) -> None:
         """Partition two nodes from each other."""
