--- a/waxwingglade/process/disk.py
+++ b/waxwingglade/process/disk.py
@@ -48,14 +48,14 @@
 class QueuedLogState(msgspec.Struct):
     """State of a log's file once all queued changes are durable.
 
-    `complete` is False if the copy is damaged and may lack acknowledged records.
+    `whole` is False if the copy is damaged and may lack acknowledged records.
     """
 
     length: int
     copies: list[EntryRef]
     registered: bool
     promised: Epoch
-    complete: bool = True
+    whole: bool = True
 
 
 def open_disk(folder: Path, operations: FileOperations = REAL_OPERATIONS) -> "Disk":
@@ -130,7 +130,7 @@
         self.loaded = loaded
         self.queued_states = {log: _queued_state(copy) for log, copy in loaded.copies.items()}
         for log, promised in loaded.damaged.items():
-            self.queued_states[log] = QueuedLogState(0, [], False, promised, complete=False)
+            self.queued_states[log] = QueuedLogState(0, [], False, promised, whole=False)
 
     @property
     def failure(self) -> DiskError | None:
@@ -175,7 +175,7 @@
         """
         self._check_usable(log)
         state = self.queued_states.get(log)
-        if state is None or not state.complete:
+        if state is None or not state.whole:
             raise ValueError(f"log {log} has to be opened before records are added")
         if first != state.length:
             raise ValueError(f"log {log} has {state.length} records, not {first}")
--- a/waxwingglade/process/listing.py
+++ b/waxwingglade/process/listing.py
@@ -94,5 +94,5 @@
     return {
         peer.ref.entry
         for peer in members.peers.values()
-        if not members.alive(peer.ref) and now - peer.last_seen < REPORT_UNRESPONSIVE_S
+        if not members.alive(peer.ref) and now - peer.last_heard < REPORT_UNRESPONSIVE_S
     }
--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -46,12 +46,12 @@
 class Peer(msgspec.Struct):
     """The last known state of a peer.
 
-    `last_seen` is the monotonic time, in seconds, of the last heartbeat or reply from it.
+    `last_heard` is the monotonic time, in seconds, of the last heartbeat or reply from it.
     """
 
     ref: EntryRef
     state: EntryState
-    last_seen: float
+    last_heard: float
     config_version: ConfigVersion = ConfigVersion(0)
 
 
@@ -103,7 +103,7 @@
         peer = self.peers.get(ref.entry)
         if peer is None or not peer.ref.answers_to(ref.incarnation):
             return False
-        return self.clock() - peer.last_seen < self.settings.suspect_after_s
+        return self.clock() - peer.last_heard < self.settings.suspect_after_s
 
     def is_active(self, ref: EntryRef) -> bool:
         """Return whether an incarnation is alive and not draining."""
@@ -161,7 +161,7 @@
     def forget_unresponsive(self) -> None:
         """Forget peers without contact for `forget_after_s`; they are unlikely to return."""
         oldest = self.clock() - self.settings.forget_after_s
-        for entry in [name for name, peer in self.peers.items() if peer.last_seen < oldest]:
+        for entry in [name for name, peer in self.peers.items() if peer.last_heard < oldest]:
             del self.peers[entry]
 
     def refs_to_share(self) -> list[EntryRef]:
@@ -313,7 +313,7 @@
         """Return the seconds since the last contact with an address, infinity if none."""
         for peer in self.members.peers.values():
             if peer.ref.peer_address == address:
-                return self.members.clock() - peer.last_seen
+                return self.members.clock() - peer.last_heard
         return math.inf
 
     def _record_reply(self, reply: HeartbeatReply) -> None:
--- a/waxwingglade/process/status.py
+++ b/waxwingglade/process/status.py
@@ -38,7 +38,7 @@
         state=peer.state.value,
         alive=entry.members.alive(peer.ref),
         config_version=peer.config_version,
-        heard_s_ago=round(entry.members.clock() - peer.last_seen, 3),
+        heard_s_ago=round(entry.members.clock() - peer.last_heard, 3),
     )
 
 
