--- a/waxwingglade/process/duties/reports.py
+++ b/waxwingglade/process/duties/reports.py
@@ -95,9 +95,9 @@
 
     async def _send(self, peer: EntryRef) -> None:
         acknowledged, number = self.acknowledged.get(peer.incarnation, 0), self.number
-        lacking = [each for each in self.reports.values() if each.number > acknowledged]
+        missing = [each for each in self.reports.values() if each.number > acknowledged]
         link = self.links.to(peer.peer_address, peer.incarnation)
-        answer = await link.request(TargetReports(lacking), SEND_TIMEOUT_S)
+        answer = await link.request(TargetReports(missing), SEND_TIMEOUT_S)
         if answer.is_ok() and isinstance(answer.ok_value, Noted):
             self.acknowledged[peer.incarnation] = max(
                 number, self.acknowledged.get(peer.incarnation, 0)
--- a/waxwingglade/process/logs.py
+++ b/waxwingglade/process/logs.py
@@ -38,11 +38,11 @@
     stream : file, optional
         Output; standard error if not given.
     """
-    target = stream or sys.stderr
+    output = stream or sys.stderr
 
     def write(message: Any) -> None:
-        target.write(json_line(message.record))
-        target.flush()
+        output.write(json_line(message.record))
+        output.flush()
 
     def add_config_version(record: Any) -> None:
         extra = record["extra"]
--- a/waxwingglade/process/programs.py
+++ b/waxwingglade/process/programs.py
@@ -72,10 +72,10 @@
     )
 
 
-def smaller_budget(configured: Budget, asked: Budget) -> Budget:
+def smaller_budget(configured: Budget, requested: Budget) -> Budget:
     """Return the minimum of two budgets for each field: a caller can only lower its limits."""
     names = Budget.__struct_fields__
-    return Budget(*(min(getattr(configured, name), getattr(asked, name)) for name in names))
+    return Budget(*(min(getattr(configured, name), getattr(requested, name)) for name in names))
 
 
 async def read_program(owned: OwnedLog, state: ProgramState) -> ProgramView | Failure:
--- a/waxwingglade/request/events.py
+++ b/waxwingglade/request/events.py
@@ -34,13 +34,13 @@
         """Append generated text."""
         self.text += text
         self.on_text()
-        self._wake()
+        self._notify_readers()
 
     def finish(self, outcome: Done | Failure) -> None:
         """Set the outcome; after the first time, this has no effect."""
         if self.outcome is None:
             self.outcome = outcome
-        self._wake()
+        self._notify_readers()
 
     async def wait(self) -> Done | Failure:
         """Wait for the outcome and return it."""
@@ -71,7 +71,7 @@
                 return
             await changed.wait()
 
-    def _wake(self) -> None:
+    def _notify_readers(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
--- a/waxwingglade/request/model_call.py
+++ b/waxwingglade/request/model_call.py
@@ -151,17 +151,17 @@
             return await finish(execution, done, amount_of_usage(execution.policy, ended.usage))
         record_failed_attempt(execution, ended.failure, amount)
         if generation.tokens_left() == 0:
-            return await finish(execution, _complete(generation), ZERO_AMOUNT)
+            return await finish(execution, _complete_answer(generation), ZERO_AMOUNT)
     return await finish_failed(execution)
 
 
-def _complete(generation: Generation) -> Done:
+def _complete_answer(generation: Generation) -> Done:
     """Return the answer of an engine that failed after it had generated the last allowed token."""
     usage = Usage(prompt_tokens=generation.prompt_tokens, output_tokens=generation.generated_tokens)
     return Done(generation.events.text, None, "length", usage)
 
 
-def _truncated_answer() -> Failure:
+def _truncation_failure() -> Failure:
     return may_have_run(ErrorCode.TARGET_FAILED, "the engine's answer broke off").err_value
 
 
@@ -190,4 +190,4 @@
                 first = False
             generation.generated_tokens += event.tokens
             events.add_text(event.text)
-    return EngineFailed(_truncated_answer(), len(events.text))
+    return EngineFailed(_truncation_failure(), len(events.text))
