--- a/waxwingglade/process/members.py
+++ b/waxwingglade/process/members.py
@@ -46,7 +46,8 @@
 class Peer(msgspec.Struct):
     """The last known state of a peer.
 
-    `last_heard` is the monotonic time, in seconds, of the last heartbeat or reply from it.
+    `last_heard` is the monotonic time, in seconds, of the last heartbeat or reply from it.  A peer
+    that was only reported has a time so long ago that it does not count as alive.
     """
 
     ref: EntryRef
