--- a/tests/prove/faults.py
+++ b/tests/prove/faults.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.prove.cluster import ProofCluster
-from tests.prove.relay import STORE, CutMode
+from tests.prove.relay import STORE, LinkFault
 from tests.prove.schedule import Fault, FaultKind
 from waxwingglade.base import EntryId, TargetId, monotonic
 from waxwingglade.proof.history import (
@@ -93,15 +93,15 @@
     history.record(EntryDown(monotonic(), entry))
 
 
-def _cut(mode: CutMode, *, both_ways: bool = True) -> Action:
+def _cut(fault: LinkFault, *, both_ways: bool = True) -> Action:
     async def act(cluster: ProofCluster, history: History, victim: int) -> None:
         _down(history, cluster, victim)
         for other in range(len(cluster.zones)):
             if other == victim:
                 continue
-            cluster.relays.cut(victim, other, mode)
+            cluster.relays.disrupt(victim, other, fault)
             if both_ways:
-                cluster.relays.cut(other, victim, mode)
+                cluster.relays.disrupt(other, victim, fault)
 
     return act
 
@@ -118,10 +118,10 @@
             _down(history, cluster, number)
             for other in range(len(cluster.zones)):
                 if other not in inside:
-                    cluster.relays.cut(number, other, CutMode.STALL)
-                    cluster.relays.cut(other, number, CutMode.STALL)
+                    cluster.relays.disrupt(number, other, LinkFault.STALL)
+                    cluster.relays.disrupt(other, number, LinkFault.STALL)
             if store:
-                cluster.relays.cut(number, STORE, CutMode.STALL)
+                cluster.relays.disrupt(number, STORE, LinkFault.STALL)
 
     return act
 
@@ -133,7 +133,7 @@
 
 
 async def _cut_from_store(cluster: ProofCluster, history: History, victim: int) -> None:
-    cluster.relays.cut(victim, STORE, CutMode.RESET)
+    cluster.relays.disrupt(victim, STORE, LinkFault.RESET)
 
 
 async def _heal_store(cluster: ProofCluster, history: History, victim: int) -> None:
@@ -193,9 +193,9 @@
     FaultKind.KILL_ENTRY: (_kill, _restart),
     FaultKind.FREEZE_ENTRY: (_freeze, _thaw),
     FaultKind.DRAIN_ENTRY: (_drain, _restart),
-    FaultKind.CUT_RESET: (_cut(CutMode.RESET), _heal),
-    FaultKind.CUT_STALL: (_cut(CutMode.STALL), _heal),
-    FaultKind.CUT_ONE_WAY: (_cut(CutMode.STALL, both_ways=False), _heal),
+    FaultKind.CUT_RESET: (_cut(LinkFault.RESET), _heal),
+    FaultKind.CUT_STALL: (_cut(LinkFault.STALL), _heal),
+    FaultKind.CUT_ONE_WAY: (_cut(LinkFault.STALL, both_ways=False), _heal),
     FaultKind.CUT_ZONE: (_cut_zone(store=False), _heal_zone),
     FaultKind.CUT_FROM_STORE: (_cut_from_store, _heal_store),
     FaultKind.CUT_ZONE_AND_STORE: (_cut_zone(store=True), _heal_zone),
--- a/tests/prove/relay.py
+++ b/tests/prove/relay.py
@@ -1,7 +1,7 @@
-"""TCP relays between entries, and to the store, so that a test can cut one off from another.
+"""TCP relays between entries, and to the store, so that a test can inject network faults.
 
-Each entry is reached by its peers through a relay of its own.  A relay learns from the system which
-process a connection comes from, so the cut can be between two entries, or in one direction.
+Peers reach each entry through a relay of its own.  A relay reads from ``/proc`` which process a
+connection comes from, so a fault can affect one pair of entries, or a single direction.
 """
 
 import asyncio
@@ -14,22 +14,22 @@
 TABLE_LINE_BYTES = 150
 ADDRESS = "127.0.0.1"
 DELAY_S = 0.15
-"""Seconds by which a delaying relay holds bytes up; fifty times a round trip between zones."""
+"""Delay in seconds of a delaying relay; fifty times the round trip between zones."""
 STORE = 100
-"""Number of the store among the entries."""
+"""Number by which relays identify the store; entries are numbered from 0."""
 
 
-class CutMode(Enum):
-    """What a cut does to connections."""
+class LinkFault(Enum):
+    """How a relay disturbs connections."""
 
     RESET = "reset"
-    """They are closed, and new ones too."""
+    """Open connections are reset, and new ones are reset at once."""
 
     STALL = "stall"
-    """Bytes wait and arrive late, when the cut is over."""
+    """Bytes are buffered, and delivered when the fault ends."""
 
     DELAY = "delay"
-    """Bytes arrive later by `DELAY_S` seconds."""
+    """Bytes are delivered `DELAY_S` seconds late."""
 
 
 class Relays:
@@ -38,22 +38,22 @@
     Parameters
     ----------
     pids : callable
-        Returns the process id of each entry, by number.
+        Returns the process id of each entry, by its number.
 
     Attributes
     ----------
-    hush_next : bool
-        Whether the next connection is to be silent from its beginning.
+    blackhole_next : bool
+        Whether the next connection is blackholed as soon as it is opened.
     """
 
     def __init__(self, pids: Callable[[], dict[int, int]]) -> None:
         self.pids = pids
         self.servers: list[asyncio.Server] = []
-        self.cuts: dict[tuple[int, int], CutMode] = {}
+        self.link_faults: dict[tuple[int, int], LinkFault] = {}
         self.changed = asyncio.Event()
         self.open: dict[tuple[int, int], set[asyncio.StreamWriter]] = {}
-        self.silent: set[asyncio.StreamWriter] = set()
-        self.hush_next = False
+        self.blackholed: set[asyncio.StreamWriter] = set()
+        self.blackhole_next = False
         self.tasks: set[asyncio.Task] = set()
 
     async def add(
@@ -61,7 +61,8 @@
     ) -> int:
         """Open a relay to an entry or the store and return its port.
 
-        `source` says where its connections come from; None finds out for each.
+        `source` is the number of the process that connects; if None, it is determined for each
+        connection.
         """
 
         async def relay(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -70,10 +71,11 @@
             self.tasks.add(task)
             # Only `close` cancels these tasks; asyncio would report each as an error.
             with contextlib.suppress(asyncio.CancelledError):
-                origin = self._source(writer) if source is None else source
+                origin = self._origin(writer) if source is None else source
                 if origin is None:
-                    # A cut could not act on it.  The peer connects again, and the system's table,
-                    # which may leave lines out while it is read, is asked anew.
+                    # No fault could be applied to a connection of unknown origin.  The peer
+                    # reconnects, and /proc/net/tcp, which may omit lines while it is read, is
+                    # read again.
                     writer.transport.abort()
                 else:
                     await self._relay((origin, number), (host, target_port), reader, writer)
@@ -83,29 +85,31 @@
         self.servers.append(server)
         return server.sockets[0].getsockname()[1]
 
-    def cut(self, source: int, target: int, mode: CutMode) -> None:
-        """Stop what `source` sends to `target`; RESET acts on both directions."""
-        self.cuts[source, target] = mode
-        self._wake()
-        if mode is CutMode.RESET:
+    def disrupt(self, source: int, target: int, fault: LinkFault) -> None:
+        """Disturb what `source` sends to `target`; RESET affects both directions."""
+        self.link_faults[source, target] = fault
+        self._notify_change()
+        if fault is LinkFault.RESET:
             for writer in self.open.get((source, target), set()).copy():
                 writer.transport.abort()
 
-    def silence(self, source: int | None = None, target: int | None = None) -> None:
-        """Let connections that are open now fall silent for good: all, or those of a source to a
-        target.
+    def blackhole(self, source: int | None = None, target: int | None = None) -> None:
+        """Discard permanently all data on connections that are open now.
 
-        What either end sends vanishes, and neither sees the other's end of them; new ones are
-        carried. So it looks where a device on the way forgets the connections that it knows.
+        This affects all open connections, or those from a source to a target.  Neither end sees the
+        other one close, and new connections work.  A network device that loses its table of
+        connections has the same effect.
         """
         for pair, writers in self.open.items():
             if source in (None, pair[0]) and target in (None, pair[1]):
-                self.silent |= writers
+                self.blackholed |= writers
 
     def heal(self, number: int) -> None:
-        """End the cuts of an entry, in both directions."""
-        self.cuts = {pair: mode for pair, mode in self.cuts.items() if number not in pair}
-        self._wake()
+        """End the faults on all links of an entry, in both directions."""
+        self.link_faults = {
+            pair: fault for pair, fault in self.link_faults.items() if number not in pair
+        }
+        self._notify_change()
 
     async def close(self) -> None:
         """Close every connection and port."""
@@ -115,7 +119,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    def _wake(self) -> None:
+    def _notify_change(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -126,7 +130,7 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        if self.cuts.get(pair) is CutMode.RESET:
+        if self.link_faults.get(pair) is LinkFault.RESET:
             writer.transport.abort()
             return
         try:
@@ -137,16 +141,16 @@
         both = {writer, requests}
         opened = self.open.setdefault(pair, set())
         opened |= both
-        if self.hush_next:
-            self.hush_next = False
-            self.silent |= both
+        if self.blackhole_next:
+            self.blackhole_next = False
+            self.blackholed |= both
         forward = asyncio.create_task(self._pump(reader, requests, pair))
         back = asyncio.create_task(self._pump(answers, writer, (pair[1], pair[0])))
         try:
             await asyncio.wait([forward, back], return_when=asyncio.FIRST_COMPLETED)
         finally:
             opened -= both
-            self.silent -= both
+            self.blackholed -= both
             for end in both:
                 end.transport.abort()
             for task in (forward, back):
@@ -154,22 +158,22 @@
             await asyncio.gather(forward, back, return_exceptions=True)
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: tuple[int, int]
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: tuple[int, int]
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                while self.cuts.get(way) is CutMode.STALL:
+                while self.link_faults.get(direction) is LinkFault.STALL:
                     await self.changed.wait()
-                if self.cuts.get(way) is CutMode.DELAY:
+                if self.link_faults.get(direction) is LinkFault.DELAY:
                     await asyncio.sleep(DELAY_S)
-                if writer not in self.silent:
+                if writer not in self.blackholed:
                     writer.write(data)
                     await writer.drain()
-        if writer in self.silent:
+        if writer in self.blackholed:
             await asyncio.get_running_loop().create_future()
 
-    def _source(self, writer: asyncio.StreamWriter) -> int | None:
-        """Return the entry that a connection comes from, or None if that can't be told."""
+    def _origin(self, writer: asyncio.StreamWriter) -> int | None:
+        """Return the entry that a connection comes from, or None if it is unknown."""
         inode = _inode_of(writer.get_extra_info("peername")[1])
         for number, pid in self.pids().items():
             if inode in _socket_inodes(pid):
@@ -178,10 +182,9 @@
 
 
 def _inode_of(port: int) -> str:
-    """Return the inode of the socket on this machine that has a local port."""
+    """Return the inode of the local socket that has a port, or an empty string."""
     table = Path("/proc/net/tcp").read_bytes()
-    # The first address of a line is the local one; states, queues and the like lie between it
-    # and the inode.
+    # The first address of a line is the local one.  The inode is the tenth field of a line.
     start = table.find(b": 0100007F:%04X " % port)
     return table[start : start + TABLE_LINE_BYTES].split()[9].decode() if start >= 0 else ""
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 
 from tests.platform_cluster import GRACE_S, HOST, Node, configuration
-from tests.prove.relay import STORE, CutMode
+from tests.prove.relay import STORE, LinkFault
 from tests.soak.cluster import CALLERS, SoakCluster
 from tests.soak.disks import tear, wipe
 from tests.soak.kinds import EVERYWHERE, FaultKind, Happening
@@ -331,18 +331,18 @@
         where = nodes[0].name if len(nodes) == 1 else EVERYWHERE
         happening = self._begin(FaultKind.SILENT_LINKS, where)
         for node in nodes:
-            self.cluster.relays.silence(self.cluster.number_of(node), STORE)
+            self.cluster.relays.blackhole(self.cluster.number_of(node), STORE)
         if len(nodes) == 1:
-            self.cluster.relays.silence(CALLERS, self.cluster.number_of(nodes[0]))
+            self.cluster.relays.blackhole(CALLERS, self.cluster.number_of(nodes[0]))
         await asyncio.sleep(NOTICED_S)
         self._end(happening)
 
     def _cut(self, source: int, target: int) -> None:
         """Harm the connections between two ends, in one or both directions."""
-        mode = self.draw.choice(list(CutMode))
+        fault = self.draw.choice(list(LinkFault))
         ways = [(source, target), (target, source)]
         for way in self.draw.choice([ways, ways[:1], ways[1:]]):
-            self.cluster.relays.cut(*way, mode)
+            self.cluster.relays.disrupt(*way, fault)
 
     # Servers and configuration
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -144,7 +144,7 @@
         old_reader, old_writer = await asyncio.open_connection(ADDRESS, port)
         old_writer.write(b"before")
         self.assertEqual(await old_reader.readexactly(6), b"before")
-        relays.silence(0, 1)
+        relays.blackhole(0, 1)
         old_writer.write(b"lost")
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.2):
