--- a/tests/test_lost_refusal.py
+++ b/tests/test_lost_refusal.py
@@ -1,15 +1,12 @@
-"""A refused turn takes nothing from its program's budget, though nobody lives who knew of its end.
-
-What happened: an entry stood still while the ledger reserved a turn's tokens for it.  Going on, it
-refused the turn as not run, and was killed with all ledger processes before any of them had noted
-the end.  The reservation was counted for good, and the program was told that its budget was spent
-(402) though it held one more turn.
-
-Why: a reservation counted from the moment at which a majority had accepted it, whether its entry
-ever came to know of it or not.
-
-What showed it: ``budget spent`` with ``reserved`` 40, long after ``request`` with 503 for the turn
-that held the reservation, and no ``reservations of ended turns``.
+"""Reservations of a refused turn, if every process that knew of the refusal is killed.
+
+Guards against a reservation that is counted forever.  An entry stalls while the ledger reserves a
+turn's tokens for it, then refuses the turn as not run.  It is killed together with all ledger
+processes before any of them has stored the end of the turn.  If a reservation counts as soon as a
+majority has accepted it, whether or not its entry learns of it, the program's next turn is denied
+with 402, although the budget covers one more turn.  The log then shows ``budget spent`` with
+``reserved`` 40, long after ``request`` with 503 for the turn that holds the reservation, and no
+``reservations of ended turns``.
 """
 
 import asyncio
@@ -21,19 +18,19 @@
 from tests.soak.cluster import SoakCluster
 
 BUDGET = 80
-"""Tokens: enough for two turns of forty."""
+"""Tokens, enough for two turns of 40."""
 
 FLUSH_S = 0.1
-"""Seconds that a ledger process takes to write a reservation down."""
+"""Seconds that a ledger process takes to flush a reservation to disk."""
 
-BEGUN_S = 0.5
-"""Seconds after which it is written down everywhere."""
+FLUSHED_S = 0.5
+"""Seconds after which all ledger processes have flushed it."""
 
-GIVEN_UP_S = 1.0
-"""Seconds after which an entry gives up the beginning of a turn."""
+BEGIN_TIMEOUT_S = 1.0
+"""Seconds after which an entry stops waiting for a turn to begin."""
 
 ROUNDS = 3
-TRIES = 10
+MAX_ATTEMPTS = 10
 NOT_RUN = 503
 
 
@@ -43,23 +40,23 @@
         self.addAsyncCleanup(self.cluster.shut)
         await self.cluster.open()
 
-    async def reserve_and_stand_still(self, entry: Node, name: str, program: dict) -> asyncio.Task:
-        """Send a turn whose reservation is made while its entry stands still; return the sending.
+    async def reserve_while_stopped(self, entry: Node, name: str, program: dict) -> asyncio.Task:
+        """Send a turn whose reservation is made while its entry is stopped; return the request.
 
-        The entry goes on once it can only refuse the turn, while the ledger stands still.
+        The entry resumes when it can only refuse the turn, since the ledger is stopped by then.
         """
-        sending = asyncio.create_task(self.cluster.turn(entry, name, b"asks", **program))
+        request = asyncio.create_task(self.cluster.turn(entry, name, b"asks", **program))
         await asyncio.sleep(FLUSH_S / 2)
         entry.signal(signal.SIGSTOP)
-        await asyncio.sleep(BEGUN_S)
+        await asyncio.sleep(FLUSHED_S)
         for ledger in self.cluster.ledgers:
             ledger.signal(signal.SIGSTOP)
-        await asyncio.sleep(GIVEN_UP_S)
+        await asyncio.sleep(BEGIN_TIMEOUT_S)
         entry.signal(signal.SIGCONT)
-        return sending
+        return request
 
     async def restart(self) -> None:
-        """Kill all processes, and start them again."""
+        """Kill all processes, and restart them."""
         for node in self.cluster.nodes():
             node.kill()
         for node in self.cluster.nodes():
@@ -67,34 +64,34 @@
         for entry in self.cluster.entries:
             await self.cluster.until_ready(entry)
 
-    async def go_on(self, entry: Node, name: str, program: dict) -> int:
-        """Send the next turn until it is not refused as not run; return its status."""
-        for attempt in range(TRIES):
+    async def next_turn_status(self, entry: Node, name: str, program: dict) -> int:
+        """Repeat the next turn until it is not refused as not run; return its status."""
+        for attempt in range(MAX_ATTEMPTS):
             answer = await self.cluster.turn(entry, f"{name}-{attempt}", b"goes on", **program)
             if answer.status != NOT_RUN:
                 return answer.status
         return NOT_RUN
 
-    async def check(self, until_killed: Callable[[asyncio.Task], Awaitable[None]]) -> None:
-        """Check that programs go on whose turns were reserved before all processes were killed."""
+    async def check(self, wait_before_kill: Callable[[asyncio.Task], Awaitable[None]]) -> None:
+        """Check that a program continues after a restart that follows a refused reservation."""
         first, second = self.cluster.entries
         for number in range(ROUNDS):
             program = {"program_id": f"p{number}", "token_budget": BUDGET}
             answer = await self.cluster.turn(first, f"whole-{number}", b"asks", **program)
             self.assertEqual(200, answer.status, answer.body)
-            sending = await self.reserve_and_stand_still(first, f"lost-{number}", program)
-            await until_killed(sending)
+            request = await self.reserve_while_stopped(first, f"lost-{number}", program)
+            await wait_before_kill(request)
             await self.restart()
-            await asyncio.gather(sending, return_exceptions=True)
-            self.assertEqual(200, await self.go_on(second, f"next-{number}", program))
+            await asyncio.gather(request, return_exceptions=True)
+            self.assertEqual(200, await self.next_turn_status(second, f"next-{number}", program))
 
-    async def test_a_reservation_of_a_refused_turn_does_not_outlive_those_who_knew(self) -> None:
-        async def until_refused(sending: asyncio.Task) -> None:
-            self.assertEqual(NOT_RUN, (await sending).status)
+    async def test_a_refused_turns_reservation_does_not_outlive_a_full_restart(self) -> None:
+        async def wait_for_refusal(request: asyncio.Task) -> None:
+            self.assertEqual(NOT_RUN, (await request).status)
 
-        await self.check(until_refused)
+        await self.check(wait_for_refusal)
 
-    async def test_nor_where_its_entry_is_killed_as_soon_as_it_goes_on(self) -> None:
+    async def test_a_reservation_does_not_outlive_an_entry_killed_on_resuming(self) -> None:
         await self.check(lambda _: asyncio.sleep(0.03))
 
 
