--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""A reserved port is one process's alone, and that process can listen there."""
+"""A reserved port is given to only one process, which can listen there."""
 
 import contextlib
 import socket
@@ -18,28 +18,28 @@
         self.ports = ReservedPorts()
         self.addCleanup(self.ports.close)
 
-    def test_a_port_drawn_twice_is_given_once(self):
+    def test_a_port_is_not_reserved_twice(self):
         first = self.ports.reserve()
-        other = first + 1
-        with contextlib.closing(ReservedPorts()) as others:
-            for ports in (self.ports, others):
+        next_port = first + 1
+        with contextlib.closing(ReservedPorts()) as other_reservations:
+            for ports in (self.ports, other_reservations):
                 with self.subTest(same=ports is self.ports):
                     ports.random = mock.Mock()
-                    ports.random.randrange.side_effect = [first, other]
-                    self.assertEqual(other, ports.reserve())
-                other += 1
+                    ports.random.randrange.side_effect = [first, next_port]
+                    self.assertEqual(next_port, ports.reserve())
+                next_port += 1
 
     def test_an_http_server_can_listen_at_a_reserved_port(self):
-        (listening,) = bind_sockets(self.ports.reserve(), ADDRESS)
-        with listening, socket.create_connection(listening.getsockname()):
+        (server,) = bind_sockets(self.ports.reserve(), ADDRESS)
+        with server, socket.create_connection(server.getsockname()):
             pass
 
     def test_a_message_socket_can_listen_at_a_reserved_port(self):
         with zmq.Context() as context, context.socket(zmq.ROUTER) as router:
             router.bind(f"tcp://{ADDRESS}:{self.ports.reserve()}")
 
-    def test_a_closed_reservation_lets_others_have_the_port(self):
+    def test_a_closed_reservation_releases_the_port(self):
         port = self.ports.reserve()
         self.ports.close()
-        with socket.socket() as anyone:
-            anyone.bind((ADDRESS, port))
+        with socket.socket() as unrelated:
+            unrelated.bind((ADDRESS, port))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a process on the platform loads at its start, which its callers wait for after a restart."""
+"""Modules that a process of the platform loads at its start, which delay it after a restart."""
 
 import json
 import os
@@ -33,29 +33,29 @@
 }
 
 
-class StartTest(unittest.TestCase):
+class StartupModules(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
         self.settings = self.folder / "boot.yaml"
 
-    def build(self) -> Path:
-        """Return a folder of libraries as the platform builds it."""
-        built = self.folder / "target" / "deps"
-        built.parent.mkdir()
-        built.symlink_to(sysconfig.get_path("purelib"))
-        return built
+    def build_libraries(self) -> Path:
+        """Return a folder of libraries that is laid out like a build of the platform."""
+        libraries = self.folder / "target" / "deps"
+        libraries.parent.mkdir()
+        libraries.symlink_to(sysconfig.get_path("purelib"))
+        return libraries
 
-    def loaded(self, settings: str, libraries: Path | None) -> tuple[int, set[str]]:
-        """Check settings and load both kinds of processes; return the status and all modules."""
+    def check_and_load(self, settings: str, libraries: Path | None) -> tuple[int, set[str]]:
+        """Check settings and load both process types; return the exit status and all modules."""
         self.settings.write_text(settings)
         environment = dict(os.environ)
         environment.pop("PYTHONPATH", None)
         if libraries is not None:
             environment["PYTHONPATH"] = str(libraries)
         script = LIST_MODULES.format(settings=str(self.settings))
-        ended = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-S", "-c", script],
             cwd=ROOT,
             env=environment,
@@ -63,28 +63,28 @@
             text=True,
             check=True,
         )
-        status, modules = json.loads(ended.stdout.splitlines()[-1])
+        status, modules = json.loads(completed.stdout.splitlines()[-1])
         return status, set(modules)
 
-    def test_settings_as_the_platform_writes_them_need_no_parser_of_yaml(self) -> None:
-        status, modules = self.loaded(json.dumps(SETTINGS), self.build())
+    def test_json_settings_of_the_platform_need_no_yaml_parser(self) -> None:
+        status, modules = self.check_and_load(json.dumps(SETTINGS), self.build_libraries())
         self.assertEqual(status, 0)
         self.assertFalse(modules & {"yaml", "tornado.web", "site"})
 
-    def test_settings_written_by_hand_are_yaml(self) -> None:
+    def test_handwritten_settings_are_yaml(self) -> None:
         text = "# Written by hand.\n" + "\n".join(
             f"{name}: {json.dumps(value)}" for name, value in SETTINGS.items()
         )
-        status, modules = self.loaded(text, self.build())
+        status, modules = self.check_and_load(text, self.build_libraries())
         self.assertEqual(status, 0)
         self.assertIn("yaml", modules)
 
-    def test_libraries_that_are_installed_are_found_as_well(self) -> None:
-        status, modules = self.loaded(json.dumps(SETTINGS), None)
+    def test_installed_libraries_are_found(self) -> None:
+        status, modules = self.check_and_load(json.dumps(SETTINGS), None)
         self.assertEqual(status, 0)
         self.assertIn("site", modules)
 
-    def test_the_deploy_file_asks_for_settings_as_json(self) -> None:
+    def test_the_deploy_file_requests_settings_as_json(self) -> None:
         deploy = (ROOT / DEPLOY_FILE).read_text()
         self.assertEqual(deploy.count('template = "deploy/settings.template"'), 2)
         self.assertEqual((ROOT / "deploy/settings.template").read_text().strip(), "{{.|json}}")
--- a/tests/test_starter.py
+++ b/tests/test_starter.py
@@ -1,4 +1,4 @@
-"""The program that starts processes, as it is built with and without a compiler."""
+"""The program that starts processes, built with and without a C compiler."""
 
 import os
 import subprocess
@@ -10,7 +10,7 @@
 from tests.platform_cluster import ROOT
 
 BUILD = ROOT / "deploy" / "build_starter.py"
-LINE = "import sys; print(sys.version, sys.argv[1:])"
+PRINT_ARGUMENTS = "import sys; print(sys.version, sys.argv[1:])"
 FAILING_COMPILER = "#!/bin/sh\necho no header >&2\nexit 1\n"
 
 
@@ -22,39 +22,41 @@
         self.program = self.folder / "target" / "start"
 
     def build(self, path: str | None = None) -> str:
-        """Build the program, with another search path for the compiler; return what is said."""
+        """Build the program, with an optional search path for the compiler; return its messages."""
         environment = {**os.environ, **({"PATH": path} if path is not None else {})}
         command = [sys.executable, str(BUILD), str(self.program)]
-        ran = subprocess.run(command, env=environment, capture_output=True, text=True, check=True)
-        return ran.stderr
+        completed = subprocess.run(
+            command, env=environment, capture_output=True, text=True, check=True
+        )
+        return completed.stderr
 
     def check_runs_python(self) -> None:
-        """Check that the program runs this version of Python with its arguments."""
-        command = [str(self.program), "-S", "-c", LINE, "role"]
+        """Check that the program runs this version of Python and passes on its arguments."""
+        command = [str(self.program), "-S", "-c", PRINT_ARGUMENTS, "role"]
         printed = subprocess.check_output(command, text=True)
         self.assertEqual(f"{sys.version} ['role']\n", printed)
 
-    def test_it_is_a_program_that_runs_the_interpreter(self) -> None:
+    def test_the_program_runs_the_interpreter(self) -> None:
         self.assertEqual("", self.build())
         self.assertFalse(self.program.is_symlink())
         self.check_runs_python()
 
-    def test_it_is_replaced_while_a_process_runs_it(self) -> None:
+    def test_the_program_can_be_replaced_while_it_runs(self) -> None:
         self.build()
-        waiting = "import sys; sys.stdin.read()"
+        wait_for_input = "import sys; sys.stdin.read()"
         with subprocess.Popen(
-            [self.program, "-S", "-c", waiting], stdin=subprocess.PIPE
+            [self.program, "-S", "-c", wait_for_input], stdin=subprocess.PIPE
         ) as running:
             self.assertEqual("", self.build())
             running.communicate()
         self.check_runs_python()
 
-    def test_without_a_compiler_it_is_a_link_to_the_interpreter(self) -> None:
+    def test_without_a_compiler_a_link_to_the_interpreter_is_made(self) -> None:
         self.assertIn("no C compiler", self.build(path=""))
         self.assertTrue(self.program.is_symlink())
         self.check_runs_python()
 
-    def test_a_compiler_that_fails_is_named_and_the_link_is_made(self) -> None:
+    def test_if_the_compiler_fails_its_message_is_shown_and_a_link_is_made(self) -> None:
         compiler = self.folder / "cc"
         compiler.write_text(FAILING_COMPILER)
         compiler.chmod(0o755)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path, each part its own process: caller, entries, store, engines and tools."""
+"""End-to-end path with separate processes: entries, store, engines and tools."""
 
 import unittest
 
@@ -6,14 +6,14 @@
 from tests.processes import cluster, wait_until
 
 
-class WholePath(unittest.TestCase):
-    def test_a_program_runs_to_its_end(self):
+class EndToEnd(unittest.TestCase):
+    def test_a_program_runs_until_it_is_ended(self):
         with cluster() as running:
             callers = [Caller(url) for url in running.entry_urls()]
             program = callers[0].create()
             first = callers[0].model(program, "m1", "I need a meeting on Monday")
             self.assertEqual("done", first["type"])
-            # The next calls land on entries that do not own the program.
+            # The next calls go to entries that do not own the program.
             booked = callers[1].tool(program, "t1", "booking", slot="monday-9")
             self.assertEqual("done", booked["type"])
             second = callers[2].model(program, "m2", "Please confirm")
@@ -22,15 +22,15 @@
             roles = [message["role"] for message in view["history"]]
             self.assertEqual(["user", "assistant", "tool", "user", "assistant"], roles)
             self.assertEqual(first["text"], view["history"][1]["content"])
-            # A repeat by the same call id is answered from the record, from any entry.
+            # A repeat with the same call id is answered from the log, at any entry.
             self.assertEqual(booked, callers[2].tool(program, "t1", "booking", slot="monday-9"))
             self.assertEqual(first, callers[1].model(program, "m1", "I need a meeting on Monday"))
             ended = callers[2].end(program)
             self.assertEqual("ended", ended["state"])
             self.assertEqual(1, len(effects(running)))
-            wait_until(lambda: held(running) == [], "the engines to let go of the cache")
+            wait_until(lambda: cached_programs(running) == [], "the engines to release the cache")
 
-    def test_a_stream_is_followed_from_another_entry(self):
+    def test_a_stream_is_resumed_at_another_entry(self):
         with cluster() as running:
             callers = [Caller(url) for url in running.entry_urls()]
             program = callers[0].create()
@@ -40,9 +40,9 @@
             self.assertEqual("done", events[-1]["type"])
             self.assertEqual(events[-1]["text"], text)
             attempt = events[0]["attempt"]
-            again = f"{path}/m1/events?offset=5&attempt={attempt}"
-            rest = list(callers[2].stream("GET", again))
-            self.assertEqual(text[5:], rest[0]["text"])
+            resume_path = f"{path}/m1/events?offset=5&attempt={attempt}"
+            remaining = list(callers[2].stream("GET", resume_path))
+            self.assertEqual(text[5:], remaining[0]["text"])
 
     def test_an_entry_is_killed_between_turns(self):
         with cluster() as running:
@@ -59,10 +59,10 @@
 
 
 class LargeFleet(unittest.TestCase):
-    def test_a_program_is_found_and_taken_over_though_few_entries_watch_each_other(self):
+    def test_a_program_is_found_and_taken_over_if_few_entries_watch_each_other(self):
         zones = ("zone-1", "zone-1", "zone-2", "zone-2", "zone-3", "zone-3")
-        few = {"durability": {"watch_all_up_to": 1, "remote_watched": 1}}
-        with cluster(zones, few) as running:
+        overrides = {"durability": {"watch_all_up_to": 1, "remote_watched": 1}}
+        with cluster(zones, overrides) as running:
             callers = [Caller(url) for url in running.entry_urls()]
             program = create_when_ready(callers[0])
             self.assertEqual("done", callers[0].model(program, "m1", "hello")["type"])
@@ -84,16 +84,16 @@
         answers.append(caller.send("POST", "/v1/programs", {"program_class": "appointment"}))
         return "program" in answers[-1]
 
-    wait_until(attempt, "an entry to take a program")
+    wait_until(attempt, "an entry to accept a program")
     return answers[-1]["program"]
 
 
 def effects(running):
-    """Return the effects that the tool stand-in had."""
+    """Return the effects that the tool stand-in recorded."""
     return Caller(running.urls["tool-1"]).send("GET", "/standin/history")["effects"]
 
 
-def held(running):
+def cached_programs(running):
     """Return the programs whose cache an engine holds."""
     names = ("engine-1", "engine-2")
     answers = [Caller(running.urls[name]).send("GET", "/v1/cache/held") for name in names]
