--- a/tests/client.py
+++ b/tests/client.py
@@ -1,4 +1,4 @@
-"""A plain caller for tests."""
+"""A caller with blocking HTTP requests, for tests."""
 
 import json
 import urllib.error
@@ -10,7 +10,7 @@
 
 
 class Caller:
-    """Speaks to one entry as a caller.
+    """Sends requests to one entry.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
         self.token = token
 
     def send(self, method: str, path: str, body: Any = None, timeout_s: float = 30.0) -> Any:
-        """Send a request and return the JSON answer, error answers included."""
+        """Send a request and return the JSON answer, also that of an error status."""
         try:
             with self._open(method, path, body, timeout_s) as answer:
                 return json.load(answer)
--- a/tests/platform_cluster.py
+++ b/tests/platform_cluster.py
@@ -1,4 +1,4 @@
-"""Processes of the platform's daemons on loopback, and a caller that speaks to them."""
+"""The platform's daemons as separate processes on loopback, and requests to them."""
 
 import asyncio
 import itertools
@@ -21,29 +21,36 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 HOST = "shop.example"
-PATIENCE_S = 30.0
+WAIT_TIMEOUT_S = 30.0
 GRACE_S = 8
 METRICS_PORT = 9464
 NETWORKS = range(1, 250)
-"""Second numbers of loopback addresses; a cluster uses those of one."""
+"""Second octets of loopback addresses; each cluster uses one of them."""
 
 ZONES = {"zone-a": "north", "zone-b": "north", "zone-c": "north"}
 DEPLOY_FILE = "deploy/system.toml"
 STARTER = Path(sys.executable).with_name("waxwingglade-start")
-"""What ``deploy/build_starter.py`` makes for this interpreter."""
+"""Program that ``deploy/build_starter.py`` builds for this interpreter."""
 
 STREAM, CALL, ORDER = "/turns/", "/notes/", "/orders/"
 TOKENS_PER_EVENT = 10
 ROUTE_S = 5.0
-"""Seconds that a route gives to a request."""
+"""Timeout of the routes in seconds."""
 
 
 def reserve_network() -> tuple[socket.socket, str]:
-    """Return the beginning of loopback addresses that no other cluster uses, and what reserves
-    them.
-
-    The port of the metrics page is the same on every VM.  Two clusters with the same addresses, in
-    two runs at the same time, took each other's pages: four of six runs of the calm day failed.
+    """Reserve loopback addresses for a cluster.
+
+    The port of the metrics page is the same on every VM, so clusters in concurrent runs need
+    different addresses.  With the same addresses they read each other's metrics, and four of six
+    concurrent runs of `PlatformDaemons.test_requests_without_faults` failed.
+
+    Returns
+    -------
+    socket
+        Socket that reserves the addresses until it is closed.
+    str
+        First two octets of the addresses.
     """
     for number in NETWORKS:
         reserved = socket.socket()
@@ -57,7 +64,7 @@
 
 
 def start_command(purpose: str, checkout: Path = ROOT) -> list[str]:
-    """Return how the platform starts the processes of a purpose, with this interpreter."""
+    """Return the platform's command for processes of a purpose, with this interpreter."""
     roles = tomllib.loads((checkout / DEPLOY_FILE).read_text())["roles"].values()
     run = next(role["run"] for role in roles if purpose in role["serves"])
     program, *arguments = run.split()
@@ -71,7 +78,7 @@
 def configuration(
     version: int, extra: list[dict] | None = None, tenants: list[dict] | None = None
 ) -> dict:
-    """Return a configuration of the operator, as it lies in the store."""
+    """Return a configuration of the operator, as it is stored."""
     common = {
         "host": HOST,
         "timeout_ms": int(1000 * ROUTE_S),
@@ -138,11 +145,11 @@
         self.zone = list(ZONES)[number % len(ZONES)]
         self.folder = cluster.folder / self.name
         self.folder.mkdir()
-        # An address of its own, since the port of the metrics page is the same on every VM.
+        # Each node has its own address, since the port of the metrics page is the same on every VM.
         self.ip = f"{cluster.network}.{1 if purpose == 'front' else 2}.{number + 1}"
-        front, ready, first = (cluster.ports.reserve() for _ in range(3))
-        self.port, self.ready_port = front, ready
-        self.caller_port = front
+        front_port, ready_port, first_port = (cluster.ports.reserve() for _ in range(3))
+        self.port, self.ready_port = front_port, ready_port
+        self.caller_port = front_port
         self.settings = self.folder / "boot.yaml"
         data = self.folder / "data"
         data.mkdir()
@@ -152,8 +159,8 @@
             "ip": self.ip,
             "zone": self.zone,
             "zones": ZONES,
-            "listen": {"front": f"{self.ip}:{front}", "ready": f"{self.ip}:{ready}"},
-            "port_range": [first, first],
+            "listen": {"front": f"{self.ip}:{front_port}", "ready": f"{self.ip}:{ready_port}"},
+            "port_range": [first_port, first_port],
             "bootstrap": True,
             "data_dir": str(data) if purpose == "storage" else None,
             "bounds": {"grace_s": GRACE_S, **cluster.bounds},
@@ -186,12 +193,12 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether the process has said so since it was last started."""
+        """Whether the process has logged ``started`` since its last start."""
         return b'"event":"started"' in (self.folder / "log").read_bytes()[self.log_start :]
 
     @property
     def disk(self) -> str:
-        """Name of the disk's content, empty while the process has not written it."""
+        """Identity that the process wrote to its disk, empty before that."""
         path = self.folder / "data" / "identity"
         return path.read_text().strip() if path.exists() else ""
 
@@ -201,13 +208,13 @@
         self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process, and wait until it is gone."""
+        """Kill the process, and wait until it has ended."""
         assert self.process is not None
         self.process.kill()
         self.process.wait()
 
     def logs(self) -> list[dict]:
-        """Return what the process has logged."""
+        """Return the log lines of the process."""
         lines = (self.folder / "log").read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
@@ -218,20 +225,20 @@
     Parameters
     ----------
     entries, ledgers : int
-        How many processes of each kind.
+        Number of processes of each kind.
     checkout : Path
-        Where the processes are started; another checkout than this one, to compare two versions.
+        Checkout that the processes run from; another one than this to compare two versions.
     libraries : Path or None
-        Folder of the libraries that they use; None for those of this interpreter.
+        Folder of the libraries that they use, or None for those of this interpreter.
 
     Attributes
     ----------
     bounds : dict
-        Bounds of the platform in the settings of all processes, beside the grace.
+        Further bounds of the platform in the settings of all processes, beside ``grace_s``.
     tenants : list of dict or None
         Client accounts of the first configuration.
     key : str
-        Key with which `call` sends requests; empty for none.
+        Key that `call` sends with requests, or empty for none.
     """
 
     bounds: ClassVar[dict[str, float]] = {}
@@ -262,11 +269,11 @@
         self.numbers = itertools.count(1)
 
     def store_address(self, node: str) -> str:
-        """Return where a process reaches the store."""
+        """Return the address at which a process reaches the store."""
         return self.store.address
 
     async def start(self) -> None:
-        """Start everything, and wait until all entries are ready and the ledger is settled."""
+        """Start everything, and wait until all entries are ready and the ledger has all members."""
         for server in [*self.engines, *self.notes]:
             await server.start()
         for node in [*self.ledgers, *self.entries]:
@@ -288,20 +295,20 @@
         self.temporary.cleanup()
 
     def members(self) -> list[str]:
-        """Return the VMs of the ledger's members once their set is settled."""
+        """Return the VMs of the ledger's members, or none during a change of members."""
         value = self.store.value("waxwingglade/replicas")
         replicas = json.loads(value) if value else {"members": [], "settled": False}
         return [member[1] for member in replicas["members"]] if replicas["settled"] else []
 
     async def until(self, condition: "object") -> None:
         """Wait until a condition holds."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not condition():  # type: ignore[operator]
                 await asyncio.sleep(0.05)
 
     async def until_ready(self, entry: Node) -> None:
-        """Wait until an entry says that it is ready and knows all servers."""
-        async with asyncio.timeout(PATIENCE_S):
+        """Wait until an entry reports that it is ready and serves two routes."""
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not await self._is_ready(entry):
                 await asyncio.sleep(0.1)
 
@@ -329,9 +336,10 @@
         timeout_s: float = 10.0,
         **headers: str | int,
     ) -> HttpResponse:
-        """Send a request to an entry and return the whole answer.
+        """Send a request to an entry and return the complete answer.
 
-        Headers are written as keywords, `previous_turn` for ``X-Waxwingglade-Previous-Turn``.
+        Headers are given as keywords, such as `previous_turn` for
+        ``X-Waxwingglade-Previous-Turn``.
         """
         request = str(headers.pop("request_id", f"request-{next(self.numbers)}"))
         pairs = [("Host", HOST), ("X-Waxwingglade-Request-Id", request)]
@@ -350,7 +358,7 @@
         return response
 
     async def page(self, node: Node) -> str:
-        """Return the metrics of a process."""
+        """Return the metrics page of a process."""
         connection = await open_connection(f"{node.ip}:{METRICS_PORT}", 2.0)
         connection.send(HttpRequest("GET", "/metrics", [("Host", "metrics")]))
         await connection.read_head(lambda _: True)
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -4,17 +4,17 @@
 import socket
 
 PORTS = (12_000, 30_000)
-"""Below the range of outgoing connections, which take any port of theirs at any moment."""
+"""Range below the ephemeral ports, any of which an outgoing connection may occupy."""
 
 
 class ReservedPorts:
-    """Ports that nobody else is given until they are closed.
+    """Ports that are reserved until they are closed.
 
-    A port that is only looked up can be drawn again before its process listens. Two entries of
-    one cluster then want the same one, and the second ends at its start: of clusters with eight
-    ports one in 650 drew a port twice. Each is therefore kept bound. It is bound without the
-    option to share it, so that no other reservation succeeds, and allows it afterwards, so that
-    the process can listen there.
+    Each reserved port stays bound, since a port that was only found to be free may be drawn again
+    before its process listens.  Two entries of one cluster then use the same port, and the second
+    fails to start; without reservations, one of 650 clusters with eight ports drew a port twice.
+    The socket is bound without ``SO_REUSEADDR``, so that no other reservation succeeds.  The option
+    is set afterwards, so that the process can listen at the port.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
         self.random = random.SystemRandom()
 
     def reserve(self) -> int:
-        """Return a port that is free and stays reserved."""
+        """Return a free port, and keep it reserved."""
         while True:
             port = self.random.randrange(*PORTS)
             reserved = socket.socket()
@@ -42,7 +42,7 @@
             return port
 
     def close(self) -> None:
-        """Let others have the ports."""
+        """Release the ports."""
         for reserved in self.sockets:
             reserved.close()
         self.sockets.clear()
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Starts the system's processes for tests, and ends them by their process ids."""
+"""Starts the processes of the system for tests, and ends them by their process ids."""
 
 import base64
 import contextlib
@@ -24,7 +24,7 @@
 TOKEN = "token-of-kettu"
 TENANT = "kettu"
 SALT = "salt"
-START_PATIENCE_S = 30.0
+WAIT_TIMEOUT_S = 30.0
 STORE_PREFIX = "/waxwingglade/"
 STORE_TIMEOUT_S = 5.0
 
@@ -32,14 +32,14 @@
 
 
 class Process:
-    """One process that a test started.
+    """One process that is started by a test.
 
     Parameters
     ----------
     arguments : list of str
         Arguments of the command.
     log : Path
-        Where its standard error goes.
+        File that its standard error is appended to.
     module : str
         Module that is run.
     checkout : Path, optional
@@ -69,30 +69,30 @@
             )
 
     def first_line(self) -> str:
-        """Return the line that says where it listens."""
+        """Return the first line of its output, which is its URL."""
         assert self.popen.stdout is not None
         return self.popen.stdout.readline().strip()
 
     def kill(self) -> None:
-        """End it without a warning."""
+        """Kill it, and wait until it has ended."""
         self.popen.kill()
         self.popen.wait()
 
     def freeze(self) -> None:
-        """Stop it where it is."""
+        """Stop it with SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let it go on."""
+        """Resume it with SIGCONT."""
         self.popen.send_signal(signal.SIGCONT)
 
     def terminate(self) -> int:
-        """Ask it to stop and return its exit status."""
+        """Send SIGTERM, and return its exit status."""
         self.popen.terminate()
-        return self.popen.wait(timeout=START_PATIENCE_S)
+        return self.popen.wait(timeout=WAIT_TIMEOUT_S)
 
     def close(self) -> None:
-        """End it if it still runs."""
+        """Kill it if it is still running."""
         with contextlib.suppress(ProcessLookupError):
             self.popen.kill()
         self.popen.wait()
@@ -106,7 +106,7 @@
     Parameters
     ----------
     folder : Path
-        Where settings and logs go.
+        Folder of the settings and logs.
     zones : sequence of str
         Availability zone of each entry to start.
     overrides : mapping, optional
@@ -144,7 +144,7 @@
             self.read_url(self.entry_name(number))
 
     def restart_entry(self, number: int) -> None:
-        """Start an entry anew, with the settings it had."""
+        """Restart an entry with the same settings."""
         self.run(self.entry_name(number), ["serve", str(self.write_settings(number))])
         self.read_url(self.entry_name(number))
 
@@ -154,7 +154,7 @@
         return f"entry-{number}"
 
     def entry_urls(self) -> list[str]:
-        """Return where the entries serve callers."""
+        """Return the URLs at which the entries serve callers."""
         return [self.urls[self.entry_name(number)] for number in range(len(self.zones))]
 
     def run(self, name: str, arguments: list[str]) -> None:
@@ -162,7 +162,7 @@
         self.processes[name] = Process(arguments, self.folder / f"{name}.log")
 
     def read_url(self, name: str) -> None:
-        """Wait for the line in which a process says where it listens."""
+        """Wait until a process prints its URL, and store it."""
         self.urls[name] = self.processes[name].first_line()
         if not self.urls[name]:
             raise RuntimeError((self.folder / f"{name}.log").read_text())
@@ -221,7 +221,7 @@
         ]
 
     def service(self) -> dict[str, Any]:
-        """Return the settings of the plain service."""
+        """Return the settings of the tool stand-in."""
         return {
             "target": "tool-1",
             "kind": "service",
@@ -236,7 +236,7 @@
         }
 
     def log_records(self) -> list[LogEntry]:
-        """Return the store's records of all logs."""
+        """Return the store's entries of all logs."""
         start = f"{STORE_PREFIX}{KEY_PREFIX}".encode()
         end = start[:-1] + bytes([start[-1] + 1])
         body = {
@@ -251,12 +251,12 @@
         return [decode_entry(base64.b64decode(kv["value"])) for kv in found.get("kvs", [])]
 
     def all_logs_have_copies(self, copies: int) -> bool:
-        """Return whether the store names that many holders for every log."""
+        """Return whether the store lists at least that many copies of every log."""
         records = self.log_records()
         return bool(records) and all(len(record.copies) >= copies for record in records)
 
     def close(self) -> None:
-        """End every process."""
+        """Kill every process."""
         for process in self.processes.values():
             process.close()
         self.ports.close()
@@ -268,7 +268,7 @@
     overrides: dict[str, Any] | None = None,
     data_folders: bool = False,
 ) -> Iterator[Cluster]:
-    """Run a cluster for the time of a test."""
+    """Run a cluster for the duration of a test."""
     with tempfile.TemporaryDirectory() as folder:
         running = Cluster(Path(folder), zones, overrides, data_folders)
         try:
@@ -279,16 +279,16 @@
 
 
 def caller_key() -> dict[str, str]:
-    """Return the settings of the test's caller."""
+    """Return the settings of the test caller's key."""
     digest = hashlib.sha256(f"{SALT}{TOKEN}".encode()).hexdigest()
     return {"tenant": TENANT, "salt": SALT, "sha256": digest}
 
 
 def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Wait for a condition, and fail the test if it does not come."""
-    end = time.monotonic() + START_PATIENCE_S
+    """Wait for a condition, and fail the test on a timeout."""
+    end = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end:
         if condition():
             return
         time.sleep(0.05)
-    raise AssertionError(f"waited in vain for {what}")
+    raise AssertionError(f"timed out waiting for {what}")
--- a/tests/test_config_everywhere.py
+++ b/tests/test_config_everywhere.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force at every entry and is never taken back."""
+"""An accepted configuration is in force at every entry and is never reverted."""
 
 import base64
 import contextlib
@@ -21,25 +21,25 @@
 
 ZONES = ("zone-1", "zone-1", "zone-2", "zone-2")
 WITH_FOLDER, WITHOUT_FOLDER, WITHOUT_STORE, LAST = range(4)
-"""Entry with a data folder, two without, one of which reaches no store; and one more."""
+"""Numbers of the entries: the first has a data folder, and the third cannot reach the store."""
 
 DEAD_STORE = "store-2"
 HEAD_KEY = base64.b64encode(f"{STORE_PREFIX}config/head".encode()).decode()
 IN_FORCE = re.compile(r"configuration version (\d+) in force")
 OLDER_HEAD = "the store has configuration version 1, 2 is in force here and stays"
 ROUNDS = 4
-LOOK_S = 0.05
+POLL_S = 0.05
 
 
 class ConfigCluster(Cluster):
-    """Entries with operators; one of them is cut off from the store by a store that hangs."""
+    """Entries with operators; one of them uses a second store that does not answer."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder, ZONES)
         self.operator_ports = [self.ports.reserve() for _ in ZONES]
 
     def start(self) -> None:
-        """Start the store that hangs, then all else."""
+        """Start the store that hangs, then everything else."""
         self.run(DEAD_STORE, ["standin", "store"])
         self.read_url(DEAD_STORE)
         self.set_store("hang", DEAD_STORE)
@@ -59,7 +59,7 @@
 
     @property
     def data_folder(self) -> Path:
-        """Folder of the entry that has one."""
+        """Data folder of the entry that has one."""
         return self.folder / "data"
 
     def entry(self, number: int) -> Process:
@@ -67,35 +67,35 @@
         return self.processes[self.entry_name(number)]
 
     def set_store(self, outage: str, name: str = "store") -> None:
-        """Let a store hang, or end that."""
+        """Set the outage of a store, ``none`` for none."""
         Caller(self.urls[name]).send("POST", "/standin/faults", {"outage": outage})
 
     def store_call(self, path: str, body: dict[str, str]) -> Any:
-        """Call the store as its owner would."""
+        """Call the store directly, as its administrator would."""
         return Caller(self.urls["store"]).send("POST", f"/v3/kv/{path}", body)
 
     def log_lines(self, number: int) -> list[str]:
-        """Return the messages that an entry has logged, over all its processes."""
+        """Return the messages that an entry has logged, in all its processes."""
         lines = (self.folder / f"{self.entry_name(number)}.log").read_text().splitlines()
         return [json.loads(line)["message"] for line in lines if line.endswith("}")]
 
 
-class Looks:
-    """Asks every entry again and again which version it has in force, in threads."""
+class ConfigPoller:
+    """Polls the version in force at every entry, in one thread each."""
 
     def __init__(self, running: ConfigCluster) -> None:
         self.running = running
         self.history = History()
-        self.ended = threading.Event()
+        self.stopped = threading.Event()
         numbers = range(len(ZONES))
-        self.threads = [threading.Thread(target=self._look, args=(each,)) for each in numbers]
+        self.threads = [threading.Thread(target=self._poll, args=(each,)) for each in numbers]
         for thread in self.threads:
             thread.start()
 
-    def _look(self, number: int) -> None:
+    def _poll(self, number: int) -> None:
         entry = EntryId(self.running.entry_name(number))
-        while not self.ended.wait(LOOK_S):
-            # An entry that is down or starts answers nothing.
+        while not self.stopped.wait(POLL_S):
+            # An entry does not answer while it is down or starting.
             with contextlib.suppress(OSError, ValueError):
                 view = self.view(number)
                 version = ConfigVersion(view["version"])
@@ -110,8 +110,8 @@
         return Caller(f"http://127.0.0.1:{self.running.operator_ports[number]}", token(name))
 
     def close(self) -> None:
-        """Stop asking."""
-        self.ended.set()
+        """Stop polling."""
+        self.stopped.set()
         for thread in self.threads:
             thread.join()
 
@@ -123,11 +123,11 @@
         self.running = ConfigCluster(Path(folder.name))
         self.addCleanup(self.running.close)
         self.running.start()
-        self.looks = Looks(self.running)
-        self.addCleanup(self.looks.close)
+        self.poller = ConfigPoller(self.running)
+        self.addCleanup(self.poller.close)
         self.wait_for_all(1)
 
-    def test_a_change_is_in_force_at_all_and_an_older_store_takes_none_back(self):
+    def test_a_change_is_in_force_everywhere_and_an_older_store_does_not_revert_it(self):
         refused = self.propose(WITHOUT_STORE, "pekka", 700)
         self.assertEqual("not_run", refused["verdict"])
         first_head = self.running.store_call("range", {"key": HEAD_KEY})["kvs"][0]["value"]
@@ -135,98 +135,108 @@
         self.assertEqual(2, accepted["version"])
         self.wait_for_all(2)
         for number in range(len(ZONES)):
-            self.assertEqual(700, self.looks.view(number)["tree"]["firm"]["queue_limit"])
-        # Only its peers can have told this entry, and that nothing higher was known to the store.
-        self.wait_for(lambda: self.looks.view(WITHOUT_STORE)["confirmed"], "a confirmation")
-        self.assertEqual("peer", self.looks.view(WITHOUT_STORE)["source"])
+            self.assertEqual(700, self.poller.view(number)["tree"]["firm"]["queue_limit"])
+        # Only peers can have sent this entry the version and the confirmation by the store.
+        self.wait_for(lambda: self.poller.view(WITHOUT_STORE)["confirmed"], "a confirmation")
+        self.assertEqual("peer", self.poller.view(WITHOUT_STORE)["source"])
         self.running.store_call("put", {"key": HEAD_KEY, "value": first_head})
         for number in (WITH_FOLDER, WITHOUT_FOLDER):
-            # Both watch the store for their zone.
+            # Each of them watches the store for its zone.
             self.wait_for(lambda n=number: self.saw_older_head(n), "the older head to be seen")
-        self.check_never_back()
+        self.check_never_reverted()
 
-    def test_a_change_outlives_the_store_and_restarts_without_it(self):
+    def test_a_change_survives_a_store_outage_and_restarts_during_it(self):
         self.change(WITH_FOLDER, WITHOUT_FOLDER, 700)
         self.running.set_store("hang")
         self.wait_for_all(2)
         for number in (WITH_FOLDER, WITHOUT_FOLDER):
             self.restart(number)
-            self.assertEqual(2, self.looks.view(number)["version"])
-        self.assertEqual("peer", self.looks.view(WITHOUT_FOLDER)["source"])
-        # Without any peer, only the copy in the data folder can tell.
-        self.wait_for(self.copy_has_version_2, "the copy in the data folder")
+            self.assertEqual(2, self.poller.view(number)["version"])
+        self.assertEqual("peer", self.poller.view(WITHOUT_FOLDER)["source"])
+        # Without any peer, the version can only come from the copy in the data folder.
+        self.wait_for(self.has_copy_of_version_2, "the copy in the data folder")
         for number in range(len(ZONES)):
             self.running.entry(number).kill()
         self.running.restart_entry(WITH_FOLDER)
-        view = self.looks.view(WITH_FOLDER)
+        view = self.poller.view(WITH_FOLDER)
         self.assertEqual((2, "copy", False), (view["version"], view["source"], view["confirmed"]))
         for number in (WITHOUT_FOLDER, WITHOUT_STORE, LAST):
             self.running.restart_entry(number)
-            view = self.looks.view(number)
+            view = self.poller.view(number)
             self.assertEqual((2, "peer"), (view["version"], view["source"]))
         self.running.set_store("none")
-        self.wait_for(lambda: self.looks.view(LAST)["confirmed"], "a confirmation")
+        self.wait_for(lambda: self.poller.view(LAST)["confirmed"], "a confirmation")
         self.assertEqual(3, self.change(LAST, LAST, 800)["version"])
         self.wait_for_all(3)
-        self.check_never_back()
+        self.check_never_reverted()
 
-    def test_of_two_operators_who_race_one_wins_and_both_are_told_so(self):
+    def test_of_two_concurrent_proposals_one_is_accepted_and_both_operators_learn_it(self):
         for number in range(ROUNDS):
             version = 2 + number
-            made = [
+            proposals = [
                 self.propose(WITH_FOLDER, "pekka", 600 + number),
                 self.propose(LAST, "sanni", 800 + number),
             ]
             with ThreadPoolExecutor(2) as pool:
                 entries = (LAST, WITHOUT_FOLDER)
-                answers = list(pool.map(self.approve, entries, made))
+                answers = list(pool.map(self.approve, entries, proposals))
             states = [answer["proposal"]["state"] for answer in answers]
             self.assertEqual(["accepted", "open"], sorted(states))
-            won, lost = (answers[states.index(state)] for state in ("accepted", "open"))
-            self.assertEqual(version, won["proposal"]["version"])
-            self.assertTrue(lost["waits_for"])
-            self.assert_told_again(won["proposal"], lost["proposal"])
+            accepted_one, open_one = (
+                answers[states.index(state)] for state in ("accepted", "open")
+            )
+            self.assertEqual(version, accepted_one["proposal"]["version"])
+            self.assertTrue(open_one["waits_for"])
+            self.check_repeated_answers(accepted_one["proposal"], open_one["proposal"])
             self.wait_for_all(version)
-            value = won["proposal"]["changes"][0]["value"]
+            value = accepted_one["proposal"]["changes"][0]["value"]
             for entry in range(len(ZONES)):
-                tree = self.looks.view(entry)["tree"]
+                tree = self.poller.view(entry)["tree"]
                 self.assertEqual(value, tree["firm"]["queue_limit"])
-        self.check_never_back()
+        self.check_never_reverted()
 
-    def assert_told_again(self, won: dict[str, Any], lost: dict[str, Any]) -> None:
-        """Ask anew what became of two proposals: the answers are the same, and nothing changes."""
+    def check_repeated_answers(
+        self, accepted_one: dict[str, Any], open_one: dict[str, Any]
+    ) -> None:
+        """Accept both proposals again: the answers are the same, and nothing changes."""
         path = "/v1/config/proposals/{}/accept"
-        again = self.looks.operator(LAST, won["proposer"]).send("POST", path.format(won["id"]))
-        self.assertEqual(won["version"], again["proposal"]["version"])
-        refused = self.looks.operator(LAST, lost["proposer"]).send("POST", path.format(lost["id"]))
+        repeated = self.poller.operator(LAST, accepted_one["proposer"]).send(
+            "POST", path.format(accepted_one["id"])
+        )
+        self.assertEqual(accepted_one["version"], repeated["proposal"]["version"])
+        refused = self.poller.operator(LAST, open_one["proposer"]).send(
+            "POST", path.format(open_one["id"])
+        )
         self.assertEqual(("not_run", "conflict"), (refused["verdict"], refused["code"]))
-        newest = self.looks.operator(LAST).send("GET", "/v1/config/history")["versions"][0]
-        self.assertEqual((won["version"], won["id"]), (newest["version"], newest["proposal"]))
+        newest = self.poller.operator(LAST).send("GET", "/v1/config/history")["versions"][0]
+        self.assertEqual(
+            (accepted_one["version"], accepted_one["id"]), (newest["version"], newest["proposal"])
+        )
 
     def propose(self, number: int, operator: str, value: int) -> Any:
-        """Put a value forward at an entry; return the answer."""
+        """Propose a value at an entry; return the answer."""
         changes = [{"level": "firm", "setting": "queue_limit", "value": value}]
         body = {"changes": changes}
-        return self.looks.operator(number, operator).send("POST", "/v1/config/proposals", body)
+        return self.poller.operator(number, operator).send("POST", "/v1/config/proposals", body)
 
-    def approve(self, number: int, made: dict[str, Any]) -> Any:
+    def approve(self, number: int, proposal: dict[str, Any]) -> Any:
         """Approve a proposal at an entry; return the answer."""
-        path = f"/v1/config/proposals/{made['proposal']['id']}/approve"
-        body = {"text_digest": made["text_digest"]}
-        return self.looks.operator(number).send("POST", path, body)
+        path = f"/v1/config/proposals/{proposal['proposal']['id']}/approve"
+        body = {"text_digest": proposal["text_digest"]}
+        return self.poller.operator(number).send("POST", path, body)
 
     def change(self, proposed_at: int, approved_at: int, value: int) -> Any:
-        """Put a value in force through two entries; return the accepted proposal."""
+        """Propose and approve a value at two entries; return the accepted proposal."""
         answer = self.approve(approved_at, self.propose(proposed_at, "pekka", value))
         self.assertEqual("accepted", answer["proposal"]["state"], answer)
         return answer["proposal"]
 
     def restart(self, number: int) -> None:
-        """Kill an entry and start it anew."""
+        """Kill an entry and restart it."""
         self.running.entry(number).kill()
         self.running.restart_entry(number)
 
-    def copy_has_version_2(self) -> bool:
+    def has_copy_of_version_2(self) -> bool:
         copy = load_copy(self.running.data_folder)
         return copy is not None and copy.version == 2
 
@@ -241,14 +251,14 @@
         """Wait until every entry has a version in force."""
         numbers = range(len(ZONES))
         wait_until(
-            lambda: {self.looks.view(each)["version"] for each in numbers} == {version},
+            lambda: {self.poller.view(each)["version"] for each in numbers} == {version},
             f"version {version} at all entries",
         )
 
-    def check_never_back(self) -> None:
-        """Check what the entries answered all the time, and what they logged."""
-        self.looks.close()
-        self.assertEqual([], check_config(self.looks.history))
+    def check_never_reverted(self) -> None:
+        """Check that no polled answer and no logged version goes back to an older version."""
+        self.poller.close()
+        self.assertEqual([], check_config(self.poller.history))
         for number in range(len(ZONES)):
             matches = map(IN_FORCE.search, self.running.log_lines(number))
             versions = [int(match[1]) for match in matches if match]
