--- a/tests/prove/__init__.py
+++ b/tests/prove/__init__.py
@@ -1,1 +1,1 @@
-"""Proof by history: seeded faults and work over separate processes, then every check."""
+"""Randomized runs of separate processes with seeded faults, whose histories are checked."""
--- a/tests/prove/__main__.py
+++ b/tests/prove/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m tests.prove``: prove seeds, replay one, or check a kept history again."""
+"""``python -m tests.prove``: prove seeds, replay one, or check a saved history again."""
 
 import asyncio
 import sys
@@ -10,7 +10,7 @@
 import typer
 
 from tests.prove.mutants import MUTANTS
-from tests.prove.run import SEED_OF_PLANTED, Result, Shape, planted_shape, run_seed
+from tests.prove.run import PLANTED_FAULT_SEED, Result, Shape, planted_fault_shape, run_seed
 from tests.prove.schedule import FaultKind, Round
 from waxwingglade.proof import check_all, load_history
 from waxwingglade.proof.history import (
@@ -24,7 +24,7 @@
     Submitted,
 )
 
-MOST_LINES = 20
+MAX_LINES = 20
 
 app = typer.Typer(no_args_is_help=True, pretty_exceptions_enable=False)
 
@@ -35,7 +35,7 @@
     first: Annotated[int, typer.Option(help="First seed.")] = 1,
     rounds: Annotated[int, typer.Option(help="Rounds of faults in each run.")] = 6,
 ) -> None:
-    """Run seeds one after the other; failing runs are kept in runs/."""
+    """Run seeds one after the other; failing runs are saved in runs/."""
     results = [_run(seed, Shape(rounds)) for seed in range(first, first + count)]
     _print_totals(results)
     failed = [result.seed for result in results if not result.passed]
@@ -44,7 +44,7 @@
 
 
 def _print_totals(results: list[Result]) -> None:
-    """Print what was checked, and how often each fault happened alone and in a pair."""
+    """Print the number of checked events, and how often each fault occurred alone and in a pair."""
     seen: Counter[str] = Counter()
     alone: Counter[FaultKind] = Counter()
     paired: Counter[FaultKind] = Counter()
@@ -73,12 +73,12 @@
 def planted(
     name: Annotated[str, typer.Argument(help="One planted fault; all if not given.")] = "",
 ) -> None:
-    """Show that each check finds the fault planted for it, and nothing without it."""
+    """Check that each planted fault is found, and that no violation is found without it."""
     missed = []
     for mutant in [name] if name else MUTANTS:
         planted = MUTANTS[mutant]
-        found = _run(SEED_OF_PLANTED, planted_shape(mutant), [planted.faults])
-        clean = _run(SEED_OF_PLANTED, planted_shape(None), [planted.faults])
+        found = _run(PLANTED_FAULT_SEED, planted_fault_shape(mutant), [planted.faults])
+        clean = _run(PLANTED_FAULT_SEED, planted_fault_shape(None), [planted.faults])
         seen = planted.point in {violation.point for violation in found.violations}
         print(f"{mutant}: {'found' if seen else 'MISSED'}; without it: {clean.passed}")
         if not seen or not clean.passed:
@@ -87,8 +87,8 @@
 
 
 @app.command()
-def check(path: Annotated[Path, typer.Argument(help="A kept history.jsonl.")]) -> None:
-    """Check a kept history again."""
+def check(path: Annotated[Path, typer.Argument(help="A saved history.jsonl.")]) -> None:
+    """Check a saved history again."""
     violations = check_all(load_history(path))
     for violation in violations:
         print(violation)
@@ -98,10 +98,10 @@
 
 @app.command()
 def show(
-    path: Annotated[Path, typer.Argument(help="A kept history.jsonl.")],
+    path: Annotated[Path, typer.Argument(help="A saved history.jsonl.")],
     subject: Annotated[str, typer.Argument(help="Part of a program's or an entry's name.")],
 ) -> None:
-    """Print the events about a program, and all faults, in order of time."""
+    """Print the events of a program or entry, and all faults, by time."""
     history = load_history(path)
     numbers = {
         event.number
@@ -110,11 +110,11 @@
     }
     start = min(event.at for event in history.events)
     for event in history.of(*get_args(Event)):
-        about = getattr(event, "number", None) in numbers
-        named = subject in str(getattr(event, "program", "")) or subject == getattr(
+        is_request = getattr(event, "number", None) in numbers
+        is_subject = subject in str(getattr(event, "program", "")) or subject == getattr(
             event, "entry", ""
         )
-        if about or named or isinstance(event, FaultSeen | Quiesced):
+        if is_request or is_subject or isinstance(event, FaultSeen | Quiesced):
             print(f"{event.at - start:9.3f} {event}")
 
 
@@ -125,10 +125,10 @@
     verdict = "passed" if result.passed else "FAILED"
     print(f"seed {seed}: {verdict}, {len(result.history.events)} events, {took_s:.0f} s")
     lines = [*map(str, result.violations), *result.stuck]
-    for line in lines[:MOST_LINES]:
+    for line in lines[:MAX_LINES]:
         print(f"  {line}")
-    if len(lines) > MOST_LINES:
-        print(f"  and {len(lines) - MOST_LINES} more")
+    if len(lines) > MAX_LINES:
+        print(f"  and {len(lines) - MAX_LINES} more")
     sys.stdout.flush()
     return result
 
--- a/tests/prove/cluster.py
+++ b/tests/prove/cluster.py
@@ -1,4 +1,4 @@
-"""A cluster whose entries reach each other through relays."""
+"""A cluster whose entries reach each other and the store through relays."""
 
 import asyncio
 from pathlib import Path
@@ -14,7 +14,7 @@
 TOOL_PRICES = {"booking": 1000, "notice": 100, "order": 1000, "lookup": 10}
 MUTANT_MODULE = "tests.prove.mutants"
 ENTRY_WITH_DISK = 1
-PLATFORM_LAG_S = 0.3
+PLATFORM_DELAY_S = 0.3
 PLATFORM_POLL_S = 0.3
 
 
@@ -43,7 +43,7 @@
         self.store_ports: list[int] = []
         self.control_port = self.ports.reserve()
         self.operator_ports = [self.ports.reserve() for _ in zones]
-        self.platform = PlatformStandin(PLATFORM_LAG_S)
+        self.platform = PlatformStandin(PLATFORM_DELAY_S)
 
     async def open(self) -> None:
         """Start everything."""
@@ -61,18 +61,18 @@
         await asyncio.to_thread(self.start)
 
     def start_store(self) -> None:
-        """Start the store before all else, so that there can be a relay in front of it."""
+        """Start the store first, so that relays can be opened in front of it."""
         super().run("store", ["standin", "store", "--control-port", str(self.control_port)])
         self.read_url("store")
 
     async def shut(self) -> None:
-        """End everything."""
+        """Stop everything."""
         await asyncio.to_thread(self.close)
         await self.relays.close()
         await self.platform.stop()
 
     def entry_pids(self) -> dict[int, int]:
-        """Return the process id of each entry that was started."""
+        """Return the process id of each started entry, by its number."""
         names = {self.entry_name(number): number for number in range(len(self.zones))}
         return {
             names[name]: process.popen.pid
@@ -85,21 +85,21 @@
         return [EntryId(self.entry_name(number)) for number in range(len(self.zones))]
 
     def engine_name(self, victim: int) -> str:
-        """Return the engine that a fault of that number is meant for."""
+        """Return the engine that a fault with a victim number affects."""
         return ENGINES[victim % len(ENGINES)]
 
     def read_url(self, name: str) -> None:
-        """Wait for the line in which a process says where it listens, unless it is known."""
+        """Wait until a process prints its URL, unless it is the store and its URL is known."""
         if name != "store" or name not in self.urls:
             super().read_url(name)
 
     @property
     def store_control_url(self) -> str:
-        """Where the faults of the store are set."""
+        """URL at which the faults of the store are set."""
         return f"http://{ADDRESS}:{self.control_port}"
 
     def run(self, name: str, arguments: list[str]) -> None:
-        """Start a process under a name; the store runs already."""
+        """Start a process under a name; the store is already running."""
         if name == "store":
             return
         if self.mutant is None or name not in self.entries():
@@ -109,11 +109,11 @@
         self.processes[name] = Process([self.mutant, *arguments], log, MUTANT_MODULE)
 
     def peer(self, number: int) -> str:
-        """Return the relay in front of an entry."""
+        """Return the address of the relay in front of an entry."""
         return f"tcp://{ADDRESS}:{self.relay_ports[number]}"
 
     def settings(self, number: int) -> dict[str, Any]:
-        """Return one entry's settings; it tells its peers the address of its relay."""
+        """Return one entry's settings, in which it advertises the address of its relay."""
         settings = super().settings(number)
         settings["store"]["urls"] = [f"http://{ADDRESS}:{self.store_ports[number]}"]
         settings["listen"]["advertised_peer_address"] = self.peer(number)
@@ -126,19 +126,19 @@
         return settings
 
     def service(self) -> dict[str, Any]:
-        """Return the settings of the plain service, with prices."""
+        """Return the settings of the tool stand-in, with prices."""
         service = super().service()
         for tool in service["tools"]:
             tool["price_microcents"] = TOOL_PRICES[tool["tool"]]
         return service
 
     def operator_urls(self) -> dict[EntryId, str]:
-        """Return where each entry serves operators."""
+        """Return the URL at which each entry serves operators."""
         ports = zip(self.entries(), self.operator_ports, strict=True)
         return {entry: f"http://{ADDRESS}:{port}" for entry, port in ports}
 
     def list_vms(self, leaving: str | None) -> None:
-        """Let the platform list the targets, one of them as leaving."""
+        """Set the platform's list of targets, with one of them as leaving."""
         self.platform.set_vms(
             [
                 VM(name, ZoneId(self.zones[0]), _vm_state(name == leaving), ADDRESS)
@@ -146,22 +146,22 @@
             ]
         )
 
-    def broken_logs(self, programs: list[ProgramId]) -> list[str]:
-        """Return what keeps the programs' logs from being whole: an owner or holder is gone."""
+    def degraded_logs(self, programs: list[ProgramId]) -> list[str]:
+        """Return the programs' logs that lack their owner or a copy, with the missing entries."""
         alive = {url.removeprefix("http://") for url in self.entry_urls()}
         used = {log_of(program) for program in programs}
-        broken = []
+        degraded = []
         for record in self.log_records():
             if record.log not in used:
                 continue
-            # What is kept in a data folder outlives the process that held it.
+            # A copy in a data folder outlives the process that holds it.
             holders = [ref for ref in record.copies if not ref.disk]
-            gone = [ref.entry for ref in holders if ref.http_address not in alive]
+            missing = [ref.entry for ref in holders if ref.http_address not in alive]
             if record.owner.http_address not in alive:
-                gone.append(f"{record.owner.entry} (owner)")
-            if gone:
-                broken.append(f"{record.log}: {', '.join(gone)}")
-        return broken
+                missing.append(f"{record.owner.entry} (owner)")
+            if missing:
+                degraded.append(f"{record.log}: {', '.join(missing)}")
+        return degraded
 
 
 def _vm_state(leaving: bool) -> VMState:
--- a/tests/prove/collect.py
+++ b/tests/prove/collect.py
@@ -1,4 +1,4 @@
-"""Turns what the stand-ins saw into events of a history."""
+"""Converts the records of the stand-ins to events of a history."""
 
 import json
 import urllib.request
@@ -22,54 +22,54 @@
         return json.load(answer)
 
 
-def held_programs(cluster: ProofCluster) -> dict[TargetId, list[ProgramId]]:
-    """Return the programs that each engine holds memory for."""
+def cached_programs(cluster: ProofCluster) -> dict[TargetId, list[ProgramId]]:
+    """Return the programs for which each engine holds cache memory."""
     return {
         TargetId(name): get(f"{cluster.urls[name]}/v1/cache/held")["programs"] for name in ENGINES
     }
 
 
 def collect(cluster: ProofCluster, history: History) -> None:
-    """Add effects, generations and a last look at the engines' memory."""
+    """Add effects, generations and the final state of the engines' caches."""
     for effect in get(f"{cluster.urls['tool-1']}/standin/history")["effects"]:
         history.record(_effect(effect))
     for name in ENGINES:
         for request in get(f"{cluster.urls[name]}/standin/history")["requests"]:
             if request["outcome"] != REFUSED:
                 history.record(_generation(TargetId(name), request))
-    for target, programs in held_programs(cluster).items():
+    for target, programs in cached_programs(cluster).items():
         history.record(CacheReported(monotonic(), target, programs))
 
 
-def _effect(seen: dict[str, Any]) -> EffectSeen:
-    program, call = seen["key"].rsplit(".", 1)
+def _effect(record: dict[str, Any]) -> EffectSeen:
+    program, call = record["key"].rsplit(".", 1)
     return EffectSeen(
-        at=seen["at"],
-        arrived=seen["arrived"],
+        at=record["at"],
+        arrived=record["arrived"],
         target=TargetId("tool-1"),
-        tool=ToolName(seen["tool"]),
+        tool=ToolName(record["tool"]),
         program=ProgramId(program),
         call=CallId(call),
-        idempotent=seen["tool"] in IDEMPOTENT_TOOLS,
-        result=seen["result"],
-        fencing=seen["fencing"],
-        price_microcents=TOOL_PRICES[seen["tool"]],
+        idempotent=record["tool"] in IDEMPOTENT_TOOLS,
+        result=record["result"],
+        fencing=record["fencing"],
+        price_microcents=TOOL_PRICES[record["tool"]],
     )
 
 
-def _generation(target: TargetId, seen: dict[str, Any]) -> GenerationSeen:
-    _, call, _, _ = seen["request_id"].rsplit(".", 3)
+def _generation(target: TargetId, record: dict[str, Any]) -> GenerationSeen:
+    _, call, _, _ = record["request_id"].rsplit(".", 3)
     return GenerationSeen(
-        at=seen["arrived"],
-        ended=seen["ended"],
+        at=record["arrived"],
+        ended=record["ended"],
         target=target,
-        program=ProgramId(seen["program"]),
+        program=ProgramId(record["program"]),
         call=CallId(call),
-        request_id=seen["request_id"],
-        conversation=seen["seed"],
-        prompt_tokens=seen["prompt_tokens"],
-        output_tokens=seen["output_tokens"],
-        finished=seen["outcome"] in FINISHED,
-        resume_matches=seen["resume_matches"],
-        price_microcents=TOKEN_PRICE * (seen["prompt_tokens"] + seen["output_tokens"]),
+        request_id=record["request_id"],
+        conversation=record["seed"],
+        prompt_tokens=record["prompt_tokens"],
+        output_tokens=record["output_tokens"],
+        finished=record["outcome"] in FINISHED,
+        resume_matches=record["resume_matches"],
+        price_microcents=TOKEN_PRICE * (record["prompt_tokens"] + record["output_tokens"]),
     )
--- a/tests/prove/faults.py
+++ b/tests/prove/faults.py
@@ -1,4 +1,4 @@
-"""How each fault is caused and ended."""
+"""Begins and ends each kind of fault."""
 
 import asyncio
 import json
@@ -25,8 +25,8 @@
 CONTROL_TIMEOUT_S = 5.0
 
 
-async def cause(cluster: ProofCluster, history: History, fault: Fault) -> None:
-    """Let a fault happen, last and end."""
+async def inject(cluster: ProofCluster, history: History, fault: Fault) -> None:
+    """Begin a fault, wait for its duration, and end it."""
     begin, end = ACTIONS[fault.kind]
     await asyncio.sleep(fault.after_s)
     text = f"{fault.kind.value} ({fault.victim})"
@@ -55,32 +55,32 @@
     """Do nothing."""
 
 
-def _down(history: History, cluster: ProofCluster, victim: int) -> None:
+def _record_down(history: History, cluster: ProofCluster, victim: int) -> None:
     history.record(EntryDown(monotonic(), EntryId(cluster.entry_name(victim))))
 
 
-def _up(history: History, cluster: ProofCluster, victim: int) -> None:
+def _record_up(history: History, cluster: ProofCluster, victim: int) -> None:
     history.record(EntryUp(monotonic(), EntryId(cluster.entry_name(victim))))
 
 
 async def _kill(cluster: ProofCluster, history: History, victim: int) -> None:
-    _down(history, cluster, victim)
+    _record_down(history, cluster, victim)
     await asyncio.to_thread(cluster.processes[cluster.entry_name(victim)].kill)
 
 
 async def _restart(cluster: ProofCluster, history: History, victim: int) -> None:
     await asyncio.to_thread(cluster.restart_entry, victim)
-    _up(history, cluster, victim)
+    _record_up(history, cluster, victim)
 
 
 async def _freeze(cluster: ProofCluster, history: History, victim: int) -> None:
-    _down(history, cluster, victim)
+    _record_down(history, cluster, victim)
     cluster.processes[cluster.entry_name(victim)].freeze()
 
 
 async def _thaw(cluster: ProofCluster, history: History, victim: int) -> None:
     cluster.processes[cluster.entry_name(victim)].thaw()
-    _up(history, cluster, victim)
+    _record_up(history, cluster, victim)
 
 
 async def _drain(cluster: ProofCluster, history: History, victim: int) -> None:
@@ -93,9 +93,9 @@
     history.record(EntryDown(monotonic(), entry))
 
 
-def _cut(fault: LinkFault, *, both_ways: bool = True) -> Action:
+def _isolate(fault: LinkFault, *, both_ways: bool = True) -> Action:
     async def act(cluster: ProofCluster, history: History, victim: int) -> None:
-        _down(history, cluster, victim)
+        _record_down(history, cluster, victim)
         for other in range(len(cluster.zones)):
             if other == victim:
                 continue
@@ -111,11 +111,11 @@
     return [number for number, each in enumerate(cluster.zones) if each == zone]
 
 
-def _cut_zone(*, store: bool) -> Action:
+def _isolate_zone(*, store: bool) -> Action:
     async def act(cluster: ProofCluster, history: History, victim: int) -> None:
         inside = _zone_of(cluster, victim)
         for number in inside:
-            _down(history, cluster, number)
+            _record_down(history, cluster, number)
             for other in range(len(cluster.zones)):
                 if other not in inside:
                     cluster.relays.disrupt(number, other, LinkFault.STALL)
@@ -129,10 +129,10 @@
 async def _heal_zone(cluster: ProofCluster, history: History, victim: int) -> None:
     for number in _zone_of(cluster, victim):
         cluster.relays.heal(number)
-        _up(history, cluster, number)
+        _record_up(history, cluster, number)
 
 
-async def _cut_from_store(cluster: ProofCluster, history: History, victim: int) -> None:
+async def _isolate_from_store(cluster: ProofCluster, history: History, victim: int) -> None:
     cluster.relays.disrupt(victim, STORE, LinkFault.RESET)
 
 
@@ -142,7 +142,7 @@
 
 async def _heal(cluster: ProofCluster, history: History, victim: int) -> None:
     cluster.relays.heal(victim)
-    _up(history, cluster, victim)
+    _record_up(history, cluster, victim)
 
 
 # --- stand-ins ----------------------------------------------------------------------------------
@@ -178,13 +178,13 @@
     return begin, end
 
 
-async def _leave(cluster: ProofCluster, history: History, victim: int) -> None:
+async def _mark_leaving(cluster: ProofCluster, history: History, victim: int) -> None:
     name = cluster.engine_name(victim)
     cluster.list_vms(leaving=name)
     history.record(TargetLeaving(monotonic(), TargetId(name)))
 
 
-async def _come_back(cluster: ProofCluster, history: History, victim: int) -> None:
+async def _mark_live(cluster: ProofCluster, history: History, victim: int) -> None:
     cluster.list_vms(leaving=None)
     history.record(TargetBack(monotonic(), TargetId(cluster.engine_name(victim))))
 
@@ -193,12 +193,12 @@
     FaultKind.KILL_ENTRY: (_kill, _restart),
     FaultKind.FREEZE_ENTRY: (_freeze, _thaw),
     FaultKind.DRAIN_ENTRY: (_drain, _restart),
-    FaultKind.CUT_RESET: (_cut(LinkFault.RESET), _heal),
-    FaultKind.CUT_STALL: (_cut(LinkFault.STALL), _heal),
-    FaultKind.CUT_ONE_WAY: (_cut(LinkFault.STALL, both_ways=False), _heal),
-    FaultKind.CUT_ZONE: (_cut_zone(store=False), _heal_zone),
-    FaultKind.CUT_FROM_STORE: (_cut_from_store, _heal_store),
-    FaultKind.CUT_ZONE_AND_STORE: (_cut_zone(store=True), _heal_zone),
+    FaultKind.CUT_RESET: (_isolate(LinkFault.RESET), _heal),
+    FaultKind.CUT_STALL: (_isolate(LinkFault.STALL), _heal),
+    FaultKind.CUT_ONE_WAY: (_isolate(LinkFault.STALL, both_ways=False), _heal),
+    FaultKind.CUT_ZONE: (_isolate_zone(store=False), _heal_zone),
+    FaultKind.CUT_FROM_STORE: (_isolate_from_store, _heal_store),
+    FaultKind.CUT_ZONE_AND_STORE: (_isolate_zone(store=True), _heal_zone),
     FaultKind.STORE_REFUSE: _store(outage="refuse"),
     FaultKind.STORE_HANG: _store(outage="hang"),
     FaultKind.STORE_SLOW: _store(latency_s=0.3, jitter_s=0.3),
@@ -209,7 +209,7 @@
     FaultKind.ENGINE_CUT: _engine(cut_after_tokens=3),
     FaultKind.ENGINE_SLOW: _engine(slow_factor=20.0),
     FaultKind.ENGINE_HANG: _engine(hang=True),
-    FaultKind.ENGINE_LEAVES: (_leave, _come_back),
+    FaultKind.ENGINE_LEAVES: (_mark_leaving, _mark_live),
     FaultKind.TOOL_CUT_BEFORE: _tool(cut_before=True),
     FaultKind.TOOL_CUT_AFTER: _tool(cut_after=True),
     FaultKind.TOOL_ERROR_BEFORE: _tool(error_before=True),
@@ -218,4 +218,4 @@
     FaultKind.TOOL_SLOW: _tool(delay_s=1.0),
     FaultKind.TOOL_HANG: _tool(hang=True),
 }
-"""How to begin and end each kind of fault."""
+"""Functions that begin and end each kind of fault."""
--- a/tests/prove/mutants.py
+++ b/tests/prove/mutants.py
@@ -1,7 +1,7 @@
-"""Planted faults: the package with one of its functions made wrong on purpose.
+"""Planted faults: each makes one function of the package wrong on purpose.
 
 ``python -m tests.prove.mutants NAME ARGUMENTS`` runs the command line of the package with one
-planted fault.  Each check has to find the fault that is meant for it.
+planted fault.  Each check has to find the faults that violate its point.
 """
 
 import asyncio
@@ -24,31 +24,29 @@
 from waxwingglade.version import ActiveConfig
 
 Plant = Callable[[], None]
-FORGOTTEN_RECORDS = 6
-REVERT_S = 0.6
+DROPPED_RECORDS = 6
+REVERT_DELAY_S = 0.6
 REVERT_EVERY = 3
 
 
 def calls_overtake() -> None:
-    """Let every call through at once."""
+    """Run every call at once, regardless of the order of calls."""
     CallOrder._may_run = lambda self, state, call: True
 
 
 def records_forgotten() -> None:
-    """Lose the last records when a log is taken over."""
+    """Drop the last records when a log is taken over."""
     seal = takeover._seal
 
-    async def forget(means, entry):
+    async def drop_records(means, entry):
         sealed = await seal(means, entry)
-        return sealed.map(
-            lambda copy: SealedCopy(copy.last_epoch, copy.records[:-FORGOTTEN_RECORDS])
-        )
+        return sealed.map(lambda copy: SealedCopy(copy.last_epoch, copy.records[:-DROPPED_RECORDS]))
 
-    takeover._seal = forget
+    takeover._seal = drop_records
 
 
 def histories_mixed() -> None:
-    """Give the model the history of another program too."""
+    """Add messages of another program's history to a model's prompt."""
     prepare = model_call._prepare
 
     def mix(execution, events):
@@ -62,95 +60,95 @@
 
 
 def budget_unchecked() -> None:
-    """Let every reservation pass."""
+    """Accept every reservation, regardless of the budget."""
     call_execution.check_amount = lambda account, budget, amount: Ok(None)
     call_execution.check_turns = lambda account, budget: Ok(None)
 
 
 def release_forgotten() -> None:
-    """Note that the engines have let go without telling them."""
+    """Record that the engines have released their caches without a request to them."""
 
-    async def forget(entry, owned, state):
+    async def drop_records(entry, owned, state):
         await owned.append(state.program, CacheReleased(sorted(state.cached_on)))
 
     async def sweep_nothing(entry):
         await asyncio.Event().wait()
 
-    release._release = forget
+    release._release = drop_records
     daemon.sweep_caches = sweep_nothing
 
 
 def pieces_lost() -> None:
-    """Lose the first letters of a stream."""
+    """Drop the first character of a stream."""
     follow = CallEvents.follow
 
-    async def lose(self, offset, attempt):
+    async def drop_first(self, offset, attempt):
         async for event in follow(self, offset, attempt):
             if isinstance(event, Delta) and event.offset == 0:
                 yield msgspec.structs.replace(event, offset=1, text=event.text[1:])
             else:
                 yield event
 
-    CallEvents.follow = lose
+    CallEvents.follow = drop_first
 
 
 def answers_swapped() -> None:
-    """Answer each call with what the call before it was answered."""
+    """Answer each call with the answer of the previous call."""
     finish = call_execution.finish
-    before = []
+    previous = []
 
     async def swap(this, outcome, used):
-        before.append(await finish(this, outcome, used))
-        return before[-2] if len(before) > 1 else before[-1]
+        previous.append(await finish(this, outcome, used))
+        return previous[-2] if len(previous) > 1 else previous[-1]
 
     model_call.finish = swap
     tool_call.finish = swap
 
 
 def runs_denied() -> None:
-    """Say that a call did not run when nobody knows."""
+    """Report that a call did not run when this is unknown."""
     finish = call_execution.finish
 
     async def deny(this, outcome, used):
-        told = await finish(this, outcome, used)
-        if isinstance(told, Failure):
-            return msgspec.structs.replace(told, verdict=Verdict.NOT_RUN)
-        return told
+        answer = await finish(this, outcome, used)
+        if isinstance(answer, Failure):
+            return msgspec.structs.replace(answer, verdict=Verdict.NOT_RUN)
+        return answer
 
     call_execution.finish = deny
 
 
 def effects_repeated() -> None:
-    """Send a call again though it may have run."""
+    """Repeat a call although it may have run."""
     tool_call._may_repeat = lambda failure, tool: True
 
 
 def leave_ignored() -> None:
-    """Give a leaving target new work."""
+    """Continue to send work to a leaving target."""
     Dispatcher.set_leaving = lambda self, target, leaving=True: None
 
 
 def drain_cuts() -> None:
-    """Close at once when asked to leave."""
+    """Stop at once instead of draining."""
     daemon.Daemon.drain_and_stop = daemon.Daemon.stop
 
 
 def configuration_reverts() -> None:
-    """Go back to the version before, now and then."""
+    """Revert every third version to the previous one after a short time."""
     put = ActiveConfig._put_in_force
 
     def put_and_revert(self, snapshot, source):
-        before = self.current
+        previous = self.current
         put(self, snapshot, source)
         if snapshot.version % REVERT_EVERY == 0:
             loop = asyncio.get_running_loop()
-            loop.call_later(REVERT_S, setattr, self, "current", before)
+            loop.call_later(REVERT_DELAY_S, setattr, self, "current", previous)
 
     ActiveConfig._put_in_force = put_and_revert
 
 
 class Planted(msgspec.Struct, frozen=True):
-    """A planted fault, the point it breaks, and the faults under which it shows."""
+    """A planted fault, the point that it violates, and the faults that expose it."""
 
     plant: Plant
     point: Point
--- a/tests/prove/operators.py
+++ b/tests/prove/operators.py
@@ -1,4 +1,4 @@
-"""Operators who race each other with changes, and a look at what each entry has in force."""
+"""Operators that make concurrent changes, and polls of the version in force at each entry."""
 
 import asyncio
 import contextlib
@@ -24,8 +24,8 @@
     "firm": {"model_timeout_s": 6.0, "tool_timeout_s": 3.0},
 }
 SETTING = "queue_limit"
-LOOK_S = 0.25
-PAUSE_S = 0.5
+POLL_S = 0.25
+MEAN_PAUSE_S = 0.5
 TIMEOUT_S = 6.0
 MAX_CLIENTS = 100
 
@@ -49,16 +49,16 @@
 
 
 class Operators:
-    """Proposes, approves and looks on until cancelled.
+    """Proposes and approves changes, and polls the configuration, until cancelled.
 
     Parameters
     ----------
     history : History
-        Where accepted versions and versions in force are recorded.
+        Receives accepted versions and versions in force.
     urls : dict
-        Operators' URL of each entry.
+        URL for operators of each entry.
     seed : int
-        Who does what, and where, follows from it.
+        Determines the changes, and the entries to which they are sent.
     """
 
     def __init__(self, history: History, urls: dict[EntryId, str], seed: int) -> None:
@@ -68,38 +68,42 @@
         self.client = SimpleAsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
 
     async def run(self) -> None:
-        """Work until cancelled."""
-        looks = [self._look_on(entry) for entry in self.urls]
-        changes = [self._change(proposer) for proposer in PROPOSERS]
+        """Run until cancelled."""
+        polls = [self._poll_config(entry) for entry in self.urls]
+        changes = [self._make_changes(proposer) for proposer in PROPOSERS]
         try:
-            await asyncio.gather(*looks, *changes)
+            await asyncio.gather(*polls, *changes)
         finally:
             self.client.close()
 
-    async def _look_on(self, entry: EntryId) -> None:
+    async def _poll_config(self, entry: EntryId) -> None:
         while True:
             view = await self._send(entry, APPROVER, "GET", "/v1/config", None, ConfigView)
             if view is not None:
-                seen = ConfigInForce(monotonic(), entry, ConfigVersion(view.version), view.hash)
-                self.history.record(seen)
-            await asyncio.sleep(LOOK_S)
+                event = ConfigInForce(monotonic(), entry, ConfigVersion(view.version), view.hash)
+                self.history.record(event)
+            await asyncio.sleep(POLL_S)
 
-    async def _change(self, proposer: str) -> None:
+    async def _make_changes(self, proposer: str) -> None:
         rng = random.Random(f"{self.seed}/{proposer}")
         entries = list(self.urls)
         while True:
-            await asyncio.sleep(rng.uniform(0.5, 1.5) * PAUSE_S)
+            await asyncio.sleep(rng.uniform(0.5, 1.5) * MEAN_PAUSE_S)
             change = {"level": "firm", "setting": SETTING, "value": rng.randint(500, 1500)}
             body = {"changes": [change]}
             path = "/v1/config/proposals"
-            made = await self._send(rng.choice(entries), proposer, "POST", path, body, ProposalView)
-            if made is not None:
-                # Two approvals at once, at any two entries; one of them brings it into force.
-                await asyncio.gather(*(self._approve(made, rng.choice(entries)) for _ in range(2)))
-
-    async def _approve(self, made: ProposalView, entry: EntryId) -> None:
-        path = f"/v1/config/proposals/{made.proposal.id}/approve"
-        body = {"text_digest": made.text_digest}
+            proposal = await self._send(
+                rng.choice(entries), proposer, "POST", path, body, ProposalView
+            )
+            if proposal is not None:
+                # Two concurrent approvals at random entries, one of which accepts the proposal.
+                await asyncio.gather(
+                    *(self._approve(proposal, rng.choice(entries)) for _ in range(2))
+                )
+
+    async def _approve(self, proposal: ProposalView, entry: EntryId) -> None:
+        path = f"/v1/config/proposals/{proposal.proposal.id}/approve"
+        body = {"text_digest": proposal.text_digest}
         view = await self._send(entry, APPROVER, "POST", path, body, ProposalView)
         if view is None or view.proposal.state is not ProposalState.ACCEPTED:
             return
@@ -107,7 +111,7 @@
         self.history.record(ConfigAccepted(monotonic(), view.proposal.version))
 
     async def _send(self, entry: EntryId, operator: str, method: str, path: str, body, model: type):
-        """Return the answer, or None where there is none or it is an error."""
+        """Return the answer, or None if there is none or it is an error."""
         with contextlib.suppress(HTTPError, OSError):
             answer = await self.client.fetch(
                 self.urls[entry] + path,
--- a/tests/prove/recording.py
+++ b/tests/prove/recording.py
@@ -1,4 +1,4 @@
-"""Callers that write down every request and every answer."""
+"""A caller that records every request and every answer."""
 
 import asyncio
 import itertools
@@ -45,14 +45,14 @@
 
 
 class RecordingCaller:
-    """Sends requests to entries and records what comes back.
+    """Sends requests to entries, and records the answers.
 
     Parameters
     ----------
     history : History
-        Where to.
+        Receives the events.
     urls : dict
-        URL of each entry; may change while requests run.
+        URL of each entry; it may change while requests are open.
     """
 
     def __init__(self, history: History, urls: dict[EntryId, str]) -> None:
@@ -63,7 +63,7 @@
         self.client = SimpleAsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
 
     async def send(self, entry: EntryId, request: Request, stream: bool = False) -> Answer:
-        """Send a request and return its final answer, or how it broke."""
+        """Send a request and return its final answer, or a `Broken` for a failed connection."""
         number = next(self.numbers)
         self.history.record(Submitted(monotonic(), number, entry, request))
         answer = await self._send(number, entry, request, stream)
@@ -74,52 +74,52 @@
         """Close every connection."""
         self.client.close()
 
-    def _note_attempt(self, request: Request, attempt: str) -> None:
+    def _record_attempt(self, request: Request, attempt: str) -> None:
         if isinstance(request, SubmitCall):
             self.attempts[request.program, request.call.call] = attempt
 
     async def _send(self, number: int, entry: EntryId, request: Request, stream: bool) -> Answer:
-        events = _Events(self.history, number)
-        events.on_attempt = lambda attempt: self._note_attempt(request, attempt)
+        parser = _StreamParser(self.history, number)
+        parser.on_attempt = lambda attempt: self._record_attempt(request, attempt)
         http = _http_request(self.urls[entry], request)
         if stream:
             http.headers["Accept"] = "text/event-stream"
-            http.streaming_callback = events.feed
+            http.streaming_callback = parser.feed
         try:
             response = await self.client.fetch(http, raise_error=False)
         except (HTTPStreamClosedError, HTTPTimeoutError, HTTPError, OSError) as error:
-            return events.answer or _broken(error)
-        if stream and events.answer is not None:
-            return events.answer
-        body = response.body or events.rest
+            return parser.answer or _broken(error)
+        if stream and parser.answer is not None:
+            return parser.answer
+        body = response.body or parser.buffer
         try:
             return _event.decode(body)
         except msgspec.DecodeError as error:
-            shown = body[:200].decode("utf-8", "replace")
-            return NoAnswer(NoAnswerCause.CUT, f"{response.code} {shown!r}: {error}")
+            excerpt = body[:200].decode("utf-8", "replace")
+            return NoAnswer(NoAnswerCause.CUT, f"{response.code} {excerpt!r}: {error}")
 
 
-class _Events:
-    """Takes a stream of server-sent events apart as it arrives."""
+class _StreamParser:
+    """Parses a stream of server-sent events while it arrives."""
 
     def __init__(self, history: History, number: int) -> None:
         self.history = history
         self.number = number
-        self.rest = b""
+        self.buffer = b""
         self.answer: Answer | None = None
         self.on_attempt: Callable[[str], None] = lambda _: None
 
     def feed(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
             if line.startswith(SSE_PREFIX) and line != SSE_END:
-                self._take(_event.decode(line.removeprefix(SSE_PREFIX)))
+                self._handle(_event.decode(line.removeprefix(SSE_PREFIX)))
 
-    def _take(self, event) -> None:
+    def _handle(self, event) -> None:
         now = monotonic()
         if isinstance(event, Delta):
-            piece = TextReceived(now, self.number, event.offset, event.text, event.attempt)
-            self.history.record(piece)
+            received = TextReceived(now, self.number, event.offset, event.text, event.attempt)
+            self.history.record(received)
             self.on_attempt(event.attempt)
         elif isinstance(event, Reset):
             self.history.record(TextReset(now, self.number, event.attempt))
@@ -137,7 +137,7 @@
 
 
 def _http_request(url: str, request: Request) -> HTTPRequest:
-    method, path, body = _wire(request)
+    method, path, body = _request_parts(request)
     return HTTPRequest(
         url + path,
         method=method,
@@ -148,7 +148,7 @@
     )
 
 
-def _wire(request: Request):
+def _request_parts(request: Request):
     if isinstance(request, CreateProgram):
         body = {"program_class": request.program_class, "request": request.request}
         if request.budget is not None:
@@ -158,8 +158,8 @@
     if isinstance(request, SubmitCall):
         return "POST", f"{path}/calls", request.call
     if isinstance(request, FollowCall):
-        place = f"offset={request.offset}&attempt={request.attempt}"
-        return "GET", f"{path}/calls/{request.call}/events?{place}", None
+        query = f"offset={request.offset}&attempt={request.attempt}"
+        return "GET", f"{path}/calls/{request.call}/events?{query}", None
     if isinstance(request, EndProgram):
         return "DELETE", path, None
     assert isinstance(request, ReadProgram)
--- a/tests/prove/run.py
+++ b/tests/prove/run.py
@@ -1,4 +1,4 @@
-"""One run: a cluster, seeded work and faults, a quiet end, and every check."""
+"""One run: a cluster under a seeded workload and faults, a recovery phase, and all checks."""
 
 import asyncio
 import contextlib
@@ -11,8 +11,8 @@
 from loguru import logger
 
 from tests.prove.cluster import ProofCluster
-from tests.prove.collect import collect, held_programs
-from tests.prove.faults import cause
+from tests.prove.collect import cached_programs, collect
+from tests.prove.faults import inject
 from tests.prove.operators import Operators
 from tests.prove.recording import TENANT_ID, RecordingCaller
 from tests.prove.schedule import Round, make_schedule
@@ -25,70 +25,70 @@
 
 ZONES = ("helsinki-1", "helsinki-2", "helsinki-3", "helsinki-1")
 CALLERS = 8
-WHOLE_PATIENCE_S = 40.0
-LOOK_S = 0.1
-LOOKS_AT_ONCE = 40
-REPORT_S = 10.0
+REPLICATION_TIMEOUT_S = 40.0
+POLL_S = 0.1
+CONCURRENT_READS = 40
+PROGRESS_LOG_S = 10.0
 OVERRIDES = {
     "log_level": "DEBUG",
     "sampling": {"sweep_period_s": 0.5},
-    # Longer than a busy machine lets a process wait, shorter than every freeze.
+    # Longer than scheduling delays on a busy machine, shorter than every freeze.
     "durability": {"heartbeat_s": 0.2, "suspect_after_s": 1.5},
 }
 RUNS = Path(__file__).resolve().parents[2] / "runs"
 
 
 class Shape(msgspec.Struct, frozen=True):
-    """How large a run is.
+    """Size of a run.
 
     Parameters
     ----------
     rounds, callers : int
-        Rounds of faults, and callers at work.
+        Number of rounds of faults, and of concurrent callers.
     zones : tuple of str
         Zone of each entry.
-    patience_s, last_look_s : float
-        Seconds for which a caller repeats a request, and for which the end is waited for.
+    retry_for_s, final_timeout_s : float
+        Seconds for which a caller repeats a request, and wait limit for the final checks.
     idle_s : float
-        Seconds of work without any fault, where there are no rounds.
+        Seconds of work without faults after the last round.
     mutant : str or None
-        Planted fault.
+        Name of a planted fault (`tests.prove.mutants`).
     """
 
     rounds: int = 6
     callers: int = CALLERS
     zones: tuple[str, ...] = ZONES
-    patience_s: float = 60.0
-    last_look_s: float = 30.0
+    retry_for_s: float = 60.0
+    final_timeout_s: float = 30.0
     idle_s: float = 0.0
     mutant: str | None = None
 
 
-SEED_OF_PLANTED = 1
+PLANTED_FAULT_SEED = 1
 
 
-def planted_shape(mutant: str | None) -> Shape:
-    """Return the shape of a run that is to show a planted fault, or that there is none."""
+def planted_fault_shape(mutant: str | None) -> Shape:
+    """Return the shape of a run with a planted fault, or of the run without it."""
     return Shape(
-        callers=6, zones=ZONES[:3], patience_s=8.0, last_look_s=5.0, idle_s=4.0, mutant=mutant
+        callers=6, zones=ZONES[:3], retry_for_s=8.0, final_timeout_s=5.0, idle_s=4.0, mutant=mutant
     )
 
 
 class Result(msgspec.Struct):
-    """What came of a run.
+    """Result of a run.
 
     Parameters
     ----------
     seed : int
-        Its seed.
+        Seed of the run.
     history : History
-        What was seen.
+        Recorded events.
     violations : list of Violation
-        What the checks say.
+        Violations that the checks found.
     stuck : list of str
-        What did not come back to order once all faults were over.
+        What did not recover after the faults had ended.
     schedule : list of Round
-        The faults.
+        Faults of each round.
     """
 
     seed: int
@@ -99,26 +99,26 @@
 
     @property
     def passed(self) -> bool:
-        """Whether nothing is wrong."""
+        """Whether there are no violations and everything has recovered."""
         return not self.violations and not self.stuck
 
 
 async def run_seed(seed: int, shape: Shape = Shape(), schedule: list[Round] | None = None):
-    """Run a seed and check its history; a failing run is kept.
+    """Run a seed and check its history; the artifacts of a failing run are saved.
 
     Parameters
     ----------
     seed : int
-        Faults and work follow from it.
+        Seed of the faults and the workload.
     shape : Shape
         Size of the run.
     schedule : list of Round, optional
-        Faults, if not those of the seed.
+        Faults that replace those of the seed.
 
     Returns
     -------
     Result
-        The verdict.
+        History and violations.
     """
     if schedule is None:
         schedule = make_schedule(seed, shape.rounds, len(shape.zones))
@@ -131,14 +131,14 @@
             await _run(cluster, history, schedule, shape, stuck)
         except BaseException:
             stuck.append("the run was broken off")
-            keep(Result(seed, history, [], stuck, schedule), Path(folder))
+            save_artifacts(Result(seed, history, [], stuck, schedule), Path(folder))
             raise
         finally:
             await cluster.shut()
         logger.info("seed {}: checking {} events", seed, len(history.events))
         result = Result(seed, history, check_all(history), stuck, schedule)
         if not result.passed and shape.mutant is None:
-            keep(result, Path(folder))
+            save_artifacts(result, Path(folder))
     return result
 
 
@@ -149,98 +149,102 @@
     for entry in urls:
         history.record(EntryUp(monotonic(), entry))
     caller = RecordingCaller(history, cluster.urls)
-    workload = Workload(caller, list(urls), history.seed, shape.patience_s)
-    working = asyncio.create_task(workload.run(shape.callers))
+    workload = Workload(caller, list(urls), history.seed, shape.retry_for_s)
+    workload_task = asyncio.create_task(workload.run(shape.callers))
     operators = Operators(history, cluster.operator_urls(), history.seed)
-    operating = asyncio.create_task(operators.run())
+    operators_task = asyncio.create_task(operators.run())
     try:
         for number, faults in enumerate(schedule, start=1):
-            shown = ", ".join(f"{fault.kind.value} ({fault.victim})" for fault in faults)
-            logger.info("seed {} round {}: {}", history.seed, number, shown)
-            await asyncio.gather(*(cause(cluster, history, fault) for fault in faults))
-            await _wait_until_whole(cluster, workload.programs, stuck)
+            description = ", ".join(f"{fault.kind.value} ({fault.victim})" for fault in faults)
+            logger.info("seed {} round {}: {}", history.seed, number, description)
+            await asyncio.gather(*(inject(cluster, history, fault) for fault in faults))
+            await _wait_until_replicated(cluster, workload.programs, stuck)
         await asyncio.sleep(shape.idle_s)
         logger.info("seed {}: waiting for callers", history.seed)
         workload.stop()
-        while not working.done():
-            await asyncio.wait([working], timeout=REPORT_S)
+        while not workload_task.done():
+            await asyncio.wait([workload_task], timeout=PROGRESS_LOG_S)
             logger.info("seed {}: still waiting: {}", history.seed, workload.waiting)
-        operating.cancel()
+        operators_task.cancel()
         history.record(Quiesced(monotonic()))
-        stuck += workload.given_up
-        await _last_looks(cluster, caller, workload, history, shape.last_look_s)
+        stuck += workload.timed_out
+        await _final_reads(cluster, caller, workload, history, shape.final_timeout_s)
         await asyncio.to_thread(collect, cluster, history)
     finally:
-        working.cancel()
-        operating.cancel()
-        await asyncio.gather(working, operating, return_exceptions=True)
+        workload_task.cancel()
+        operators_task.cancel()
+        await asyncio.gather(workload_task, operators_task, return_exceptions=True)
         caller.close()
 
 
-async def _wait_until_whole(
+async def _wait_until_replicated(
     cluster: ProofCluster, programs: list[ProgramId], stuck: list[str]
 ) -> None:
-    """Wait until every log has an owner and all holders again, before the next round."""
-    end = time.monotonic() + WHOLE_PATIENCE_S
-    broken: list[str] = []
+    """Wait until the owner and the copies of every log are alive, before the next round."""
+    end = time.monotonic() + REPLICATION_TIMEOUT_S
+    degraded: list[str] = []
     while time.monotonic() < end:
         with contextlib.suppress(OSError):
-            broken = await asyncio.to_thread(cluster.broken_logs, programs)
-            if not broken:
+            degraded = await asyncio.to_thread(cluster.degraded_logs, programs)
+            if not degraded:
                 return
-        await asyncio.sleep(LOOK_S)
-    stuck.append(f"logs are not whole again: {broken}")
+        await asyncio.sleep(POLL_S)
+    stuck.append(f"logs are not whole again: {degraded}")
 
 
-async def _last_looks(
+async def _final_reads(
     cluster: ProofCluster,
     caller: RecordingCaller,
     workload: Workload,
     history: History,
-    patience_s: float,
+    timeout_s: float,
 ) -> None:
-    """Show every program once from two entries, and wait for the engines to let go."""
+    """Read every program at two entries, and wait until engines have released their caches."""
     entries = workload.entries
-    room = asyncio.Semaphore(LOOKS_AT_ONCE)
-    looks = [
-        _read(caller, entries[(number + step) % len(entries)], program, room, patience_s)
+    semaphore = asyncio.Semaphore(CONCURRENT_READS)
+    reads = [
+        _read_program(
+            caller, entries[(number + offset) % len(entries)], program, semaphore, timeout_s
+        )
         for number, program in enumerate(workload.programs)
-        for step in (0, 1)
+        for offset in (0, 1)
     ]
-    await asyncio.gather(*looks)
+    await asyncio.gather(*reads)
     ended = ended_at(history)
-    end = time.monotonic() + patience_s
+    end = time.monotonic() + timeout_s
     while time.monotonic() < end:
-        held = await asyncio.to_thread(held_programs, cluster)
-        if not any(program in ended for programs in held.values() for program in programs):
+        cached = await asyncio.to_thread(cached_programs, cluster)
+        if not any(program in ended for programs in cached.values() for program in programs):
             return
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
 
 
-async def _read(
+async def _read_program(
     caller: RecordingCaller,
     entry: EntryId,
     program: ProgramId,
-    room: asyncio.Semaphore,
-    patience_s: float,
+    semaphore: asyncio.Semaphore,
+    timeout_s: float,
 ) -> None:
-    async with room:
-        end = time.monotonic() + patience_s
+    async with semaphore:
+        end = time.monotonic() + timeout_s
         while True:
             answer = await caller.send(entry, ReadProgram(TENANT_ID, program))
             if isinstance(answer, ProgramView) or time.monotonic() > end:
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_S)
 
 
-def keep(result: Result, folder: Path) -> None:
-    """Keep the history of a failing run, its faults, its verdict and the logs of its processes."""
-    kept = RUNS / f"seed-{result.seed}"
-    shutil.rmtree(kept, ignore_errors=True)
-    kept.mkdir(parents=True)
-    result.history.save(kept / "history.jsonl")
-    (kept / "schedule.json").write_bytes(msgspec.json.format(msgspec.json.encode(result.schedule)))
+def save_artifacts(result: Result, folder: Path) -> None:
+    """Save the history of a failing run, its faults, its violations and the logs of processes."""
+    artifacts = RUNS / f"seed-{result.seed}"
+    shutil.rmtree(artifacts, ignore_errors=True)
+    artifacts.mkdir(parents=True)
+    result.history.save(artifacts / "history.jsonl")
+    (artifacts / "schedule.json").write_bytes(
+        msgspec.json.format(msgspec.json.encode(result.schedule))
+    )
     lines = [*map(str, result.violations), *result.stuck]
-    (kept / "verdict.txt").write_text("\n".join(lines) + "\n")
+    (artifacts / "verdict.txt").write_text("\n".join(lines) + "\n")
     for log in folder.glob("*.log"):
-        shutil.copy(log, kept)
+        shutil.copy(log, artifacts)
--- a/tests/prove/schedule.py
+++ b/tests/prove/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults happen, and when: everything follows from a seed."""
+"""Schedules of faults, which are determined by a seed."""
 
 import random
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class FaultKind(Enum):
-    """What can go wrong."""
+    """Kinds of faults."""
 
     KILL_ENTRY = "kill an entry"
     FREEZE_ENTRY = "freeze an entry for longer than its peers wait"
@@ -44,11 +44,11 @@
     Parameters
     ----------
     kind : FaultKind
-        What happens.
+        Kind of the fault.
     victim : int
-        Which of its kind it happens to.
+        Number of the entry or engine that is affected; the seed of a fault of the store.
     after_s, lasts_s : float
-        Seconds from the start of the round, and until the fault ends.
+        Delay in seconds from the start of the round, and duration in seconds.
     """
 
     kind: FaultKind
@@ -60,15 +60,15 @@
 Round = list[Fault]
 
 
-SHORTEST_S = 2.0
-LONGEST_S = 4.0
-LATEST_START_S = 0.4
-LEAVE_S = 5.0
-"""Seconds that a leaving engine is listed, longer than it may take the entries to take notice."""
+MIN_DURATION_S = 2.0
+MAX_DURATION_S = 4.0
+MAX_DELAY_S = 0.4
+LEAVING_DURATION_S = 5.0
+"""Seconds for which a leaving engine is listed, longer than entries may take to detect it."""
 
 
 def make_schedule(seed: int, rounds: int, entries: int) -> list[Round]:
-    """Return rounds of one or two faults at the same time.
+    """Return rounds of one or two concurrent faults.
 
     Parameters
     ----------
@@ -90,14 +90,14 @@
         Fault(
             kind,
             victim,
-            round(rng.uniform(0.0, LATEST_START_S), 2),
-            _lasts_s(rng, kind),
+            round(rng.uniform(0.0, MAX_DELAY_S), 2),
+            _duration_s(rng, kind),
         )
         for kind, victim in zip(kinds, victims, strict=True)
     ]
 
 
-def _lasts_s(rng: random.Random, kind: FaultKind) -> float:
+def _duration_s(rng: random.Random, kind: FaultKind) -> float:
     if kind is FaultKind.ENGINE_LEAVES:
-        return LEAVE_S
-    return round(rng.uniform(SHORTEST_S, LONGEST_S), 2)
+        return LEAVING_DURATION_S
+    return round(rng.uniform(MIN_DURATION_S, MAX_DURATION_S), 2)
--- a/tests/prove/workload.py
+++ b/tests/prove/workload.py
@@ -1,4 +1,4 @@
-"""Seeded work of many callers: programs with models, tools, sub-agents, retries and doubles."""
+"""Seeded workload of many callers: model, tool and sub-agent calls, retries and duplicates."""
 
 import asyncio
 import random
@@ -37,11 +37,11 @@
 from waxwingglade.proof.history import Answer, NoAnswer
 from waxwingglade.settings import Budget
 
-LONGEST_PAUSE_S = 0.5
-LONGEST_THINKING_S = 0.2
-REPEATS_OF_UNKNOWN = 3
+MAX_RETRY_PAUSE_S = 0.5
+MAX_THINK_TIME_S = 0.2
+MAX_UNKNOWN_OUTCOMES = 3
 TOOLS = ("booking", "booking", "notice", "notice", "order", "lookup")
-MOST_CALLS = 7
+MAX_CALLS = 7
 BUDGETS = (
     None,
     None,
@@ -52,8 +52,8 @@
     Budget(wall_s=1.0),
     Budget(depth=1),
 )
-DEEPEST = 3
-FINAL = frozenset(
+MAX_DEPTH = 3
+FINAL_CODES = frozenset(
     {
         ErrorCode.BAD_REQUEST,
         ErrorCode.BUDGET_EXCEEDED,
@@ -64,42 +64,42 @@
         ErrorCode.TOO_LARGE,
     }
 )
-"""Reasons of failure that a repeat meets again."""
+"""Error codes that a retry would return again."""
 
 
 class Workload:
-    """Callers that run programs until they are told to stop.
+    """Callers that run programs until `stop` is called.
 
     Parameters
     ----------
     caller : RecordingCaller
-        Sends and records.
+        Sends and records the requests.
     entries : list of EntryId
         Entries to choose from.
     seed : int
-        What the callers do follows from it, though not when.
+        Determines the requests of the callers, but not their times.
     patience_s : float
         Seconds for which a request is repeated.
     """
 
     def __init__(
-        self, caller: RecordingCaller, entries: list[EntryId], seed: int, patience_s: float
+        self, caller: RecordingCaller, entries: list[EntryId], seed: int, retry_for_s: float
     ) -> None:
-        self.patience_s = patience_s
+        self.retry_for_s = retry_for_s
         self.caller = caller
         self.entries = entries
         self.seed = seed
         self.stopping = False
         self.programs: list[ProgramId] = []
-        self.given_up: list[str] = []
+        self.timed_out: list[str] = []
         self.waiting: dict[str, Answer] = {}
 
     async def run(self, callers: int) -> None:
-        """Run programs, some at a time, until `stop` was called and all are through."""
+        """Run programs concurrently, until `stop` was called and all programs have finished."""
         await asyncio.gather(*(self._programs(number) for number in range(callers)))
 
     def stop(self) -> None:
-        """Begin no further programs."""
+        """Start no further programs."""
         self.stopping = True
 
     async def _programs(self, number: int) -> None:
@@ -108,27 +108,32 @@
             count += 1
             await Program(self, random.Random(f"{self.seed}/{number}/{count}")).run()
 
-    async def until(
-        self, rng: random.Random, request, what: str, final: Callable[[Answer], bool], stream=False
+    async def send_until(
+        self,
+        rng: random.Random,
+        request,
+        description: str,
+        is_final: Callable[[Answer], bool],
+        stream=False,
     ) -> Answer:
-        """Repeat a request at any entry until its answer is final or the patience is over."""
-        end = monotonic() + self.patience_s
+        """Repeat a request at random entries until its answer is final or `retry_for_s` is over."""
+        end = monotonic() + self.retry_for_s
         while True:
             answer = await self.caller.send(rng.choice(self.entries), request, stream)
-            if final(answer):
-                self.waiting.pop(what, None)
+            if is_final(answer):
+                self.waiting.pop(description, None)
                 return answer
-            self.waiting[what] = answer
+            self.waiting[description] = answer
             if monotonic() > end:
-                self.waiting.pop(what, None)
-                self.given_up.append(f"{what}: {answer}")
+                self.waiting.pop(description, None)
+                self.timed_out.append(f"{description}: {answer}")
                 return answer
-            await asyncio.sleep(_pause_s(answer))
+            await asyncio.sleep(_retry_pause_s(answer))
 
 
-def _pause_s(answer: Answer) -> float:
-    wanted = answer.retry_after_s if isinstance(answer, Failure) else None
-    return min(0.1 if wanted is None else wanted, LONGEST_PAUSE_S)
+def _retry_pause_s(answer: Answer) -> float:
+    requested_s = answer.retry_after_s if isinstance(answer, Failure) else None
+    return min(0.1 if requested_s is None else requested_s, MAX_RETRY_PAUSE_S)
 
 
 class Program:
@@ -139,37 +144,37 @@
         self.rng = rng
         self.name = f"{rng.getrandbits(48):012x}"
         self.program = ProgramId("")
-        self.numbered = rng.random() < 0.5
+        self.is_ordered = rng.random() < 0.5
         self.number = 0
-        self.over = False
+        self.finished = False
 
     async def run(self) -> None:
-        """Create it, make its calls, and mostly end it."""
+        """Create the program, make its calls, and end it in most cases."""
         created = await self._create()
         if not isinstance(created, ProgramView):
             return
         self.program = created.program
         self.workload.programs.append(self.program)
-        left = self.rng.randint(1, MOST_CALLS)
-        while left > 0 and not self.over:
-            batch = min(left, self.rng.choice((1, 1, 2, 3)))
-            left -= batch
+        remaining = self.rng.randint(1, MAX_CALLS)
+        while remaining > 0 and not self.finished:
+            batch = min(remaining, self.rng.choice((1, 1, 2, 3)))
+            remaining -= batch
             await self._batch([self._next_call() for _ in range(batch)])
-            await asyncio.sleep(self.rng.uniform(0.0, LONGEST_THINKING_S))
-        await self._read()
+            await asyncio.sleep(self.rng.uniform(0.0, MAX_THINK_TIME_S))
+        await self._read_program()
         if self.rng.random() < 0.8:
-            await self._end()
+            await self._end_program()
 
     async def _create(self) -> Answer:
         budget = self.rng.choice(BUDGETS)
         request = CreateProgram(
             TENANT_ID, ClassName("appointment"), CallId(f"new-{self.name}"), budget
         )
-        return await self.workload.until(self.rng, request, "create", _is_view_or_final)
+        return await self.workload.send_until(self.rng, request, "create", _is_view_or_final)
 
     def _next_call(self) -> Call:
         self.number += 1
-        order = self.number if self.numbered else None
+        order = self.number if self.is_ordered else None
         call = CallId(f"c{self.number}")
         kind = self.rng.random()
         if kind < 0.05:
@@ -182,7 +187,7 @@
         return ModelCall(call, ModelName("base"), [message], None, order)
 
     async def _batch(self, calls: list[Call]) -> None:
-        """Make calls at the same time, in any order of submission."""
+        """Make calls concurrently, in random order of submission."""
         self.rng.shuffle(calls)
         rngs = [random.Random(self.rng.random()) for _ in calls]
         answers = await asyncio.gather(
@@ -193,39 +198,41 @@
                 await self._sub_program(ProgramId(answer.result["program"]))
 
     async def _call(self, call: Call, rng: random.Random) -> Answer:
-        """Make one call; sometimes it is sent twice at the same moment."""
-        doubled = rng.random() < 0.15
-        copies = [rng, random.Random(rng.random())] if doubled else [rng]
-        answers = await asyncio.gather(*(self._insist(call, copy) for copy in copies))
+        """Make one call, sometimes with two concurrent requests."""
+        is_duplicated = rng.random() < 0.15
+        rngs = [rng, random.Random(rng.random())] if is_duplicated else [rng]
+        answers = await asyncio.gather(
+            *(self._submit_until_final(call, copy_rng) for copy_rng in rngs)
+        )
         return answers[0]
 
-    async def _insist(self, call: Call, rng: random.Random) -> Answer:
+    async def _submit_until_final(self, call: Call, rng: random.Random) -> Answer:
         request = SubmitCall(TENANT_ID, self.program, call)
-        unknown = 0
+        unknown_outcomes = 0
 
-        def final(answer: Answer) -> bool:
-            nonlocal unknown
+        def is_final(answer: Answer) -> bool:
+            nonlocal unknown_outcomes
             if isinstance(answer, NoAnswer):
-                return self.over
+                return self.finished
             if not isinstance(answer, Failure):
                 return True
-            # The calls behind one that will never run wait in vain.
-            self.over = self.over or answer_ends(answer)
+            # Later calls in the order never run if an earlier one never does.
+            self.finished = self.finished or is_final_failure(answer)
             if answer.verdict is Verdict.NOT_RUN or _may_repeat(call):
-                return self.over
-            unknown += 1
-            is_settled = answer.verdict is Verdict.RAN or unknown >= REPEATS_OF_UNKNOWN
-            return is_settled or self.over
+                return self.finished
+            unknown_outcomes += 1
+            is_resolved = answer.verdict is Verdict.RAN or unknown_outcomes >= MAX_UNKNOWN_OUTCOMES
+            return is_resolved or self.finished
 
         stream = isinstance(call, ModelCall) and rng.random() < 0.5
-        what = f"{self.program} {call.call}"
-        answer = await self.workload.until(rng, request, what, final, stream)
+        description = f"{self.program} {call.call}"
+        answer = await self.workload.send_until(rng, request, description, is_final, stream)
         if stream and isinstance(answer, Done):
             await self._follow(call, answer, rng)
         return answer
 
     async def _follow(self, call: Call, done: Done, rng: random.Random) -> None:
-        """Ask for the answer again from the middle on."""
+        """Request the answer again from a random offset."""
         offset = rng.randrange(len(done.text) + 1)
         attempt = self.workload.caller.attempts.get((self.program, call.call), "unknown")
         request = FollowCall(TENANT_ID, self.program, call.call, offset, attempt)
@@ -233,7 +240,7 @@
         await self.workload.caller.send(entry, request, stream=True)
 
     async def _sub_program(self, child: ProgramId, depth: int = 1) -> None:
-        """Let a sub-agent make a call, and sometimes have a sub-agent of its own."""
+        """Make a call of a sub-agent, which sometimes starts another sub-agent."""
         self.workload.programs.append(child)
         call = ModelCall(
             CallId("s1"),
@@ -241,26 +248,26 @@
             [Message(MessageRole.USER, f"{self.name}/sub/{child[-6:]} tokens=10")],
         )
         request = SubmitCall(TENANT_ID, child, call)
-        await self.workload.until(self.rng, request, f"{child} s1", _is_settled)
-        if depth > DEEPEST or self.rng.random() < 0.3:
+        await self.workload.send_until(self.rng, request, f"{child} s1", _is_done_or_final)
+        if depth > MAX_DEPTH or self.rng.random() < 0.3:
             return
         request = SubmitCall(TENANT_ID, child, SubProgramCall(CallId("s2")))
-        answer = await self.workload.until(self.rng, request, f"{child} s2", _is_settled)
+        answer = await self.workload.send_until(self.rng, request, f"{child} s2", _is_done_or_final)
         if isinstance(answer, Done):
             await self._sub_program(ProgramId(answer.result["program"]), depth + 1)
 
-    async def _read(self) -> None:
+    async def _read_program(self) -> None:
         request = ReadProgram(TENANT_ID, self.program)
-        await self.workload.until(self.rng, request, f"read {self.program}", _is_view_or_final)
+        await self.workload.send_until(self.rng, request, f"read {self.program}", _is_view_or_final)
 
-    async def _end(self) -> None:
+    async def _end_program(self) -> None:
         request = EndProgram(TENANT_ID, self.program)
-        await self.workload.until(self.rng, request, f"end {self.program}", _is_view_or_final)
+        await self.workload.send_until(self.rng, request, f"end {self.program}", _is_view_or_final)
 
 
-def answer_ends(answer: Answer) -> bool:
-    """Return whether a failure is one that a repeat meets again."""
-    return isinstance(answer, Failure) and answer.code in FINAL
+def is_final_failure(answer: Answer) -> bool:
+    """Return whether a failure is final, so that a retry would return it again."""
+    return isinstance(answer, Failure) and answer.code in FINAL_CODES
 
 
 def _may_repeat(call: Call) -> bool:
@@ -268,11 +275,11 @@
 
 
 def _is_view_or_final(answer: Answer) -> bool:
-    return isinstance(answer, ProgramView) or answer_ends(answer)
+    return isinstance(answer, ProgramView) or is_final_failure(answer)
 
 
-def _is_settled(answer: Answer) -> bool:
-    return isinstance(answer, Done) or answer_ends(answer)
+def _is_done_or_final(answer: Answer) -> bool:
+    return isinstance(answer, Done) or is_final_failure(answer)
 
 
-__all__ = ["Workload", "answer_ends"]
+__all__ = ["Workload", "is_final_failure"]
