--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: the platform's daemons as separate processes, with faults from outside."""
+"""Randomized soak test of the platform's daemons as separate processes, with injected faults."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -10,11 +10,11 @@
 
 from tests.soak.kinds import FIRST_KINDS, LEDGER_KINDS, FaultKind
 from tests.soak.regressions import LATER_REGRESSIONS, LEDGER_REGRESSIONS, REGRESSIONS
-from tests.soak.run import QUIET_SIZE, Size, soak
+from tests.soak.run import FAULT_FREE_SIZE, Size, soak
 
-KEPT = Path("runs/soak")
+ARTIFACTS = Path("runs/soak")
 LEDGER_SIZE = Size(entries=4, programs=24, kinds=LEDGER_KINDS)
-"""Many programs, so that many turns are under way when the ledger does not decide."""
+"""Many programs, so that many turns are in progress while the ledger does not answer."""
 
 
 def main(
@@ -41,17 +41,17 @@
     flush_ms: Annotated[
         float, typer.Option(help="milliseconds that a flush takes in a quiet run")
     ] = 1000
-    * QUIET_SIZE.flush_s,
+    * FAULT_FREE_SIZE.flush_s,
     machine_disk: Annotated[
         bool, typer.Option(help="ledger processes flush to the machine's disk")
     ] = False,
 ) -> None:
-    """Run seeds one after the other; exit with 1 if a promise was broken.
+    """Run seeds one after the other; exit with 1 if a guarantee was violated.
 
-    The seeds that once failed run twice each, with and without restarts of processes that end by
+    The seeds of earlier failures run twice each, with and without restarts of processes that end by
     themselves.
     """
-    size = Size(seconds, entries, programs, swarms=swarms)
+    size = Size(seconds, entries, programs, sub_agents=swarms)
     if machine_disk:
         size = msgspec.structs.replace(size, flush_s=0.0)
     if accounts:
@@ -59,28 +59,28 @@
     if ledger:
         size = LEDGER_SIZE
     if quiet:
-        size = msgspec.structs.replace(QUIET_SIZE, flush_s=flush_ms / 1000)
+        size = msgspec.structs.replace(FAULT_FREE_SIZE, flush_s=flush_ms / 1000)
     runs = [(seed, size) for seed in range(first, first + count)]
     if regressions:
-        # On the machine's disk and without sub-agents, as it was when these seeds failed.
-        later_size = Size(seconds, entries, programs, swarms=0, flush_s=0.0)
+        # These seeds failed on the machine's disk and without sub-agents.
+        later_size = Size(seconds, entries, programs, sub_agents=0, flush_s=0.0)
         first_size = msgspec.structs.replace(later_size, spares=0, kinds=FIRST_KINDS)
-        ledger_size = msgspec.structs.replace(LEDGER_SIZE, swarms=0, flush_s=0.0)
+        ledger_size = msgspec.structs.replace(LEDGER_SIZE, sub_agents=0, flush_s=0.0)
         runs = [(seed, first_size) for seed in REGRESSIONS]
         runs += [(seed, later_size) for seed in LATER_REGRESSIONS]
         runs += [(seed, ledger_size) for seed in LEDGER_REGRESSIONS]
         runs += [(seed, msgspec.structs.replace(each, restarts=False)) for seed, each in runs]
     failed = 0
-    for seed, its_size in runs:
-        outcome = asyncio.run(soak(seed, its_size, KEPT))
-        failed += bool(outcome.broken)
-        how = "" if its_size.restarts else " without restarts"
+    for seed, run_size in runs:
+        outcome = asyncio.run(soak(seed, run_size, ARTIFACTS))
+        failed += bool(outcome.violations)
+        suffix = "" if run_size.restarts else " without restarts"
         print(
-            f"seed {seed}{how}: {outcome.requests} requests, {outcome.served} served, "
-            f"{outcome.faults} faults, {len(outcome.broken)} broken",
+            f"seed {seed}{suffix}: {outcome.requests} requests, {outcome.served} served, "
+            f"{outcome.faults} faults, {len(outcome.violations)} broken",
             flush=True,
         )
-        for line in outcome.broken[:10]:
+        for line in outcome.violations[:10]:
             print(f"  {line}", flush=True)
     print(f"{len(runs) - failed} passed, {failed} failed")
     sys.exit(1 if failed else 0)
--- a/tests/soak/account_checks.py
+++ b/tests/soak/account_checks.py
@@ -1,4 +1,4 @@
-"""What must hold of client accounts, checked on what callers sent and servers ran."""
+"""Checks of client accounts on the requests that callers sent and servers ran."""
 
 from bisect import bisect_right
 
@@ -8,61 +8,63 @@
 from waxwingglade.standins.registered_server import Run
 
 APPLY_S = 2.0
-"""Seconds after which a key that was added is known to entries that reach the store."""
+"""Seconds after which entries that reach the store accept a new key."""
 
 
 def check_accounts(attempts: list[Attempt], runs: list[Run], keys: dict[str, Key]) -> list[str]:
-    """Return what broke a promise about client accounts, one line each."""
-    known = {attempt.request: attempt for attempt in attempts}
-    broken = []
+    """Return the violations of guarantees about client accounts, one line each."""
+    attempts_by_request = {attempt.request: attempt for attempt in attempts}
+    violations = []
     for run in runs:
-        attempt = known.get(run.request)
+        attempt = attempts_by_request.get(run.request)
         if attempt is not None:
-            broken += _check_run(run, attempt, keys.get(attempt.key))
+            violations += _check_run(run, attempt, keys.get(attempt.key))
     for attempt in attempts:
         key = keys.get(attempt.key)
-        if attempt.status == 401 and key is not None and _is_good(key, attempt):
-            broken.append(f"{attempt.request}: 401 for a key of {key.account}")
-    return broken + _check_limits(known, runs)
+        if attempt.status == 401 and key is not None and _is_valid(key, attempt):
+            violations.append(f"{attempt.request}: 401 for a key of {key.account}")
+    return violations + _check_limits(attempts_by_request, runs)
 
 
-def _is_good(key: Key, attempt: Attempt) -> bool:
-    """Return whether every configuration that may be in force had a key all the time."""
+def _is_valid(key: Key, attempt: Attempt) -> bool:
+    """Return whether a key was valid during an attempt in every configuration in force."""
     return key.added_at + APPLY_S < attempt.sent_at and attempt.ended_at < key.revoked_at
 
 
 def _check_run(run: Run, attempt: Attempt, key: Key | None) -> list[str]:
     if key is None:
         return [f"{run.request} ran with a key that never was"]
-    broken = []
-    told = run.headers.get(ACCOUNT.lower())
-    if told != key.account:
-        broken.append(f"{run.request} of {key.account} ran for {told}")
+    violations = []
+    run_account = run.headers.get(ACCOUNT.lower())
+    if run_account != key.account:
+        violations.append(f"{run.request} of {key.account} ran for {run_account}")
     if any(key.text in value for value in run.headers.values()):
-        broken.append(f"{run.request}: the key was passed on")
+        violations.append(f"{run.request}: the key was passed on")
     if attempt.sent_at > key.revoked_at + REVOKE_S:
         late_s = attempt.sent_at - key.revoked_at
-        broken.append(f"{run.request} ran with a key that was taken away {late_s:.2f} s before")
-    return broken
+        violations.append(f"{run.request} ran with a key that was taken away {late_s:.2f} s before")
+    return violations
 
 
-def _check_limits(known: dict[str, Attempt], runs: list[Run]) -> list[str]:
-    """Return the windows in which more requests were both sent and run than an account may."""
-    broken = []
+def _check_limits(attempts_by_request: dict[str, Attempt], runs: list[Run]) -> list[str]:
+    """Return the accounts that sent and ran more requests in one window than allowed."""
+    violations = []
     for account, (rate_per_s, burst) in LIMITS.items():
-        ran: dict[str, tuple[float, float]] = {}
+        spans_by_request: dict[str, tuple[float, float]] = {}
         for run in runs:
-            attempt = known.get(run.request)
+            attempt = attempts_by_request.get(run.request)
             if attempt is not None and attempt.account == account:
-                ran.setdefault(run.request, (attempt.sent_at, run.began_at))
-        most = RULES.most(rate_per_s, burst)
-        if rate_per_s and (highest := _most_in_a_window(list(ran.values()))) > most:
-            broken.append(f"{account}: {highest} requests in {RULES.window_s} s, {most} allowed")
-    return broken
+                spans_by_request.setdefault(run.request, (attempt.sent_at, run.began_at))
+        allowed = RULES.most(rate_per_s, burst)
+        if rate_per_s and (highest := _max_in_window(list(spans_by_request.values()))) > allowed:
+            violations.append(
+                f"{account}: {highest} requests in {RULES.window_s} s, {allowed} allowed"
+            )
+    return violations
 
 
-def _most_in_a_window(spans: list[tuple[float, float]]) -> int:
-    """Return the most requests that lie in a window, from their sending to their arrival."""
+def _max_in_window(spans: list[tuple[float, float]]) -> int:
+    """Return the highest number of requests that were both sent and received in one window."""
     highest = 0
     for start, _ in spans:
         ends = sorted(end for begin, end in spans if begin >= start)
--- a/tests/soak/accounts.py
+++ b/tests/soak/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts of a soak: their keys and limits, and keys that are taken away."""
+"""Client accounts of a soak run: their keys, limits and revoked keys."""
 
 import itertools
 import random
@@ -9,15 +9,15 @@
 from waxwingglade.decisions.quota import QuotaRules
 
 REVOKE_S = 3.0
-"""Seconds after which a key that was taken away must be dead everywhere."""
+"""Seconds after which every entry must reject a revoked key."""
 
-OLD_KEYS = 0.3
-"""Share of requests that are sent with a key of an account that may have been taken away."""
+ANY_KEY_SHARE = 0.3
+"""Share of requests that are sent with any key of an account, including revoked ones."""
 
 RULES = QuotaRules(window_s=2.0, excess=0.1, slack=6.0)
 FREE, LIMITED = "free", "limited"
 LIMITS = {FREE: (0.0, 0.0), LIMITED: (6.0, 3.0)}
-"""Requests a second, and on top of them, of each account; 0 for no limit."""
+"""Requests per second and burst of each account; 0 for no limit."""
 
 BOUNDS = {
     "strict_revoke": True,
@@ -29,7 +29,7 @@
 
 
 class Key(msgspec.Struct):
-    """A key of an account, and when the store acknowledged that it is there and that it is not."""
+    """A key of an account, and the times at which it was added and revoked."""
 
     account: str
     text: str
@@ -42,15 +42,15 @@
 
     Attributes
     ----------
-    settled : bool
-        Whether callers have stopped to use keys that were taken away.
+    only_current : bool
+        Whether callers no longer use revoked keys.
     """
 
-    def __init__(self, draw: random.Random) -> None:
-        self.draw = draw
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self.numbers = itertools.count(1)
         self.keys: dict[str, Key] = {}
-        self.settled = False
+        self.only_current = False
         for account in LIMITS:
             self._add(account)
 
@@ -59,36 +59,36 @@
         self.keys[text] = Key(account, text, time.monotonic())
 
     def tenants(self) -> list[dict]:
-        """Return the accounts as the operator writes them."""
+        """Return the accounts in the format of the configuration."""
         return [
             {
                 "name": account,
-                "api_keys": [key.text for key in self.of(account)],
+                "api_keys": [key.text for key in self.current_keys(account)],
                 "rate_per_s": rate_per_s,
                 "burst": burst,
             }
             for account, (rate_per_s, burst) in LIMITS.items()
         ]
 
-    def of(self, account: str) -> list[Key]:
-        """Return the keys that an account has now."""
+    def current_keys(self, account: str) -> list[Key]:
+        """Return the current keys of an account."""
         keys = [key for key in self.keys.values() if key.account == account]
         return [key for key in keys if key.revoked_at == float("inf")]
 
     def replace_key(self) -> Key:
-        """Take the oldest key of some account away and give it another; return the old one."""
-        account = self.draw.choice(list(LIMITS))
-        old = self.of(account)[0]
+        """Revoke the oldest key of a random account and add a new one; return the old key."""
+        account = self.rng.choice(list(LIMITS))
+        old = self.current_keys(account)[0]
         self._add(account)
-        # Noted before the store is written to, so that the new configuration lacks it.
+        # Recorded before the new configuration, which lacks the key, is written to the store.
         old.revoked_at = time.monotonic()
         return old
 
     def draw_key(self, account: str) -> str:
-        """Return a key of an account; at times one that was taken away, until `settled`."""
+        """Return a key of an account, at times a revoked one unless `only_current`."""
         keys = [key for key in self.keys.values() if key.account == account]
-        old = not self.settled and self.draw.random() < OLD_KEYS
-        return (self.draw.choice(keys) if old else self.of(account)[-1]).text
+        use_any_key = not self.only_current and self.rng.random() < ANY_KEY_SHARE
+        return (self.rng.choice(keys) if use_any_key else self.current_keys(account)[-1]).text
 
 
 __all__ = ["BOUNDS", "FREE", "LIMITED", "LIMITS", "REVOKE_S", "RULES", "Accounts", "Key"]
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The daemons of the platform behind relays, so that each of their connections can be harmed."""
+"""The daemons of the platform behind relays, which can disrupt each of their connections."""
 
 import asyncio
 import json
@@ -15,35 +15,35 @@
 from waxwingglade.standins.registered_server import RegisteredServer
 
 CALLERS = 200
-"""Number of the callers among the ends of relays; nodes are numbered from 0."""
+"""Relay number of the callers; nodes are numbered from 0."""
 
 SERVERS = 300
-"""Number of the first server; each has one of its own."""
+"""Relay number of the first server; servers are numbered consecutively."""
 
 MEMBERS = 3
-"""Members of the ledger; further ledger processes stand by."""
+"""Members of the ledger; further ledger processes are spares."""
 
 SLOW_DISK = Path(__file__).with_name("slow_disk.py")
 
 
 class SoakServer(RegisteredServer):
-    """A server that also notes the requests that it ran to their end, and when."""
+    """A server that also records which requests it completed, and when."""
 
     def __init__(
         self, store: MetadataStore, service: str, events: int = 0, event_s: float = 0.005
     ) -> None:
         super().__init__(store, service, events, event_s)
-        self.ended: dict[str, float] = {}
+        self.completed_at: dict[str, float] = {}
 
     async def _run(self, writer: asyncio.StreamWriter, request: str, body: bytes) -> bool:
-        whole = await super()._run(writer, request, body)
-        if whole:
-            self.ended[request] = time.monotonic()
-        return whole
+        completed = await super()._run(writer, request, body)
+        if completed:
+            self.completed_at[request] = time.monotonic()
+        return completed
 
 
 class LedgerProcess(Node):
-    """A ledger process whose flushes take `flush_s` seconds; 0 for those of the machine's disk."""
+    """A ledger process whose flushes take `flush_s` seconds; 0 to flush to the machine's disk."""
 
     flush_s = 0.0
 
@@ -61,18 +61,18 @@
     Parameters
     ----------
     entries : int
-        Entries.
+        Number of entries.
     spares : int
-        Ledger processes beside the three members, one in each zone.
+        Number of ledger processes beside the three members, one in each zone.
     flush_s : float
-        Seconds that a flush of a ledger process takes; 0 for the machine's own disk.
+        Duration in seconds of a flush of a ledger process; 0 to use the machine's disk.
     accounts : Accounts or None
-        Client accounts whose keys callers need.
+        Client accounts, whose keys callers need; None if callers need no keys.
 
     Attributes
     ----------
-    retired : list of SoakServer
-        Servers that were drained, with what they ran.
+    drained_servers : list of SoakServer
+        Servers that were drained, with their runs.
     """
 
     server_type = SoakServer
@@ -88,29 +88,29 @@
         if accounts is not None:
             self.bounds = BOUNDS
             self.tenants = accounts.tenants()
-            self.key = accounts.of(FREE)[0].text
+            self.key = accounts.current_keys(FREE)[0].text
         self.relays = Relays(dict)
         self.store_ports: dict[str, int] = {}
-        self.wanted_entries = entries
-        self.wanted_ledgers = MEMBERS + spares
+        self.entry_count = entries
+        self.ledger_count = MEMBERS + spares
         self.flush_s = flush_s
         self.server_numbers: dict[str, int] = {}
-        self.retired: list[SoakServer] = []
+        self.drained_servers: list[SoakServer] = []
 
     async def open(self) -> None:
-        """Start everything, the relays first: the settings name their ports."""
+        """Start everything, beginning with the relays, whose ports the settings contain."""
         super().__init__(entries=0, ledgers=0)
         store_port = int(self.store.address.rpartition(":")[2])
-        names = [f"front-{number}" for number in range(self.wanted_entries)]
-        names += [f"storage-{number}" for number in range(self.wanted_ledgers)]
+        names = [f"front-{number}" for number in range(self.entry_count)]
+        names += [f"storage-{number}" for number in range(self.ledger_count)]
         for number, name in enumerate(names):
             self.store_ports[name] = await self.relays.add(STORE, store_port, source=number)
-        self.entries = [Node(self, "front", number) for number in range(self.wanted_entries)]
+        self.entries = [Node(self, "front", number) for number in range(self.entry_count)]
         self.ledgers = [
-            LedgerProcess(self, "storage", number) for number in range(self.wanted_ledgers)
+            LedgerProcess(self, "storage", number) for number in range(self.ledger_count)
         ]
         for server in [*self.engines, *self.notes]:
-            await self.admit(server)
+            await self.add_server(server)
         for node in self.ledgers:
             node.flush_s = self.flush_s
         for node in [*self.ledgers[:MEMBERS], *self.entries]:
@@ -125,13 +125,13 @@
             )
 
     async def shut(self) -> None:
-        """End everything."""
+        """Stop everything."""
         for node in self.nodes():
             if node.process is not None and node.process.poll() is None:
                 node.signal(signal.SIGCONT)
         await self.relays.close()
         await self.stop()
-        for server in self.retired:
+        for server in self.drained_servers:
             await server.stop()
 
     def nodes(self) -> list[Node]:
@@ -139,11 +139,11 @@
         return [*self.entries, *self.ledgers]
 
     def number_of(self, node: Node) -> int:
-        """Return a process's number among the ends of relays."""
+        """Return the relay number of a process."""
         return self.nodes().index(node)
 
-    def is_whole(self) -> bool:
-        """Return whether the ledger's set is settled, with three members on present disks."""
+    def has_all_members(self) -> bool:
+        """Return whether the ledger has its three members, all of them with their current disks."""
         value = self.store.value(REPLICAS_KEY) or b"{}"
         disks = {member[1]: member[0] for member in json.loads(value).get("members", [])}
         return len(self.members()) == MEMBERS and all(
@@ -151,10 +151,10 @@
         )
 
     def store_address(self, node: str) -> str:
-        """Return the relay through which a process reaches the store."""
+        """Return the address of the relay through which a process reaches the store."""
         return f"{ADDRESS}:{self.store_ports[node]}"
 
-    async def admit(self, server: RegisteredServer) -> None:
+    async def add_server(self, server: RegisteredServer) -> None:
         """Start a server behind a relay of its own, and register it."""
         await server.listen()
         number = SERVERS + len(self.server_numbers)
@@ -164,17 +164,17 @@
         server.advertised = f"{ADDRESS}:{relay}"
         server.register("ready")
 
-    async def replace(self, draw: random.Random) -> SoakServer:
-        """Admit a new server in the place of another, which drains; return the one that drains."""
-        pool = draw.choice([self.engines, self.notes])
-        leaving = pool.pop(draw.randrange(len(pool)))
-        coming = SoakServer(self.store, leaving.service, leaving.events, leaving.event_s)
-        await self.admit(coming)
-        pool.append(coming)
+    async def replace_server(self, rng: random.Random) -> SoakServer:
+        """Replace a random server by a new one; return the old server, which drains."""
+        servers = rng.choice([self.engines, self.notes])
+        leaving = servers.pop(rng.randrange(len(servers)))
+        added = SoakServer(self.store, leaving.service, leaving.events, leaving.event_s)
+        await self.add_server(added)
+        servers.append(added)
         leaving.register("draining")
-        self.retired.append(leaving)
+        self.drained_servers.append(leaving)
         return leaving
 
     def all_servers(self) -> list[SoakServer]:
-        """Return every server there ever was."""
-        return [*self.engines, *self.notes, *self.retired]
+        """Return all servers, including drained ones."""
+        return [*self.engines, *self.notes, *self.drained_servers]
--- a/tests/soak/disks.py
+++ b/tests/soak/disks.py
@@ -1,24 +1,24 @@
-"""What faults do to the disk of a ledger process."""
+"""Faults of the disk of a ledger process."""
 
 import random
 from pathlib import Path
 
-TORN_BYTES = 37
-"""Bytes of nonsense behind a journal's end, as a write that power cut short leaves them."""
+MAX_INCOMPLETE_BYTES = 37
+"""Most random bytes after a journal's end, like those of a write that a power loss interrupts."""
 
 
 def wipe(folder: Path) -> None:
-    """Leave an empty disk."""
+    """Delete everything on a disk."""
     for path in folder.iterdir():
         path.unlink()
 
 
-def tear(folder: Path, draw: random.Random) -> None:
-    """Leave the beginning of a write behind the newest segment's end."""
+def append_incomplete_write(folder: Path, rng: random.Random) -> None:
+    """Append an incomplete write to the newest segment."""
     segments = sorted(path for path in folder.iterdir() if path.name != "identity")
     if segments:
         with segments[-1].open("ab") as segment:
-            segment.write(draw.randbytes(draw.randint(1, TORN_BYTES)))
+            segment.write(rng.randbytes(rng.randint(1, MAX_INCOMPLETE_BYTES)))
 
 
-__all__ = ["tear", "wipe"]
+__all__ = ["append_incomplete_write", "wipe"]
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: each begins, lasts and ends, in series that overlap."""
+"""Injects the faults of a soak run, which may overlap."""
 
 import asyncio
 import random
@@ -9,63 +9,63 @@
 from tests.platform_cluster import GRACE_S, HOST, Node, configuration
 from tests.prove.relay import STORE, LinkFault
 from tests.soak.cluster import CALLERS, SoakCluster
-from tests.soak.disks import tear, wipe
-from tests.soak.kinds import EVERYWHERE, FaultKind, Happening
+from tests.soak.disks import append_incomplete_write, wipe
+from tests.soak.kinds import EVERYWHERE, FaultKind, FaultOccurrence
 from waxwingglade.platform.registry import RETIRE_PREFIX
 from waxwingglade.standins.metadata_store import StoreFault
 from waxwingglade.standins.registered_server import ServerFault
 
-SETTLE_S = 20.0
-"""Seconds within which the ledger has three settled members again after one was harmed."""
+MEMBERSHIP_TIMEOUT_S = 20.0
+"""Seconds within which the ledger has its three members again after a fault."""
 
-NOTICED_S = 3.0
-"""Seconds for which silent connections count as a fault; they are noticed sooner."""
+BLACKHOLE_S = 3.0
+"""Seconds for which blackholed connections count as a fault; they are detected sooner."""
 
-START_LOOK_S = 0.1
-"""Seconds between looks at whether a process has started."""
+START_POLL_S = 0.1
+"""Seconds between checks whether a process has started."""
 
-MOMENT_S = 0.06
-"""Longest moment that a process stands still, or runs in between: some ten rounds of messages."""
+MAX_STALL_S = 0.06
+"""Longest time in seconds of a stall, or between stalls: about ten rounds of messages."""
 
 
 class Faults:
-    """Draws faults and lets them happen.
+    """Injects random faults.
 
     Attributes
     ----------
-    happened : list of Happening
-        What was done so far.
-    broken : list of str
-        Promises that were broken in the course of it.
+    occurrences : list of FaultOccurrence
+        Faults so far.
+    violations : list of str
+        Violations of guarantees that were seen during the faults.
     versions : dict
         Version of each route that was added, by its path.
-    drained : dict
-        When each server said that it drains.
+    drained_at : dict
+        When each server began to drain.
     """
 
     def __init__(
-        self, cluster: SoakCluster, draw: random.Random, kinds: Sequence[FaultKind]
+        self, cluster: SoakCluster, rng: random.Random, kinds: Sequence[FaultKind]
     ) -> None:
         self.cluster = cluster
-        self.draw = draw
+        self.rng = rng
         self.kinds = kinds
-        self.happened: list[Happening] = []
-        self.broken: list[str] = []
+        self.occurrences: list[FaultOccurrence] = []
+        self.violations: list[str] = []
         self.version = 3
         self.routes: list[dict] = []
-        self.drained: dict[str, float] = {}
+        self.drained_at: dict[str, float] = {}
         self.ledger_lock = asyncio.Lock()
         self.node_locks: dict[str, asyncio.Lock] = {}
-        self.starting: set[asyncio.Task] = set()
+        self.start_tasks: set[asyncio.Task] = set()
         self.actions: dict[FaultKind, Callable[[float], Awaitable[None]]] = {
             FaultKind.KILL_ENTRY: self._kill_entry,
             FaultKind.PAUSE_ENTRY: self._pause_entry,
             FaultKind.STOP_ENTRY: self._stop_entry,
-            FaultKind.HUP: self._hup,
-            FaultKind.KILL_LEDGER: lambda _: self._harm_ledger(FaultKind.KILL_LEDGER),
-            FaultKind.TEAR_JOURNAL: lambda _: self._harm_ledger(FaultKind.TEAR_JOURNAL),
-            FaultKind.WIPE_LEDGER: lambda _: self._harm_ledger(FaultKind.WIPE_LEDGER),
-            FaultKind.STOP_LEDGER: lambda _: self._harm_ledger(FaultKind.STOP_LEDGER),
+            FaultKind.HUP: self._send_sighup,
+            FaultKind.KILL_LEDGER: lambda _: self._fail_ledger(FaultKind.KILL_LEDGER),
+            FaultKind.TEAR_JOURNAL: lambda _: self._fail_ledger(FaultKind.TEAR_JOURNAL),
+            FaultKind.WIPE_LEDGER: lambda _: self._fail_ledger(FaultKind.WIPE_LEDGER),
+            FaultKind.STOP_LEDGER: lambda _: self._fail_ledger(FaultKind.STOP_LEDGER),
             FaultKind.PAUSE_LEDGER: self._pause_ledger,
             FaultKind.KILL_ALL: self._kill_all,
             FaultKind.STORE_BUSY: lambda s: self._store(FaultKind.STORE_BUSY, StoreFault.BUSY, s),
@@ -82,17 +82,17 @@
             FaultKind.SERVER_FAULT: self._server_fault,
             FaultKind.SERVER_LEAVES: self._server_leaves,
             FaultKind.CONFIGURE: self._configure,
-            FaultKind.SILENT_LINKS: self._silence,
+            FaultKind.SILENT_LINKS: self._blackhole,
             FaultKind.WIPE_SERIES: self._wipe_series,
-            FaultKind.EMPTY_LEDGER: self._empty_ledger,
-            FaultKind.FALTER_LEDGERS: self._falter_ledgers,
+            FaultKind.EMPTY_LEDGER: self._retire_ledger,
+            FaultKind.FALTER_LEDGERS: self._stall_ledgers,
             FaultKind.REVOKE: self._revoke,
         }
 
     async def run(self, seconds: float) -> None:
-        """Let faults begin for some seconds, then wait until all have ended.
+        """Begin faults for some seconds, then wait until all have ended.
 
-        Where there are no kinds to draw from, nothing happens in these seconds.
+        Without any kinds of faults, only wait for these seconds.
         """
         if not self.kinds:
             await asyncio.sleep(seconds)
@@ -100,37 +100,37 @@
         end_at = time.monotonic() + seconds
         tasks = []
         while time.monotonic() < end_at:
-            action = self.actions[self.draw.choice(self.kinds)]
-            tasks.append(asyncio.create_task(action(self.draw.uniform(0.3, 3.0))))
-            await asyncio.sleep(self.draw.expovariate(1.2))
+            action = self.actions[self.rng.choice(self.kinds)]
+            tasks.append(asyncio.create_task(action(self.rng.uniform(0.3, 3.0))))
+            await asyncio.sleep(self.rng.expovariate(1.2))
         await asyncio.gather(*tasks)
 
     def stop(self) -> None:
-        """Stop to watch processes that have not started."""
-        for task in self.starting.copy():
+        """Stop waiting for processes that have not started."""
+        for task in self.start_tasks.copy():
             task.cancel()
 
-    def _begin(self, kind: FaultKind, *where: str) -> Happening:
-        happening = Happening(kind, " ".join(where), time.monotonic())
-        self.happened.append(happening)
-        return happening
+    def _begin(self, kind: FaultKind, *where: str) -> FaultOccurrence:
+        occurrence = FaultOccurrence(kind, " ".join(where), time.monotonic())
+        self.occurrences.append(occurrence)
+        return occurrence
 
-    def _end(self, happening: Happening) -> None:
-        happening.ended_at = time.monotonic()
+    def _end(self, occurrence: FaultOccurrence) -> None:
+        occurrence.ended_at = time.monotonic()
 
-    def _start(self, happening: Happening, *nodes: Node) -> None:
-        """Start processes again, and note when all of them have started."""
+    def _start(self, occurrence: FaultOccurrence, *nodes: Node) -> None:
+        """Restart processes, and record when all of them have started."""
         for node in nodes:
             node.start()
-        happening.started_at = float("inf")
-        task = asyncio.create_task(self._note_start(happening, nodes))
-        self.starting.add(task)
-        task.add_done_callback(self.starting.discard)
+        occurrence.started_at = float("inf")
+        task = asyncio.create_task(self._record_start(occurrence, nodes))
+        self.start_tasks.add(task)
+        task.add_done_callback(self.start_tasks.discard)
 
-    async def _note_start(self, happening: Happening, nodes: Sequence[Node]) -> None:
+    async def _record_start(self, occurrence: FaultOccurrence, nodes: Sequence[Node]) -> None:
         while not all(node.has_started for node in nodes):
-            await asyncio.sleep(START_LOOK_S)
-        happening.started_at = time.monotonic()
+            await asyncio.sleep(START_POLL_S)
+        occurrence.started_at = time.monotonic()
 
     def _lock(self, node: Node) -> asyncio.Lock:
         return self.node_locks.setdefault(node.name, asyncio.Lock())
@@ -138,33 +138,33 @@
     # Entries
 
     async def _kill_entry(self, lasts_s: float) -> None:
-        entry = self.draw.choice(self.cluster.entries)
+        entry = self.rng.choice(self.cluster.entries)
         async with self._lock(entry):
-            happening = self._begin(FaultKind.KILL_ENTRY, entry.name)
+            occurrence = self._begin(FaultKind.KILL_ENTRY, entry.name)
             entry.kill()
             await asyncio.sleep(lasts_s / 3)
-            self._start(happening, entry)
-            self._end(happening)
+            self._start(occurrence, entry)
+            self._end(occurrence)
 
     async def _pause_entry(self, lasts_s: float) -> None:
-        entry = self.draw.choice(self.cluster.entries)
+        entry = self.rng.choice(self.cluster.entries)
         async with self._lock(entry):
-            happening = self._begin(FaultKind.PAUSE_ENTRY, entry.name)
+            occurrence = self._begin(FaultKind.PAUSE_ENTRY, entry.name)
             entry.signal(signal.SIGSTOP)
             await asyncio.sleep(lasts_s)
             entry.signal(signal.SIGCONT)
-            self._end(happening)
+            self._end(occurrence)
 
     async def _stop_entry(self, _lasts_s: float) -> None:
-        entry = self.draw.choice(self.cluster.entries)
+        entry = self.rng.choice(self.cluster.entries)
         async with self._lock(entry):
-            happening = self._begin(FaultKind.STOP_ENTRY, entry.name)
+            occurrence = self._begin(FaultKind.STOP_ENTRY, entry.name)
             await self._stop(entry)
-            self._end(happening)
-            self._start(happening, entry)
+            self._end(occurrence)
+            self._start(occurrence, entry)
 
     async def _stop(self, node: Node) -> None:
-        """Tell a process to stop, and see that it ends by itself within its grace."""
+        """Send a process SIGTERM, and check that it exits within its grace period."""
         await self.cluster.until(lambda: node.has_started)
         node.signal(signal.SIGTERM)
         assert node.process is not None
@@ -173,24 +173,24 @@
                 while node.process.poll() is None:
                     await asyncio.sleep(0.05)
         except TimeoutError:
-            self.broken.append(f"{node.name} did not stop within its grace")
+            self.violations.append(f"{node.name} did not stop within its grace")
             node.kill()
             return
         if node.process.returncode != 0:
-            self.broken.append(f"{node.name} stopped with status {node.process.returncode}")
+            self.violations.append(f"{node.name} stopped with status {node.process.returncode}")
 
-    async def _hup(self, _lasts_s: float) -> None:
-        node = self.draw.choice(self.cluster.nodes())
+    async def _send_sighup(self, _lasts_s: float) -> None:
+        node = self.rng.choice(self.cluster.nodes())
         async with self._lock(node):
             self._end(self._begin(FaultKind.HUP, node.name))
             node.signal(signal.SIGHUP)
 
-    # Ledger processes, one at a time: more are not to be borne
+    # Ledger processes, one at a time: the ledger does not tolerate more failures
 
-    async def _harm_ledger(self, kind: FaultKind) -> None:
-        node = self.draw.choice(self.cluster.ledgers)
+    async def _fail_ledger(self, kind: FaultKind) -> None:
+        node = self.rng.choice(self.cluster.ledgers)
         async with self.ledger_lock, self._lock(node):
-            happening = self._begin(kind, node.name)
+            occurrence = self._begin(kind, node.name)
             if kind is FaultKind.STOP_LEDGER:
                 await self._stop(node)
             else:
@@ -198,61 +198,61 @@
             if kind is FaultKind.WIPE_LEDGER:
                 wipe(node.folder / "data")
             if kind is FaultKind.TEAR_JOURNAL:
-                tear(node.folder / "data", self.draw)
-            self._start(happening, node)
-            await self._until_settled()
-            self._end(happening)
+                append_incomplete_write(node.folder / "data", self.rng)
+            self._start(occurrence, node)
+            await self._until_all_members()
+            self._end(occurrence)
 
     async def _wipe_series(self, _lasts_s: float) -> None:
-        """Wipe one disk after the other, each as soon as the set is whole without the last one."""
+        """Wipe one disk after the other, each as soon as the ledger has all members again."""
         async with self.ledger_lock:
-            for node in self.draw.sample(self.cluster.ledgers, len(self.cluster.ledgers)):
+            for node in self.rng.sample(self.cluster.ledgers, len(self.cluster.ledgers)):
                 async with self._lock(node):
-                    happening = self._begin(FaultKind.WIPE_SERIES, node.name)
+                    occurrence = self._begin(FaultKind.WIPE_SERIES, node.name)
                     node.kill()
                     wipe(node.folder / "data")
-                    self._start(happening, node)
-                    await self._until_settled()
-                    self._end(happening)
+                    self._start(occurrence, node)
+                    await self._until_all_members()
+                    self._end(occurrence)
 
-    async def _empty_ledger(self, _lasts_s: float) -> None:
-        """Have a member emptied; once it is, it may stand by again."""
+    async def _retire_ledger(self, _lasts_s: float) -> None:
+        """Retire a member until it is removed; it may become a spare again afterwards."""
         async with self.ledger_lock:
-            leaving = self.draw.choice(sorted(self.cluster.members()) or ["nobody"])
-            happening = self._begin(FaultKind.EMPTY_LEDGER, leaving)
+            leaving = self.rng.choice(sorted(self.cluster.members()) or ["nobody"])
+            occurrence = self._begin(FaultKind.EMPTY_LEDGER, leaving)
             self.cluster.store.put(f"{RETIRE_PREFIX}{leaving}", {})
             await self._until(lambda: leaving not in self.cluster.members())
             self.cluster.store.remove(f"{RETIRE_PREFIX}{leaving}")
-            await self._until_settled()
-            self._end(happening)
+            await self._until_all_members()
+            self._end(occurrence)
 
-    async def _falter_ledgers(self, lasts_s: float) -> None:
-        """Let each learn of changes, and answer, a little before or after the others."""
-        happening = self._begin(FaultKind.FALTER_LEDGERS, EVERYWHERE)
-        await asyncio.gather(*(self._falter(node, lasts_s) for node in self.cluster.ledgers))
-        self._end(happening)
+    async def _stall_ledgers(self, lasts_s: float) -> None:
+        """Stall ledger processes briefly, each at its own random times."""
+        occurrence = self._begin(FaultKind.FALTER_LEDGERS, EVERYWHERE)
+        await asyncio.gather(*(self._stall(node, lasts_s) for node in self.cluster.ledgers))
+        self._end(occurrence)
 
-    async def _falter(self, node: Node, lasts_s: float) -> None:
+    async def _stall(self, node: Node, lasts_s: float) -> None:
         end_at = time.monotonic() + lasts_s
         while time.monotonic() < end_at:
-            await asyncio.sleep(self.draw.random() * MOMENT_S)
+            await asyncio.sleep(self.rng.random() * MAX_STALL_S)
             if self._lock(node).locked():
-                # It is killed, paused or stopped at present, as another fault has it.
+                # Another fault has killed, paused or stopped this process.
                 continue
             async with self._lock(node):
                 node.signal(signal.SIGSTOP)
-                await asyncio.sleep(self.draw.random() * MOMENT_S)
+                await asyncio.sleep(self.rng.random() * MAX_STALL_S)
                 node.signal(signal.SIGCONT)
 
     async def _pause_ledger(self, lasts_s: float) -> None:
-        node = self.draw.choice(self.cluster.ledgers)
+        node = self.rng.choice(self.cluster.ledgers)
         async with self.ledger_lock, self._lock(node):
-            happening = self._begin(FaultKind.PAUSE_LEDGER, node.name)
+            occurrence = self._begin(FaultKind.PAUSE_LEDGER, node.name)
             node.signal(signal.SIGSTOP)
             await asyncio.sleep(lasts_s)
             node.signal(signal.SIGCONT)
-            await self._until_settled()
-            self._end(happening)
+            await self._until_all_members()
+            self._end(occurrence)
 
     async def _kill_all(self, lasts_s: float) -> None:
         async with self.ledger_lock:
@@ -260,36 +260,36 @@
             locks = [self._lock(node) for node in nodes]
             for lock in locks:
                 await lock.acquire()
-            happening = self._begin(FaultKind.KILL_ALL, EVERYWHERE)
+            occurrence = self._begin(FaultKind.KILL_ALL, EVERYWHERE)
             for node in nodes:
                 node.kill()
             await asyncio.sleep(lasts_s / 3)
-            self._start(happening, *nodes)
+            self._start(occurrence, *nodes)
             for lock in locks:
                 lock.release()
-            await self._until_settled()
-            self._end(happening)
+            await self._until_all_members()
+            self._end(occurrence)
 
-    async def _until_settled(self) -> None:
-        """Wait until the ledger has its three members, a harmed one with the disk it has now."""
-        await self._until(self.cluster.is_whole)
+    async def _until_all_members(self) -> None:
+        """Wait until the ledger has its three members with their current disks."""
+        await self._until(self.cluster.has_all_members)
 
     async def _until(self, condition: Callable[[], bool]) -> None:
         try:
-            async with asyncio.timeout(SETTLE_S):
+            async with asyncio.timeout(MEMBERSHIP_TIMEOUT_S):
                 while not condition():
                     await asyncio.sleep(0.1)
         except TimeoutError:
-            self.broken.append(f"the ledger's members are {self.cluster.members()}")
+            self.violations.append(f"the ledger's members are {self.cluster.members()}")
 
     # The store
 
     async def _store(self, kind: FaultKind, fault: StoreFault, lasts_s: float) -> None:
-        happening = self._begin(kind, "store")
+        occurrence = self._begin(kind, "store")
         self.cluster.store.fault = fault
         await asyncio.sleep(lasts_s)
         self.cluster.store.fault = StoreFault.NONE
-        self._end(happening)
+        self._end(occurrence)
 
     async def _compact(self, _lasts_s: float) -> None:
         self._end(self._begin(FaultKind.STORE_COMPACT, "store"))
@@ -298,70 +298,70 @@
     # Connections
 
     async def _store_link(self, lasts_s: float) -> None:
-        nodes = self.draw.sample(self.cluster.nodes(), 2)
-        happening = self._begin(FaultKind.STORE_LINK, *(node.name for node in nodes))
+        nodes = self.rng.sample(self.cluster.nodes(), 2)
+        occurrence = self._begin(FaultKind.STORE_LINK, *(node.name for node in nodes))
         for node in nodes:
-            self._cut(self.cluster.number_of(node), STORE)
+            self._disrupt(self.cluster.number_of(node), STORE)
         await asyncio.sleep(lasts_s)
         for node in nodes:
             self.cluster.relays.heal(self.cluster.number_of(node))
-        self._end(happening)
+        self._end(occurrence)
 
     async def _caller_link(self, lasts_s: float) -> None:
-        entry = self.draw.choice(self.cluster.entries)
-        await self._harm_link(
+        entry = self.rng.choice(self.cluster.entries)
+        await self._disrupt_link(
             FaultKind.CALLER_LINK, entry.name, self.cluster.number_of(entry), lasts_s
         )
 
     async def _server_link(self, lasts_s: float) -> None:
-        server = self.draw.choice([*self.cluster.engines, *self.cluster.notes])
+        server = self.rng.choice([*self.cluster.engines, *self.cluster.notes])
         number = self.cluster.server_numbers[server.name]
-        await self._harm_link(FaultKind.SERVER_LINK, server.name, number, lasts_s)
+        await self._disrupt_link(FaultKind.SERVER_LINK, server.name, number, lasts_s)
 
-    async def _harm_link(self, kind: FaultKind, where: str, number: int, lasts_s: float) -> None:
-        happening = self._begin(kind, where)
-        self._cut(CALLERS, number)
+    async def _disrupt_link(self, kind: FaultKind, where: str, number: int, lasts_s: float) -> None:
+        occurrence = self._begin(kind, where)
+        self._disrupt(CALLERS, number)
         await asyncio.sleep(lasts_s)
         self.cluster.relays.heal(number)
-        self._end(happening)
+        self._end(occurrence)
 
-    async def _silence(self, _lasts_s: float) -> None:
-        """Let the open connections of one process, or all of those to the store, fall silent."""
-        nodes = self.draw.choice([self.cluster.nodes(), [self.draw.choice(self.cluster.nodes())]])
+    async def _blackhole(self, _lasts_s: float) -> None:
+        """Blackhole the open connections of one process, or all open connections to the store."""
+        nodes = self.rng.choice([self.cluster.nodes(), [self.rng.choice(self.cluster.nodes())]])
         where = nodes[0].name if len(nodes) == 1 else EVERYWHERE
-        happening = self._begin(FaultKind.SILENT_LINKS, where)
+        occurrence = self._begin(FaultKind.SILENT_LINKS, where)
         for node in nodes:
             self.cluster.relays.blackhole(self.cluster.number_of(node), STORE)
         if len(nodes) == 1:
             self.cluster.relays.blackhole(CALLERS, self.cluster.number_of(nodes[0]))
-        await asyncio.sleep(NOTICED_S)
-        self._end(happening)
+        await asyncio.sleep(BLACKHOLE_S)
+        self._end(occurrence)
 
-    def _cut(self, source: int, target: int) -> None:
-        """Harm the connections between two ends, in one or both directions."""
-        fault = self.draw.choice(list(LinkFault))
-        ways = [(source, target), (target, source)]
-        for way in self.draw.choice([ways, ways[:1], ways[1:]]):
-            self.cluster.relays.disrupt(*way, fault)
+    def _disrupt(self, source: int, target: int) -> None:
+        """Disrupt the connections between two relay numbers, in one or both directions."""
+        fault = self.rng.choice(list(LinkFault))
+        directions = [(source, target), (target, source)]
+        for direction in self.rng.choice([directions, directions[:1], directions[1:]]):
+            self.cluster.relays.disrupt(*direction, fault)
 
     # Servers and configuration
 
     async def _server_fault(self, lasts_s: float) -> None:
-        server = self.draw.choice([*self.cluster.engines, *self.cluster.notes])
-        happening = self._begin(FaultKind.SERVER_FAULT, server.name)
-        server.fault = self.draw.choice(list(ServerFault))
+        server = self.rng.choice([*self.cluster.engines, *self.cluster.notes])
+        occurrence = self._begin(FaultKind.SERVER_FAULT, server.name)
+        server.fault = self.rng.choice(list(ServerFault))
         await asyncio.sleep(lasts_s)
         server.fault = ServerFault.NONE
-        self._end(happening)
+        self._end(occurrence)
 
     async def _server_leaves(self, _lasts_s: float) -> None:
         self._end(self._begin(FaultKind.SERVER_LEAVES, "store"))
-        leaving = await self.cluster.replace(self.draw)
-        self.drained[leaving.name] = time.monotonic()
+        leaving = await self.cluster.replace_server(self.rng)
+        self.drained_at[leaving.name] = time.monotonic()
 
     async def _configure(self, _lasts_s: float) -> None:
         self._end(self._begin(FaultKind.CONFIGURE, "store"))
-        self.version += self.draw.randint(1, 5)
+        self.version += self.rng.randint(1, 5)
         path = f"/new{self.version}/"
         route = {"name": path, "host": HOST, "path_prefix": path, "kind": "safe"}
         self.routes.append({**route, "service": "notes", "max_attempts": 2})
@@ -371,7 +371,7 @@
         accounts = self.cluster.accounts
         assert accounts is not None
         self._end(self._begin(FaultKind.REVOKE, "store"))
-        self.version += self.draw.randint(1, 5)
+        self.version += self.rng.randint(1, 5)
         accounts.replace_key()
         self._write_configuration()
 
--- a/tests/soak/kinds.py
+++ b/tests/soak/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of faults of a soak, and when each happened."""
+"""Kinds of faults in soak runs, and their occurrences."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class FaultKind(Enum):
-    """What happens to the system or its surroundings."""
+    """Kinds of faults of the system or its environment."""
 
     KILL_ENTRY = "an entry is killed"
     PAUSE_ENTRY = "an entry stands still"
@@ -38,10 +38,10 @@
 EVERYWHERE = "everywhere"
 
 FIRST_KINDS = tuple(FaultKind)[:20]
-"""The kinds there were when the first seeds failed; with others a seed is another run."""
+"""Kinds that existed when the first seeds failed; other kinds change the run of a seed."""
 
 USUAL_KINDS = tuple(kind for kind in FaultKind if kind is not FaultKind.REVOKE)
-"""All that may happen where callers need no keys."""
+"""All kinds that are possible if callers need no keys."""
 
 LEDGER_KINDS = (
     FaultKind.PAUSE_LEDGER,
@@ -50,18 +50,18 @@
     FaultKind.FALTER_LEDGERS,
     FaultKind.TEAR_JOURNAL,
 )
-"""Faults that keep the ledger from deciding in time."""
+"""Faults that keep the ledger from answering in time."""
 
 
-class Happening(msgspec.Struct):
-    """One fault, as it happened.
+class FaultOccurrence(msgspec.Struct):
+    """One occurrence of a fault.
 
     Parameters
     ----------
     where : str
-        Names of what it touches, ``everywhere`` for all processes.
+        Names of the affected processes or servers, ``everywhere`` for all processes.
     started_at : float
-        When the processes that it ended had started again, which may be after `ended_at`.
+        When the processes that it ended had restarted, which may be after `ended_at`.
     """
 
     kind: FaultKind
@@ -70,19 +70,19 @@
     ended_at: float = float("inf")
     started_at: float = 0.0
 
-    def touches(self, begin: float, end: float) -> bool:
-        """Return whether it overlaps a span of time."""
+    def overlaps(self, begin: float, end: float) -> bool:
+        """Return whether the fault overlaps a time span."""
         return self.began_at <= end and self.ended_at >= begin
 
-    def disturbs(self, begin: float, end: float) -> bool:
-        """Return whether in a span of time it lasted, or a process was still starting."""
+    def is_active(self, begin: float, end: float) -> bool:
+        """Return whether the fault lasted, or a process was still restarting, in a time span."""
         return self.began_at <= end and max(self.ended_at, self.started_at) >= begin
 
-    def harms(self, name: str) -> bool:
-        """Return whether a process or server is touched, or a link of its."""
+    def affects(self, name: str) -> bool:
+        """Return whether a process or server, or one of its links, is affected."""
         if self.kind is FaultKind.HUP:
             return False
         return self.where == EVERYWHERE or name in self.where.split()
 
 
-__all__ = ["EVERYWHERE", "FIRST_KINDS", "LEDGER_KINDS", "FaultKind", "Happening"]
+__all__ = ["EVERYWHERE", "FIRST_KINDS", "LEDGER_KINDS", "FaultKind", "FaultOccurrence"]
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: faults under load, then a calm end, then the verdict."""
+"""One soak run: faults under load, then recovery without faults, then all checks."""
 
 import asyncio
 import json
@@ -11,23 +11,23 @@
 from tests.platform_cluster import ORDER, STREAM, Node
 from tests.soak.account_checks import check_accounts
 from tests.soak.accounts import RULES, Accounts
-from tests.soak.broken_off import Ended, check_decided, check_whole
 from tests.soak.checks import check, check_drained
 from tests.soak.cluster import SoakCluster
 from tests.soak.faults import Faults
-from tests.soak.kinds import EVERYWHERE, USUAL_KINDS, FaultKind, Happening
+from tests.soak.interrupted_turns import Completion, check_completed_turns, check_ledger_refusals
+from tests.soak.kinds import EVERYWHERE, USUAL_KINDS, FaultKind, FaultOccurrence
 from tests.soak.sub_agents import SubAgents
 from tests.soak.supervisor import Supervisor
 from tests.soak.workload import NO_ANSWER, Attempt, Callers
 
 RECOVERY_S = 15.0
-"""Seconds after the last fault within which every entry serves turns again."""
+"""Seconds after the last fault within which every entry has to serve turns again."""
 
 OVER_LIMIT = 429
-LATE_S = 1.0
-"""Seconds that the servers are watched after the last request, for what runs too late."""
+LATE_RUNS_S = 1.0
+"""Seconds after the last request during which servers record runs that come too late."""
 
-STORE_TROUBLE = {
+STORE_FAULTS = {
     FaultKind.STORE_BUSY,
     FaultKind.STORE_SILENT,
     FaultKind.STORE_LINK,
@@ -36,36 +36,35 @@
     FaultKind.PAUSE_LEDGER,
     FaultKind.SILENT_LINKS,
 }
-"""Faults during which an entry need not know of a change within seconds."""
+"""Faults that may delay an entry's updates from the store by more than seconds."""
 
-HARMS_CALLERS = {
+CALLER_FAULTS = {
     FaultKind.KILL_ENTRY,
     FaultKind.KILL_ALL,
     FaultKind.PAUSE_ENTRY,
     FaultKind.SILENT_LINKS,
 }
-"""Faults that may leave a caller of an entry without an answer; so may a harmed link of callers."""
+"""Faults of an entry that may leave its callers without an answer, beside those of their links."""
 
 
 class Size(msgspec.Struct, frozen=True):
-    """How large a run is: seconds of faults, entries, callers of each kind, and what may happen.
+    """Size of a run: seconds of faults, entries, callers of each type, and kinds of faults.
 
     Parameters
     ----------
     spares : int
-        Ledger processes beside the three members.
+        Number of ledger processes beside the three members.
     kinds : tuple of FaultKind
-        Faults that are drawn from, none for a run without; with others the same seed is another
-        run.
-    swarms : int
-        Programs with sub-agents at a time; with others the same seed is another run.
+        Kinds of faults, empty for a run without faults; they change the run of a seed.
+    sub_agents : int
+        Number of concurrent programs with sub-agents; it changes the run of a seed.
     flush_s : float
-        Seconds that a flush of a ledger process takes; 0 for the machine's own disk.
+        Duration in seconds of a flush of a ledger process; 0 to use the machine's disk.
     accounts : bool
         Whether callers need the keys of client accounts.
     restarts : bool
-        Whether processes that ended by themselves are started again; without it, whatever their
-        callers miss after such an end is reported, too.
+        Whether processes that ended by themselves are restarted; if not, the errors that callers
+        see after such an end are reported, too.
     """
 
     seconds: float = 12.0
@@ -74,80 +73,82 @@
     plain: int = 4
     spares: int = 1
     kinds: tuple[FaultKind, ...] = USUAL_KINDS
-    swarms: int = 2
+    sub_agents: int = 2
     flush_s: float = 0.001
     accounts: bool = False
     restarts: bool = True
 
 
-QUIET_SIZE = Size(
-    seconds=15.0, entries=6, programs=2, plain=1, spares=0, kinds=(), swarms=4, flush_s=0.012
+FAULT_FREE_SIZE = Size(
+    seconds=15.0, entries=6, programs=2, plain=1, spares=0, kinds=(), sub_agents=4, flush_s=0.012
 )
-"""Many sub-agents through two entries of each zone, on slow disks, and nothing else."""
+"""Many sub-agents through two entries of each zone, on slow disks, without faults."""
 
 
 class Outcome(msgspec.Struct):
-    """What a run came to."""
+    """Result of a run."""
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     requests: int
     served: int
     faults: int
 
 
-async def soak(seed: int, size: Size, kept: Path | None = None) -> Outcome:
+async def soak(seed: int, size: Size, artifacts: Path | None = None) -> Outcome:
     """Run the soak once.
 
     Parameters
     ----------
     seed : int
-        Decides on the faults, their order and length, and what callers ask.
+        Determines the faults, their order and duration, and the requests.
     size : Size
-        How large the run is.
-    kept : Path or None
-        Folder where the logs of a run that broke a promise are kept.
+        Size of the run.
+    artifacts : Path or None
+        Folder for the artifacts of a failing run.
     """
     accounts = Accounts(random.Random(seed + 3_000_000)) if size.accounts else None
     cluster = SoakCluster(size.entries, size.spares, size.flush_s, accounts)
     try:
         await cluster.open()
         callers = Callers(cluster, random.Random(seed))
-        swarms = SubAgents(callers, random.Random(seed + 2_000_000))
+        sub_agents = SubAgents(callers, random.Random(seed + 2_000_000))
         faults = Faults(cluster, random.Random(seed + 1_000_000), size.kinds)
         supervisor = Supervisor(cluster, size.restarts)
         supervisor.start()
-        working = asyncio.gather(callers.run(size.programs, size.plain), swarms.run(size.swarms))
+        workload_task = asyncio.gather(
+            callers.run(size.programs, size.plain), sub_agents.run(size.sub_agents)
+        )
         await faults.run(size.seconds)
         if accounts is not None:
-            accounts.settled = True
-        broken = faults.broken
-        broken += await _check_recovery(cluster, callers, faults)
+            accounts.only_current = True
+        violations = faults.violations
+        violations += await _check_recovery(cluster, callers, faults)
         callers.stopping = True
-        await working
-        broken += await _check_continuation(cluster, callers)
-        await asyncio.sleep(LATE_S)
+        await workload_task
+        violations += await _check_continuation(cluster, callers)
+        await asyncio.sleep(LATE_RUNS_S)
         await supervisor.stop()
         faults.stop()
-        broken += _verdict(cluster, callers, faults)
-        broken += supervisor.broken
-        if broken and kept is not None:
-            _keep(kept / str(seed), cluster, callers, faults, broken)
+        violations += _check_histories(cluster, callers, faults)
+        violations += supervisor.violations
+        if violations and artifacts is not None:
+            _save_artifacts(artifacts / str(seed), cluster, callers, faults, violations)
     finally:
         await cluster.shut()
     served = sum(attempt.status == 200 and attempt.whole for attempt in callers.attempts)
-    return Outcome(seed, broken, len(callers.attempts), served, len(faults.happened))
+    return Outcome(seed, violations, len(callers.attempts), served, len(faults.occurrences))
 
 
 async def _check_recovery(cluster: SoakCluster, callers: Callers, faults: Faults) -> list[str]:
-    """Return which entries do not serve turns and the newest route in time."""
-    broken = []
+    """Return the entries that do not serve turns and the newest route in time."""
+    violations = []
     for entry in cluster.entries:
         paths = [STREAM, *[route["path_prefix"] for route in faults.routes[-1:]]]
         for path in paths:
             if not await _serves(callers, entry, path):
-                broken.append(f"{entry.name} does not serve {path} after the last fault")
-    return broken
+                violations.append(f"{entry.name} does not serve {path} after the last fault")
+    return violations
 
 
 async def _serves(callers: Callers, entry: Node, path: str) -> bool:
@@ -157,19 +158,19 @@
         if attempt.status == 200 and attempt.whole:
             return True
         if attempt.status == 404 and path != STREAM:
-            # A route that is not in force yet; not a turn that is missing.
+            # The route is not in force yet, which must not count as a missing turn.
             callers.attempts.remove(attempt)
         await asyncio.sleep(0.2)
     return False
 
 
 async def _check_continuation(cluster: SoakCluster, callers: Callers) -> list[str]:
-    """Continue the last whole turn of every program; the checks see to the prompts."""
+    """Continue the last complete turn of every program; other checks compare the prompts."""
     last: dict[str, Attempt] = {}
     for attempt in callers.attempts:
         if attempt.program is not None and attempt.status == 200 and attempt.whole:
             last[attempt.program] = attempt
-    broken = []
+    violations = []
     for program, attempt in last.items():
         for _ in range(3):
             body = b"goes on"
@@ -181,56 +182,60 @@
             if later.status == OVER_LIMIT:
                 await asyncio.sleep(RULES.window_s)
         else:
-            broken.append(f"{attempt.request}: can't be continued, status {later.status}")
-    return broken
+            violations.append(f"{attempt.request}: can't be continued, status {later.status}")
+    return violations
 
 
-def _verdict(cluster: SoakCluster, callers: Callers, faults: Faults) -> list[str]:
+def _check_histories(cluster: SoakCluster, callers: Callers, faults: Faults) -> list[str]:
     runs = [
         run
         for server in cluster.all_servers()
         for run in server.runs
         if not run.request.startswith("request-")
     ]
-    broken = check(callers.attempts, runs)
+    violations = check(callers.attempts, runs)
     if cluster.accounts is not None:
-        broken += check_accounts(callers.attempts, runs, cluster.accounts.keys)
-    for server in cluster.retired:
-        drained_at = faults.drained[server.name]
-        calm = not _touched(faults.happened, STORE_TROUBLE, drained_at - 1.0, drained_at + 4.0)
-        broken += check_drained(server.name, drained_at, calm, server.runs)
-    broken += _check_stops(callers, faults, {run.request for run in runs})
-    ended = {
-        request: Ended(server.name, at)
+        violations += check_accounts(callers.attempts, runs, cluster.accounts.keys)
+    for server in cluster.drained_servers:
+        drained_at = faults.drained_at[server.name]
+        store_available = not _overlaps_any(
+            faults.occurrences, STORE_FAULTS, drained_at - 1.0, drained_at + 4.0
+        )
+        violations += check_drained(server.name, drained_at, store_available, server.runs)
+    violations += _check_graceful_stops(callers, faults, {run.request for run in runs})
+    completions = {
+        request: Completion(server.name, at)
         for server in cluster.all_servers()
-        for request, at in server.ended.items()
+        for request, at in server.completed_at.items()
     }
     ledgers = [node.name for node in cluster.ledgers]
-    broken += check_whole(callers.attempts, ended, faults.happened, ledgers)
-    broken += check_decided(callers.attempts, faults.happened)
+    violations += check_completed_turns(callers.attempts, completions, faults.occurrences, ledgers)
+    violations += check_ledger_refusals(callers.attempts, faults.occurrences)
     for node in cluster.nodes():
-        broken += _check_process(node)
-    return broken
+        violations += _check_process(node)
+    return violations
 
 
-def _touched(happened: list[Happening], kinds: set[FaultKind], begin: float, end: float) -> bool:
-    return any(each.kind in kinds and each.touches(begin, end) for each in happened)
+def _overlaps_any(
+    occurrences: list[FaultOccurrence], kinds: set[FaultKind], begin: float, end: float
+) -> bool:
+    return any(each.kind in kinds and each.overlaps(begin, end) for each in occurrences)
 
 
-def _check_stops(callers: Callers, faults: Faults, ran: set[str]) -> list[str]:
-    """Return the calls that a stopping entry passed on and left without an answer."""
-    stops = [each for each in faults.happened if each.kind is FaultKind.STOP_ENTRY]
-    broken = []
+def _check_graceful_stops(callers: Callers, faults: Faults, ran: set[str]) -> list[str]:
+    """Return the calls that a stopping entry forwarded and left without an answer."""
+    stops = [each for each in faults.occurrences if each.kind is FaultKind.STOP_ENTRY]
+    violations = []
     for stop in stops:
-        harmed = any(
-            each.touches(stop.began_at - 3.0, stop.ended_at)
+        excused = any(
+            each.overlaps(stop.began_at - 3.0, stop.ended_at)
             and (
-                (each.kind in HARMS_CALLERS and each.where in (stop.where, EVERYWHERE))
+                (each.kind in CALLER_FAULTS and each.where in (stop.where, EVERYWHERE))
                 or (each.kind is FaultKind.CALLER_LINK and each.where == stop.where)
             )
-            for each in faults.happened
+            for each in faults.occurrences
         )
-        for attempt in callers.attempts if not harmed else []:
+        for attempt in callers.attempts if not excused else []:
             if (
                 attempt.entry == stop.where
                 and attempt.path == ORDER
@@ -238,34 +243,34 @@
                 and attempt.status == NO_ANSWER
                 and attempt.request in ran
             ):
-                broken.append(f"{attempt.request}: cut off by {stop.where}, which was stopping")
-    return broken
+                violations.append(f"{attempt.request}: cut off by {stop.where}, which was stopping")
+    return violations
 
 
 def _check_process(node: Node) -> list[str]:
-    """Return what a process itself reports as an error, or that it ended by itself."""
+    """Return the errors that a process logged, and whether it ended by itself."""
     assert node.process is not None
-    broken = []
+    violations = []
     if node.process.poll() is not None:
-        broken.append(f"{node.name} ended by itself with status {node.process.returncode}")
+        violations.append(f"{node.name} ended by itself with status {node.process.returncode}")
     for line in node.logs():
         if line.get("level") == "ERROR":
-            broken.append(f"{node.name} logged an error: {line.get('event')}")
-    return broken
+            violations.append(f"{node.name} logged an error: {line.get('event')}")
+    return violations
 
 
-def _keep(
-    folder: Path, cluster: SoakCluster, callers: Callers, faults: Faults, broken: list[str]
+def _save_artifacts(
+    folder: Path, cluster: SoakCluster, callers: Callers, faults: Faults, violations: list[str]
 ) -> None:
-    """Keep what is needed to find the cause."""
+    """Save the logs, violations, faults and requests of a failing run."""
     folder.mkdir(parents=True, exist_ok=True)
     for node in cluster.nodes():
         (folder / f"{node.name}.log").write_bytes((node.folder / "log").read_bytes())
-    (folder / "broken.txt").write_text("\n".join(broken) + "\n")
-    lines = [json.dumps(msgspec.to_builtins(each)) for each in faults.happened]
+    (folder / "broken.txt").write_text("\n".join(violations) + "\n")
+    lines = [json.dumps(msgspec.to_builtins(each)) for each in faults.occurrences]
     (folder / "faults.jsonl").write_text("\n".join(lines) + "\n")
     sent = [msgspec.json.encode(attempt).decode() for attempt in callers.attempts]
     (folder / "requests.jsonl").write_text("\n".join(sent) + "\n")
 
 
-__all__ = ["QUIET_SIZE", "Outcome", "Size", "soak"]
+__all__ = ["FAULT_FREE_SIZE", "Outcome", "Size", "soak"]
--- a/tests/soak/slow_disk.py
+++ b/tests/soak/slow_disk.py
@@ -1,12 +1,12 @@
-"""Run a script with flushes of known length: ``slow_disk.py SECONDS SCRIPT [ARGUMENT ...]``.
+"""Run a script with flushes of fixed duration: ``slow_disk.py SECONDS SCRIPT [ARGUMENT ...]``.
 
-Instead of waiting for the machine's disk, which may stand still for seconds, the thread that
-flushes sleeps.  A killed process loses nothing by it: what was written is with the kernel.
+The thread that flushes sleeps instead of waiting for the machine's disk, which may stall for
+seconds.  A killed process loses no data by this, since the kernel holds what was written.
 """
 
 import _signal
 
-# As in deploy/start.py, which comes later here.
+# deploy/start.py does the same, but runs later here.
 _signal.signal(_signal.SIGHUP, _signal.SIG_IGN)
 
 import os  # noqa: E402
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Set the length of this process's flushes, and run the script in it."""
+    """Set the duration of this process's flushes, and run the script in it."""
     seconds = float(sys.argv[1])
 
     def flush(_file: int) -> None:
--- a/tests/soak/sub_agents.py
+++ b/tests/soak/sub_agents.py
@@ -1,47 +1,47 @@
-"""Programs of a soak whose turns start several sub-agents at once, through any of the entries."""
+"""Programs of a soak run whose turns start several concurrent sub-agents at any entries."""
 
 import asyncio
 import itertools
 import random
 
 from tests.platform_cluster import STREAM
-from tests.soak.workload import NO_ANSWER, THINK_S, Callers
+from tests.soak.workload import MAX_PAUSE_S, NO_ANSWER, Callers
 
 SUB_AGENTS = (2, 12)
 """Fewest and most sub-agents that a turn starts."""
 
-LONGEST_LINE = 2
-"""Most turns of a sub-agent, each of which continues the one before."""
+MAX_SEQUENTIAL_TURNS = 2
+"""Most turns of a sub-agent, each of which continues the previous one."""
 
 BUDGETS = (160, 800, 1600)
-"""The smallest is spent by the first sub-agents, the largest after some rounds."""
+"""Token budgets; the first sub-agents spend the smallest, several rounds spend the largest."""
 
 LOOP_SHARE = 0.5
-"""Share of programs that start sub-agents until they are told that their budget is spent."""
+"""Share of programs that start sub-agents until a turn is denied as over budget."""
 
-TRIES = 3
-"""How often a turn that was refused as not run is sent."""
+MAX_ATTEMPTS = 3
+"""Most attempts of a turn that is refused as not run."""
 
-SPENT, REFUSED = 402, 503
+BUDGET_SPENT, REFUSED = 402, 503
 
 
 class SubAgents:
-    """Programs with sub-agents, until the callers are told to stop.
+    """Programs with sub-agents, which run until the callers stop.
 
     Parameters
     ----------
     callers : Callers
         Sends the requests.
-    draw : random.Random
-        Decides on the programs; not that of the callers, whose programs stay as they are.
+    rng : random.Random
+        Determines the programs; separate from that of the callers, whose requests are unaffected.
     """
 
-    def __init__(self, callers: Callers, draw: random.Random) -> None:
+    def __init__(self, callers: Callers, rng: random.Random) -> None:
         self.callers = callers
-        self.draw = draw
+        self.rng = rng
 
     async def run(self, programs: int) -> None:
-        """Run programs side by side."""
+        """Run programs concurrently."""
         await asyncio.gather(*(self._programs(index) for index in range(programs)))
 
     async def _programs(self, index: int) -> None:
@@ -52,26 +52,26 @@
 
     async def _program(self, program: str) -> None:
         """Run a turn that starts sub-agents, once or until the budget is spent."""
-        budget = self.draw.choice(BUDGETS)
-        loops = self.draw.random() < LOOP_SHARE
+        budget = self.rng.choice(BUDGETS)
+        loops = self.rng.random() < LOOP_SHARE
         turns = itertools.count()
         previous = None
         while not self.callers.stopping:
             previous, status = await self._turn(program, budget, turns, previous)
-            if status == SPENT:
+            if status == BUDGET_SPENT:
                 return
-            await asyncio.sleep(self.draw.random() * THINK_S)
-            lines = [
+            await asyncio.sleep(self.rng.random() * MAX_PAUSE_S)
+            sub_agents = [
                 self._sub_agent(program, budget, turns)
-                for _ in range(self.draw.randint(*SUB_AGENTS))
+                for _ in range(self.rng.randint(*SUB_AGENTS))
             ]
-            if SPENT in await asyncio.gather(*lines) or not loops:
+            if BUDGET_SPENT in await asyncio.gather(*sub_agents) or not loops:
                 return
 
     async def _sub_agent(self, program: str, budget: int, turns: itertools.count) -> int:
-        """Run a sub-agent's turns, and return the status of the last one."""
+        """Run the turns of a sub-agent, and return the status of the last turn."""
         previous, status = None, NO_ANSWER
-        for _ in range(self.draw.randint(1, LONGEST_LINE)):
+        for _ in range(self.rng.randint(1, MAX_SEQUENTIAL_TURNS)):
             previous, status = await self._turn(program, budget, turns, previous)
             if previous is None:
                 break
@@ -80,18 +80,18 @@
     async def _turn(
         self, program: str, budget: int, turns: itertools.count, previous: str | None
     ) -> tuple[str | None, int]:
-        """Send a turn until it is not refused as not run; return its name if it is whole."""
+        """Repeat a turn while it is refused; return its id if it is complete, and its status."""
         status = NO_ANSWER
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             body = f"{program} asks {next(turns)}".encode()
-            entry = self.draw.choice(self.callers.cluster.entries)
+            entry = self.rng.choice(self.callers.cluster.entries)
             attempt = await self.callers.send(STREAM, body, previous, program, budget, entry)
             status = attempt.status
             if status == 200 and attempt.whole:
                 return attempt.request, status
             if status != REFUSED or self.callers.stopping:
                 break
-            await asyncio.sleep(self.draw.random() * THINK_S)
+            await asyncio.sleep(self.rng.random() * MAX_PAUSE_S)
         return None, status
 
 
--- a/tests/soak/workload.py
+++ b/tests/soak/workload.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: programs of turns, calls that may run once, and what became of each."""
+"""Callers of a soak run: programs of turns, plain calls, and records of their requests."""
 
 import asyncio
 import itertools
@@ -15,30 +15,30 @@
 from waxwingglade.transport import Http1Connection, HttpRequest, open_connection
 from waxwingglade.transport.messages import HttpResponse
 
-MOST_TOKENS = 40
-"""Most tokens of a turn: four events of ten."""
+MAX_TURN_TOKENS = 40
+"""Most tokens of a turn: four events with ten tokens each."""
 
 BUDGETS = (80, 120, 400)
-PATIENCE_S = 6.0
-"""Seconds for which a caller waits; above the routes' time of five."""
+REQUEST_TIMEOUT_S = 6.0
+"""Timeout of a request in seconds; longer than the routes' timeout of 5 s."""
 
-THINK_S = 0.15
+MAX_PAUSE_S = 0.15
 NO_ANSWER = 0
 
 
 class Attempt(msgspec.Struct):
-    """One request of a caller, and what the caller saw.
+    """One request of a caller, and its answer.
 
     Parameters
     ----------
     status : int
         Status of the answer; 0 if there was none.
     whole : bool
-        Whether the answer came to its end.
+        Whether the answer was complete.
     events : int
-        Whole events received.
+        Number of complete events received.
     account, key : str
-        Client account, and the key that was sent; empty where callers need none.
+        Client account, and the key that was sent; empty if callers need no keys.
     """
 
     request: str
@@ -58,28 +58,28 @@
 
     @property
     def events(self) -> int:
-        """Whole events received."""
+        """Number of complete events received."""
         return self.answer.count(b"\n\n")
 
     @property
     def tokens(self) -> int:
-        """Tokens received."""
+        """Number of tokens received."""
         return self.events * TOKENS_PER_EVENT
 
 
 class Callers:
-    """Callers that send requests until they are told to stop."""
+    """Callers that send requests until `stopping` is set."""
 
-    def __init__(self, cluster: SoakCluster, draw: random.Random) -> None:
+    def __init__(self, cluster: SoakCluster, rng: random.Random) -> None:
         self.cluster = cluster
-        self.draw = draw
+        self.rng = rng
         self.attempts: list[Attempt] = []
         self.numbers = itertools.count(1)
-        self.kept: dict[str, list[Http1Connection]] = {}
+        self.idle_connections: dict[str, list[Http1Connection]] = {}
         self.stopping = False
 
     async def run(self, programs: int, plain: int) -> None:
-        """Run callers side by side until `stopping` is set."""
+        """Run callers concurrently until `stopping` is set."""
         tasks = [self._programs(index) for index in range(programs)]
         tasks += [self._plain_calls() for _ in range(plain)]
         await asyncio.gather(*tasks)
@@ -91,33 +91,33 @@
             await self._program(f"p{index}-{number}")
 
     async def _program(self, program: str) -> None:
-        """Run turns that continue one another, or at times an earlier one, to the budget's end."""
+        """Run turns that each continue one of the last two turns, until the budget is spent."""
         account = self.draw_account()
-        budget = self.draw.choice(BUDGETS)
+        budget = self.rng.choice(BUDGETS)
         turns: list[str] = []
         for number in range(12):
             if self.stopping:
                 return
-            previous = self.draw.choice(turns[-2:]) if turns else None
+            previous = self.rng.choice(turns[-2:]) if turns else None
             body = f"{program} asks {number}".encode()
             attempt = await self.send(STREAM, body, previous, program, budget, account=account)
             if attempt.status == 200 and attempt.whole:
                 turns.append(attempt.request)
             elif attempt.status in (402, 404):
                 return
-            await asyncio.sleep(self.draw.random() * THINK_S)
+            await asyncio.sleep(self.rng.random() * MAX_PAUSE_S)
 
     async def _plain_calls(self) -> None:
         while not self.stopping:
-            path = self.draw.choice([CALL, ORDER])
-            body = f"call {self.draw.random()}".encode()
+            path = self.rng.choice([CALL, ORDER])
+            body = f"call {self.rng.random()}".encode()
             await self.send(path, body, account=self.draw_account())
-            await asyncio.sleep(self.draw.random() * THINK_S)
+            await asyncio.sleep(self.rng.random() * MAX_PAUSE_S)
 
     def draw_account(self) -> str:
-        """Return the account of a program or call; empty where callers need no keys."""
+        """Return a random account for a program or call, or empty if callers need no keys."""
         accounts = self.cluster.accounts
-        return "" if accounts is None else accounts.draw.choice((FREE, LIMITED))
+        return "" if accounts is None else accounts.rng.choice((FREE, LIMITED))
 
     async def send(
         self,
@@ -129,8 +129,8 @@
         entry: Node | None = None,
         account: str = FREE,
     ) -> Attempt:
-        """Send a request to some entry and record what comes back."""
-        entry = entry or self.draw.choice(self.cluster.entries)
+        """Send a request to an entry, by default a random one, and record the answer."""
+        entry = entry or self.rng.choice(self.cluster.entries)
         attempt = Attempt(
             f"r{next(self.numbers)}",
             path,
@@ -146,7 +146,7 @@
             attempt.key = self.cluster.accounts.draw_key(account)
         self.attempts.append(attempt)
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 await self._exchange(entry, attempt)
         except (WaxwinggladeError, TimeoutError):
             pass
@@ -161,24 +161,24 @@
             attempt.status = head.status
             while (piece := await connection.read_piece()) is not None:
                 attempt.answer += piece
-            attempt.whole = _is_own(head, attempt)
+            attempt.whole = _has_own_id(head, attempt)
         except BaseException:
             connection.close()
             raise
         if connection.usable:
-            self.kept.setdefault(entry.name, []).append(connection)
+            self.idle_connections.setdefault(entry.name, []).append(connection)
 
     async def _connection(self, entry: Node) -> Http1Connection:
-        """Return a kept connection as long as there is one, whatever happens to the entry."""
-        kept = self.kept.get(entry.name, [])
-        while kept:
-            connection = kept.pop()
+        """Return an idle connection if there is one, even if its entry has restarted since."""
+        idle_connections = self.idle_connections.get(entry.name, [])
+        while idle_connections:
+            connection = idle_connections.pop()
             if connection.usable:
                 return connection
         return await open_connection(f"{ADDRESS}:{entry.caller_port}", 1.0)
 
 
-def _is_own(head: HttpResponse, attempt: Attempt) -> bool:
+def _has_own_id(head: HttpResponse, attempt: Attempt) -> bool:
     return head.header("X-Waxwingglade-Request-Id") == attempt.request
 
 
@@ -191,7 +191,7 @@
         pairs += [
             ("X-Waxwingglade-Program-Id", attempt.program),
             ("X-Waxwingglade-Token-Budget", str(attempt.budget)),
-            ("X-Waxwingglade-Token-Count", f"10,{MOST_TOKENS}"),
+            ("X-Waxwingglade-Token-Count", f"10,{MAX_TURN_TOKENS}"),
         ]
     if attempt.previous is not None:
         pairs.append(("X-Waxwingglade-Previous-Turn", attempt.previous))
