--- a/tests/fuzz/__init__.py
+++ b/tests/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Arbitrary input at every boundary: no crash, a typed error, and nothing lost."""
+"""Fuzz tests with arbitrary input at every boundary: typed errors, no crash, no data loss."""
--- a/tests/fuzz/builders.py
+++ b/tests/fuzz/builders.py
@@ -1,4 +1,4 @@
-"""Arbitrary and nearly right input."""
+"""Strategies for arbitrary and nearly valid input."""
 
 import asyncio
 import unittest
@@ -8,15 +8,16 @@
 from hypothesis import settings
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
-"""The same examples in every run, and no limit on the time of one."""
+"""The same examples in every run, without a time limit for one example."""
 
 
 def values(integers: st.SearchStrategy[int]) -> st.SearchStrategy:
-    """Return plain data of any shape."""
+    """Return a strategy for plain data of any shape."""
     return st.recursive(
         st.none() | st.booleans() | integers | st.floats() | st.text(max_size=20),
-        lambda inner: (
-            st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=12), inner, max_size=4)
+        lambda children: (
+            st.lists(children, max_size=4)
+            | st.dictionaries(st.text(max_size=12), children, max_size=4)
         ),
         max_leaves=12,
     )
@@ -24,20 +25,20 @@
 
 json_values = values(st.integers())
 packed_values = values(st.integers(-(2**63), 2**64 - 1)).map(msgspec.msgpack.encode)
-"""Plain data, and such data as the codec between entries writes it."""
+"""Plain data that is encoded as messages between entries."""
 
 
 @st.composite
-def damaged(draw, whole: bytes) -> bytes:
-    """Draw `whole` with a part of it cut out, replaced or put in again."""
-    start = draw(st.integers(0, len(whole)))
-    end = draw(st.integers(start, min(len(whole), start + 40)))
-    middle = draw(st.sampled_from([b"", whole[start:end] * 2]) | st.binary(max_size=20))
-    return whole[:start] + middle + whole[end:]
+def damaged(draw, content: bytes) -> bytes:
+    """Draw `content` with a part of it removed, replaced or duplicated."""
+    start = draw(st.integers(0, len(content)))
+    end = draw(st.integers(start, min(len(content), start + 40)))
+    replacement = draw(st.sampled_from([b"", content[start:end] * 2]) | st.binary(max_size=20))
+    return content[:start] + replacement + content[end:]
 
 
 class LoopCase(unittest.TestCase):
-    """Base: one event loop for all examples of a class, since each example is a function call."""
+    """Base class that runs the coroutines of all examples of a class in one event loop."""
 
     @classmethod
     def setUpClass(cls) -> None:
@@ -45,5 +46,5 @@
         cls.addClassCleanup(cls.runner.close)
 
     def run_async(self, coroutine):
-        """Run a coroutine to its end in the loop of the class."""
+        """Run a coroutine in the event loop of the class."""
         return self.runner.run(coroutine)
--- a/tests/fuzz/test_apis.py
+++ b/tests/fuzz/test_apis.py
@@ -1,4 +1,4 @@
-"""The callers' and the operators' interface with anything sent to them."""
+"""The interfaces for callers and operators with arbitrary requests."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 from waxwingglade.process.tests.one_entry import OneEntry
 from waxwingglade.settings import ProgramPolicy
 
-FEWER = settings(FIXED, max_examples=120)
+FEWER_EXAMPLES = settings(FIXED, max_examples=120)
 INTERNAL = 500
 FIRST_ERROR = 400
 LIMITS = {"body_bytes": 4096, "nesting": 8}
@@ -63,7 +63,7 @@
         cls.entry = OneEntry(ProgramPolicy(), overrides)
         cls.runner.run(cls.entry.start())
         cls.addClassCleanup(lambda: cls.runner.run(cls.entry.stop()))
-        cls.client = cls.runner.run(cls.open())
+        cls.client = cls.runner.run(cls.open_client())
         cls.addClassCleanup(cls.client.close)
         answer = cls.runner.run(
             cls.send("POST", "/v1/programs", b'{"program_class": "appointment"}')
@@ -71,8 +71,8 @@
         cls.program = msgspec.json.decode(answer.body)["program"]
 
     @classmethod
-    async def open(cls):
-        """Return a client that belongs to the loop."""
+    async def open_client(cls):
+        """Return a client that uses the event loop of the class."""
         return SimpleAsyncHTTPClient(force_instance=True)
 
     @classmethod
@@ -91,7 +91,7 @@
         )
 
     def check(self, answer):
-        """An answer is a success, or a typed failure that did not run; never a crash."""
+        """Check that an answer is a success, or a typed failure of a request that did not run."""
         self.assertNotEqual(INTERNAL, answer.code, answer.body)
         if answer.code < FIRST_ERROR:
             return
@@ -100,20 +100,20 @@
         self.assertIsNot(ErrorCode.INTERNAL, failure.code)
         self.assertIs(Verdict.NOT_RUN, failure.verdict)
 
-    @FEWER
+    @FEWER_EXAMPLES
     @given(methods, caller_paths, bodies)
     def test_callers_get_an_answer_or_a_typed_failure(self, method, path, body):
         path = path.replace("{program}", self.program)
         self.check(self.run_async(self.send(method, path, body)))
 
-    @FEWER
+    @FEWER_EXAMPLES
     @given(methods, operator_paths, bodies | damaged(PROPOSAL))
     def test_operators_get_an_answer_or_a_typed_failure(self, method, path, body):
         self.check(self.run_async(self.send(method, path, body, operator=True)))
 
-    @FEWER
+    @FEWER_EXAMPLES
     @given(st.binary(max_size=80) | damaged(b"POST /v1/programs HTTP/1.1\r\nHost: x\r\n\r\n"))
-    def test_nothing_is_lost_by_what_is_no_http(self, content):
+    def test_non_http_input_loses_no_program(self, content):
         async def exchange():
             host, port = self.entry.daemon.url.removeprefix("http://").split(":")
             _, writer = await asyncio.open_connection(host, int(port))
--- a/tests/fuzz/test_registry.py
+++ b/tests/fuzz/test_registry.py
@@ -1,4 +1,4 @@
-"""What may lie in the platform's store under a server's key: anything, from any writer."""
+"""Arbitrary values in the platform's store under the key of a server."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 from waxwingglade.follow.targets import RegisteredTargets
 from waxwingglade.platform.registry import TARGETS_PREFIX, decode_target
 
-WHOLE = {
+VALID_FIELDS = {
     "service": "engines",
     "address": "10.0.0.1:8080",
     "zone": "zone-a",
@@ -24,18 +24,23 @@
     "seq": 4,
     "born": 1_700_000_000_000,
 }
-ENTRY = msgspec.json.encode(WHOLE)
-replaced = st.builds(
-    lambda name, value: msgspec.json.encode({**WHOLE, name: value}),
-    st.sampled_from(sorted(WHOLE)),
+VALID_ENTRY = msgspec.json.encode(VALID_FIELDS)
+with_replaced_field = st.builds(
+    lambda name, value: msgspec.json.encode({**VALID_FIELDS, name: value}),
+    st.sampled_from(sorted(VALID_FIELDS)),
     json_values,
 )
-entries = st.binary(max_size=80) | json_values.map(msgspec.json.encode) | replaced | damaged(ENTRY)
+entries = (
+    st.binary(max_size=80)
+    | json_values.map(msgspec.json.encode)
+    | with_replaced_field
+    | damaged(VALID_ENTRY)
+)
 
 
-class Entries(unittest.TestCase):
+class RegistryEntries(unittest.TestCase):
     def check(self, target: Target) -> None:
-        """Check that a target can be used: it has an address to connect to, and room for calls."""
+        """Check that a target has a valid address, slots, a service and a zone."""
         host, _, port = target.address.rpartition(":")
         self.assertEqual(len(host.split(".")), 4)
         self.assertIn(int(port), range(1, 65_536))
@@ -44,7 +49,7 @@
 
     @FIXED
     @given(entries)
-    def test_an_entry_names_a_target_to_use_or_none(self, value):
+    def test_an_entry_is_decoded_to_a_usable_target_or_rejected(self, value):
         try:
             self.check(decode_target("servers/i-1", value))
         except FormatError:
@@ -52,15 +57,15 @@
 
     @FIXED
     @given(entries)
-    def test_an_entry_that_names_none_takes_its_target_and_no_other(self, value):
+    def test_an_invalid_entry_removes_only_its_own_target(self, value):
         registered = RegisteredTargets(TARGETS_PREFIX, decode_target, lambda: 0.0, TargetList())
-        sound = [Item(f"servers/{name}", ENTRY, Revision(1)) for name in ("a", "b")]
-        registered.apply(sound, Revision(1), complete=True)
+        valid_items = [Item(f"servers/{name}", VALID_ENTRY, Revision(1)) for name in ("a", "b")]
+        registered.apply(valid_items, Revision(1), complete=True)
         registered.apply([Item("servers/b", value, Revision(2))], Revision(2), complete=False)
         self.assertIn("servers/a", registered.targets)
         try:
-            named = decode_target("servers/b", value)
+            expected = decode_target("servers/b", value)
         except FormatError:
             self.assertNotIn("servers/b", registered.targets)
         else:
-            self.assertEqual(registered.targets["servers/b"], named)
+            self.assertEqual(registered.targets["servers/b"], expected)
--- a/tests/fuzz/test_targets.py
+++ b/tests/fuzz/test_targets.py
@@ -1,4 +1,4 @@
-"""What engines, tools and the store may answer: anything."""
+"""Arbitrary answers of engines, tools and the store."""
 
 import asyncio
 import time
@@ -36,16 +36,16 @@
     service_target,
 )
 
-FEWER = settings(FIXED, max_examples=60)
-FEWEST = settings(FIXED, max_examples=15)
-"""For calls that are repeated until their patience is over."""
+FEWER_EXAMPLES = settings(FIXED, max_examples=60)
+FEWEST_EXAMPLES = settings(FIXED, max_examples=15)
+"""For calls that are retried until their timeout."""
 
 STORE_TIMEOUT_S = 0.03
-ARRIVAL_S = 2.0
-"""Seconds within which what has left arrives, beside load."""
+ARRIVAL_TIMEOUT_S = 2.0
+"""Seconds within which a sent request arrives, even under load."""
 
-LATE_S = 0.005
-"""Seconds in which something might arrive that has not left."""
+UNSENT_WAIT_S = 0.005
+"""Seconds to wait for a request to arrive that should not have been sent."""
 
 WRITE_PATH = "/txn"
 TIMEOUT_S = 5.0
@@ -55,11 +55,11 @@
 answers = st.builds(answer_bytes, STATUS_LINES, bodies) | st.binary(max_size=120)
 RESULT = b'{"result": {"number": 1}}'
 
-GRANT = b'{"header": {"revision": "1"}, "ID": "1", "TTL": "120"}'
+LEASE_GRANT = b'{"header": {"revision": "1"}, "ID": "1", "TTL": "120"}'
 
 
 PAUSES_S = (0.0, 0.05, 0.2)
-"""Pauses of the process, in seconds, up to more than a write's patience."""
+"""Pauses of the process in seconds, some of them longer than the timeout of a write."""
 
 
 class WriteAttempt(msgspec.Struct, frozen=True):
@@ -68,53 +68,53 @@
     Parameters
     ----------
     outcome : Outcome
-        What became of it.
-    left : bool
+        Result of the write.
+    sent : bool
         Whether it was handed to a connection.
     arrived : bool
-        Whether the store read it.
+        Whether the store received it.
     paused_s : float
-        Longest time in seconds for which this process stood still meanwhile.
+        Longest pause of this process in seconds during the write.
     """
 
     outcome: Outcome[int]
-    left: bool
+    sent: bool
     arrived: bool
     paused_s: float
 
 
 async def write_once(answer: bytes) -> WriteAttempt:
-    """Write to a store that grants a lease and then gives one answer again and again.
+    """Write to a store that grants a lease and then always gives the same answer.
 
-    What has left by the time of the outcome may arrive after it, when the process was paused in
-    between: the verdict must answer for that, too.
+    If the process is paused, a request that was sent before the outcome may arrive after it.  The
+    verdict must be correct for such requests, too.
     """
-    script = [answer_bytes("200 OK", GRANT), *[answer] * 20]
+    script = [answer_bytes("200 OK", LEASE_GRANT), *[answer] * 20]
     pauses = [0.0]
-    watching = asyncio.create_task(watch_pauses(pauses))
+    watch_task = asyncio.create_task(watch_pauses(pauses))
     async with ScriptedServer(*script) as server:
         client = StoreClient(store_settings(server.url, timeout_s=STORE_TIMEOUT_S))
         exchanges = record_exchanges(client)
         try:
             outcome = await client.put_if("key", b"value", 0)
-            left = any(exchange.attempts for exchange in exchanges if is_write(exchange))
+            sent = any(exchange.attempts for exchange in exchanges if is_write(exchange))
         finally:
             await client.close()
-        arrived = await arrives(server, ARRIVAL_S if left else LATE_S)
-    watching.cancel()
-    return WriteAttempt(outcome, left, arrived, max(pauses))
+        arrived = await arrives(server, ARRIVAL_TIMEOUT_S if sent else UNSENT_WAIT_S)
+    watch_task.cancel()
+    return WriteAttempt(outcome, sent, arrived, max(pauses))
 
 
 async def watch_pauses(pauses: list[float]) -> None:
-    """Note for how long the event loop runs nothing, each time."""
+    """Record each delay of the event loop in seconds."""
     while True:
-        slept_at = time.monotonic()
-        await asyncio.sleep(LATE_S)
-        pauses.append(time.monotonic() - slept_at - LATE_S)
+        started_at = time.monotonic()
+        await asyncio.sleep(UNSENT_WAIT_S)
+        pauses.append(time.monotonic() - started_at - UNSENT_WAIT_S)
 
 
 async def arrives(server: ScriptedServer, within_s: float) -> bool:
-    """Return whether a write has arrived at a server, or does so in time."""
+    """Return whether a write has arrived at a server, or arrives in time."""
     end_at = time.monotonic() + within_s
     while not any(path.endswith(WRITE_PATH) for path in server.paths):
         if time.monotonic() > end_at:
@@ -124,40 +124,40 @@
 
 
 def record_exchanges(client: StoreClient) -> list[Exchange]:
-    """Return a list that will hold each exchange that the client begins."""
+    """Return a list to which each exchange that the client begins is appended."""
     exchanges: list[Exchange] = []
     begin = client.transport.begin
 
-    def recorded(*arguments):
+    def begin_and_record(*arguments):
         exchange = begin(*arguments)
         if exchange is not None:
             exchanges.append(exchange)
         return exchange
 
-    client.transport.begin = recorded
+    client.transport.begin = begin_and_record
     return exchanges
 
 
 def is_write(exchange: Exchange) -> bool:
-    """Return whether an exchange asks for a write."""
+    """Return whether an exchange is a request for a write."""
     return exchange.request.url.endswith(WRITE_PATH)
 
 
-def pausing_after_a_write_leaves(pause_s: float):
-    """Return a context in which the process stands still as soon as a write may have left."""
+def pausing_after_a_write_is_sent(pause_s: float):
+    """Return a context in which the process pauses as soon as a write may have been sent."""
     connected = Exchange._on_connected
 
-    def paused(exchange, *addresses):
+    def connect_and_pause(exchange, *addresses):
         allowed = connected(exchange, *addresses)
         if is_write(exchange):
             time.sleep(pause_s)
         return allowed
 
-    return mock.patch.object(Exchange, "_on_connected", paused)
+    return mock.patch.object(Exchange, "_on_connected", connect_and_pause)
 
 
-def is_no_object(body: bytes) -> bool:
-    """Return whether a body cannot be an answer of the store."""
+def is_not_object(body: bytes) -> bool:
+    """Return whether a body is not a JSON object, so that it is no answer of the store."""
     return not body.strip().startswith(b"{")
 
 
@@ -172,9 +172,9 @@
         cls.client = cls.runner.run(client())
         cls.addClassCleanup(lambda: cls.runner.run(cls.client.close()))
 
-    @FEWER
+    @FEWER_EXAMPLES
     @given(st.binary(max_size=200) | damaged(STREAM))
-    def test_a_stream_ends_with_one_outcome_that_denies_nothing(self, content):
+    def test_a_stream_with_text_is_not_reported_as_not_run(self, content):
         async def generate():
             async with ScriptedServer(OK_STREAM + content) as server:
                 target = engine_target(server.url)
@@ -186,9 +186,9 @@
         if isinstance(last, EngineFailed) and text:
             self.assertIsNot(Verdict.NOT_RUN, last.failure.verdict)
 
-    @FEWER
+    @FEWER_EXAMPLES
     @given(answers | damaged(answer_bytes("200 OK", RESULT)))
-    def test_a_tool_call_that_was_sent_is_denied_only_by_the_tool(self, content):
+    def test_only_the_tool_reports_a_sent_call_as_not_run(self, content):
         async def call():
             async with ScriptedServer(content) as server:
                 return await call_tool(
@@ -207,9 +207,9 @@
         elif answer.err_value.verdict is Verdict.NOT_RUN:
             self.assertIn(b"not_run", content)
 
-    @FEWER
+    @FEWER_EXAMPLES
     @given(answers)
-    def test_an_engine_s_load_and_a_tool_s_memory_are_read_or_refused(self, content):
+    def test_an_engines_load_and_a_tools_outcome_are_decoded_or_rejected(self, content):
         async def ask():
             async with ScriptedServer(content, content) as server:
                 load = await read_load(self.client, engine_target(server.url))
@@ -220,9 +220,9 @@
             if answer.is_err():
                 self.assertIsInstance(answer.err_value, Failure)
 
-    @FEWEST
+    @FEWEST_EXAMPLES
     @given(answers)
-    def test_the_store_s_answers_are_read_or_refused(self, content):
+    def test_the_stores_answers_are_decoded_or_rejected(self, content):
         async def ask():
             async with ScriptedServer(*[content] * 20) as server:
                 settings = store_settings(server.url, timeout_s=STORE_TIMEOUT_S)
@@ -238,27 +238,27 @@
             if answer.is_err():
                 self.assertIsInstance(answer.err_value, Failure)
 
-    @FEWEST
-    @given(st.sampled_from(["200 OK", "500 No"]), st.binary(max_size=60).filter(is_no_object))
-    def test_a_write_to_the_store_is_not_denied_by_garbage(self, status, body):
-        self.check_denial(self.run_async(write_once(answer_bytes(status, body))))
+    @FEWEST_EXAMPLES
+    @given(st.sampled_from(["200 OK", "500 No"]), st.binary(max_size=60).filter(is_not_object))
+    def test_garbage_does_not_report_a_sent_write_as_not_run(self, status, body):
+        self.check_verdict(self.run_async(write_once(answer_bytes(status, body))))
 
-    def test_a_write_that_has_left_is_not_denied_though_the_store_has_not_read_it(self):
+    def test_a_sent_write_is_not_reported_as_not_run_before_the_store_receives_it(self):
         for pause_s in PAUSES_S:
-            with self.subTest(pause_s=pause_s), pausing_after_a_write_leaves(pause_s):
+            with self.subTest(pause_s=pause_s), pausing_after_a_write_is_sent(pause_s):
                 attempt = self.run_async(write_once(answer_bytes("200 OK", b"no object")))
-                self.assertTrue(attempt.left)
-                self.check_denial(attempt)
+                self.assertTrue(attempt.sent)
+                self.check_verdict(attempt)
 
-    def check_denial(self, attempt: WriteAttempt) -> None:
-        """Check that the write is denied exactly if none has left, let alone arrived.
+    def check_verdict(self, attempt: WriteAttempt) -> None:
+        """Check that the write is reported as not run exactly if no request was sent.
 
-        What has left arrives, unless the client's patience ended while this process stood still.
+        A sent request arrives, unless the client timed out while this process was paused.
         """
         self.assertTrue(attempt.outcome.is_err())
-        denied = attempt.outcome.err_value.verdict is Verdict.NOT_RUN
-        self.assertEqual(denied, not attempt.left)
+        reported_not_run = attempt.outcome.err_value.verdict is Verdict.NOT_RUN
+        self.assertEqual(reported_not_run, not attempt.sent)
         if attempt.arrived:
-            self.assertFalse(denied)
-        elif attempt.left:
+            self.assertFalse(reported_not_run)
+        elif attempt.sent:
             self.assertGreater(attempt.paused_s, STORE_TIMEOUT_S / 2)
--- a/tests/prove/mutants.py
+++ b/tests/prove/mutants.py
@@ -68,13 +68,13 @@
 def release_forgotten() -> None:
     """Record that the engines have released their caches without a request to them."""
 
-    async def drop_records(entry, owned, state):
+    async def record_release(entry, owned, state):
         await owned.append(state.program, CacheReleased(sorted(state.cached_on)))
 
     async def sweep_nothing(entry):
         await asyncio.Event().wait()
 
-    release._release = drop_records
+    release._release = record_release
     daemon.sweep_caches = sweep_nothing
 
 
--- a/tests/prove/workload.py
+++ b/tests/prove/workload.py
@@ -78,7 +78,7 @@
         Entries to choose from.
     seed : int
         Determines the requests of the callers, but not their times.
-    patience_s : float
+    retry_for_s : float
         Seconds for which a request is repeated.
     """
 
