--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -67,10 +67,10 @@
 
 def turn(name: str, **changes: object) -> Attempt:
     """Return a turn with a complete answer."""
-    whole = Attempt(
+    complete = Attempt(
         name, STREAM, "front-0", 1.0, PROMPT, None, "p", 80, 200, True, answer_to_turn(PROMPT)
     )
-    return msgspec.structs.replace(whole, **changes)
+    return msgspec.structs.replace(complete, **changes)
 
 
 def random_program(rng: random.Random) -> tuple[list[Attempt], list[Run]]:
@@ -79,12 +79,14 @@
     budget = rng.choice((80, 120, 160))
     for number in range(rng.randint(1, 6)):
         status = rng.choice((200, 200, 0, 402, 429, 502, 503))
-        whole = status == 200
-        answer = answer_to_turn(PROMPT) if whole else b""
+        complete = status == 200
+        answer = answer_to_turn(PROMPT) if complete else b""
         times = {"sent_at": number + 1.0, "ended_at": number + 1.5}
         name = f"t{number}"
-        turns.append(turn(name, status=status, whole=whole, answer=answer, budget=budget, **times))
-        if whole or (status in (0, 502) and rng.random() < 0.5):
+        turns.append(
+            turn(name, status=status, whole=complete, answer=answer, budget=budget, **times)
+        )
+        if complete or (status in (0, 502) and rng.random() < 0.5):
             runs.append(run_of(name, began_at=number + 1.1))
     return turns, runs
 
@@ -106,8 +108,8 @@
 
 def order(**changes: object) -> Attempt:
     """Return a call that may run only once, with a complete answer."""
-    whole = Attempt("o", ORDER, "front-0", 1.0, PROMPT, status=200, whole=True)
-    return msgspec.structs.replace(whole, **{"answer": answer_to(PROMPT), **changes})
+    complete = Attempt("o", ORDER, "front-0", 1.0, PROMPT, status=200, whole=True)
+    return msgspec.structs.replace(complete, **{"answer": answer_to(PROMPT), **changes})
 
 
 def run_of(name: str, body: bytes = PROMPT, path: str = STREAM, began_at: float = 1.0) -> Run:
--- a/tests/test_config_everywhere.py
+++ b/tests/test_config_everywhere.py
@@ -187,7 +187,7 @@
             )
             self.assertEqual(version, accepted_one["proposal"]["version"])
             self.assertTrue(open_one["waits_for"])
-            self.check_repeated_answers(accepted_one["proposal"], open_one["proposal"])
+            self.assert_repeated_answers(accepted_one["proposal"], open_one["proposal"])
             self.wait_for_all(version)
             value = accepted_one["proposal"]["changes"][0]["value"]
             for entry in range(len(ZONES)):
@@ -195,7 +195,7 @@
                 self.assertEqual(value, tree["firm"]["queue_limit"])
         self.check_never_reverted()
 
-    def check_repeated_answers(
+    def assert_repeated_answers(
         self, accepted_one: dict[str, Any], open_one: dict[str, Any]
     ) -> None:
         """Accept both proposals again: the answers are the same, and nothing changes."""
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of whole processes: drained, frozen, killed, or without the store."""
+"""Failures of processes: drained, frozen, killed, or without the store."""
 
 import threading
 import unittest
--- a/tests/test_target_orders.py
+++ b/tests/test_target_orders.py
@@ -1,4 +1,4 @@
-"""The entry that sends orders to engines is frozen as a whole process, replaced and resumed."""
+"""The entry that sends orders to engines is frozen, replaced and resumed."""
 
 import functools
 import hashlib
