--- a/tests/fuzz/builders.py
+++ b/tests/fuzz/builders.py
@@ -8,7 +8,11 @@
 from hypothesis import settings
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
-"""The same examples in every run, without a time limit for one example."""
+"""The same examples in every run, without a time limit for one example.
+
+Hypothesis derives them from the source text of a test method, including its name and decorators, so
+a change of that text changes the examples.
+"""
 
 
 def values(integers: st.SearchStrategy[int]) -> st.SearchStrategy:
--- a/tests/fuzz/test_apis.py
+++ b/tests/fuzz/test_apis.py
@@ -16,7 +16,7 @@
 from waxwingglade.process.tests.one_entry import OneEntry
 from waxwingglade.settings import ProgramPolicy
 
-FEWER_EXAMPLES = settings(FIXED, max_examples=120)
+FEWER = settings(FIXED, max_examples=120)
 INTERNAL = 500
 FIRST_ERROR = 400
 LIMITS = {"body_bytes": 4096, "nesting": 8}
@@ -100,20 +100,20 @@
         self.assertIsNot(ErrorCode.INTERNAL, failure.code)
         self.assertIs(Verdict.NOT_RUN, failure.verdict)
 
-    @FEWER_EXAMPLES
+    @FEWER
     @given(methods, caller_paths, bodies)
     def test_callers_get_an_answer_or_a_typed_failure(self, method, path, body):
         path = path.replace("{program}", self.program)
         self.check(self.run_async(self.send(method, path, body)))
 
-    @FEWER_EXAMPLES
+    @FEWER
     @given(methods, operator_paths, bodies | damaged(PROPOSAL))
     def test_operators_get_an_answer_or_a_typed_failure(self, method, path, body):
         self.check(self.run_async(self.send(method, path, body, operator=True)))
 
-    @FEWER_EXAMPLES
+    @FEWER
     @given(st.binary(max_size=80) | damaged(b"POST /v1/programs HTTP/1.1\r\nHost: x\r\n\r\n"))
-    def test_non_http_input_loses_no_program(self, content):
+    def test_nothing_is_lost_by_what_is_no_http(self, content):
         async def exchange():
             host, port = self.entry.daemon.url.removeprefix("http://").split(":")
             _, writer = await asyncio.open_connection(host, int(port))
--- a/tests/fuzz/test_peer_frames.py
+++ b/tests/fuzz/test_peer_frames.py
@@ -30,7 +30,7 @@
 )
 FRAME = encode_envelope(Envelope(PROTOCOL_VERSION, 1, "i", APPEND))
 RECORD = encode_record(Epoch(1), "z.e.i.home0.n", ProgramEnded("done", 1.0))
-REQUEST_TIMEOUT_S = 20.0
+PATIENCE_S = 20.0
 
 frames = st.binary(max_size=200) | damaged(FRAME) | packed_values
 records = st.binary(max_size=200) | damaged(RECORD) | packed_values
@@ -48,7 +48,7 @@
 class Decoding(LoopCase):
     @FIXED
     @given(frames)
-    def test_a_frame_is_decoded_or_rejected(self, frame):
+    def test_a_frame_is_read_or_refused(self, frame):
         try:
             self.assertIsInstance(decode_envelope(frame), Envelope)
         except FormatError:
@@ -56,7 +56,7 @@
 
     @FIXED
     @given(records)
-    def test_a_record_is_decoded_or_rejected(self, data):
+    def test_a_record_is_read_or_refused(self, data):
         try:
             decode_record(data)
         except FormatError:
@@ -64,7 +64,7 @@
 
     @FIXED
     @given(st.integers(PROTOCOL_VERSION + 1, 2**40), packed_values)
-    def test_a_newer_protocol_is_rejected(self, version, content):
+    def test_a_newer_protocol_is_refused(self, version, content):
         body = msgspec.Raw(content)
         frame = msgspec.msgpack.encode({"protocol": version, "number": 1, "body": body})
         with self.assertRaises(FormatError):
@@ -89,38 +89,38 @@
         cls.server = PeerServer(cls.context, lambda name: name == "i", answer)
         cls.address = cls.server.start("127.0.0.1", 0)
         cls.link = PeerLink(cls.context, cls.address, Incarnation("i"))
-        cls.raw_socket = cls.context.socket(zmq.DEALER)
-        cls.raw_socket.connect(cls.address)
+        cls.stranger = cls.context.socket(zmq.DEALER)
+        cls.stranger.connect(cls.address)
 
     @classmethod
     async def close(cls):
         """Close all sockets."""
-        cls.raw_socket.close(linger=0)
+        cls.stranger.close(linger=0)
         await cls.link.close()
         await cls.server.stop()
         cls.context.term()
 
     @FIXED
     @given(st.lists(frames, min_size=1, max_size=4))
-    def test_a_server_answers_other_peers_after_invalid_frames(self, parts):
+    def test_a_server_answers_others_after_what_it_cannot_read(self, parts):
         async def exchange():
-            await self.raw_socket.send_multipart(parts)
-            return await self.link.request(FindLog(LOG), REQUEST_TIMEOUT_S)
+            await self.stranger.send_multipart(parts)
+            return await self.link.request(FindLog(LOG), PATIENCE_S)
 
         answer = self.run_async(exchange())
         self.assertEqual(LogFound(OWNER, Epoch(len(LOG))), answer.ok_value)
 
     @FIXED
     @given(st.data())
-    def test_late_and_duplicated_answers_among_garbage_match_their_requests(self, data):
+    def test_answers_meet_their_requests_though_late_doubled_and_mixed_with_garbage(self, data):
         count = data.draw(st.integers(1, 6))
         order = data.draw(st.permutations(list(range(count)) * 2))
         garbage = data.draw(frames.filter(is_unreadable))
-        answers = self.run_async(answers_in_order(count, order, garbage))
+        answers = self.run_async(shuffled(count, order, garbage))
         self.assertEqual([LogFound(OWNER, Epoch(n)) for n in range(count)], answers)
 
 
-async def answers_in_order(count, order, garbage):
+async def shuffled(count, order, garbage):
     """Send requests to a server that answers in a given order; return their answers."""
     context = zmq.asyncio.Context()
     server = context.socket(zmq.ROUTER)
@@ -128,7 +128,7 @@
     link = PeerLink(context, f"tcp://127.0.0.1:{port}", Incarnation("i"))
     try:
         requests_sent = [
-            asyncio.create_task(link.request(FindLog(LogId(f"{n}")), REQUEST_TIMEOUT_S))
+            asyncio.create_task(link.request(FindLog(LogId(f"{n}")), PATIENCE_S))
             for n in range(count)
         ]
         received = [await server.recv_multipart() for _ in range(count)]
--- a/tests/fuzz/test_registry.py
+++ b/tests/fuzz/test_registry.py
@@ -24,7 +24,7 @@
     "seq": 4,
     "born": 1_700_000_000_000,
 }
-VALID_ENTRY = msgspec.json.encode(VALID_FIELDS)
+ENTRY = msgspec.json.encode(VALID_FIELDS)
 with_replaced_field = st.builds(
     lambda name, value: msgspec.json.encode({**VALID_FIELDS, name: value}),
     st.sampled_from(sorted(VALID_FIELDS)),
@@ -34,7 +34,7 @@
     st.binary(max_size=80)
     | json_values.map(msgspec.json.encode)
     | with_replaced_field
-    | damaged(VALID_ENTRY)
+    | damaged(ENTRY)
 )
 
 
@@ -49,7 +49,7 @@
 
     @FIXED
     @given(entries)
-    def test_an_entry_is_decoded_to_a_usable_target_or_rejected(self, value):
+    def test_an_entry_names_a_target_to_use_or_none(self, value):
         try:
             self.check(decode_target("servers/i-1", value))
         except FormatError:
@@ -57,15 +57,15 @@
 
     @FIXED
     @given(entries)
-    def test_an_invalid_entry_removes_only_its_own_target(self, value):
+    def test_an_entry_that_names_none_takes_its_target_and_no_other(self, value):
         registered = RegisteredTargets(TARGETS_PREFIX, decode_target, lambda: 0.0, TargetList())
-        valid_items = [Item(f"servers/{name}", VALID_ENTRY, Revision(1)) for name in ("a", "b")]
-        registered.apply(valid_items, Revision(1), complete=True)
+        sound = [Item(f"servers/{name}", ENTRY, Revision(1)) for name in ("a", "b")]
+        registered.apply(sound, Revision(1), complete=True)
         registered.apply([Item("servers/b", value, Revision(2))], Revision(2), complete=False)
         self.assertIn("servers/a", registered.targets)
         try:
-            expected = decode_target("servers/b", value)
+            named = decode_target("servers/b", value)
         except FormatError:
             self.assertNotIn("servers/b", registered.targets)
         else:
-            self.assertEqual(registered.targets["servers/b"], expected)
+            self.assertEqual(registered.targets["servers/b"], named)
--- a/tests/fuzz/test_settings_files.py
+++ b/tests/fuzz/test_settings_files.py
@@ -14,7 +14,7 @@
 from waxwingglade.version import Tree, parse_tree
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
-VALID_SETTINGS = (EXAMPLES / "kettu-entry.yaml").read_bytes()
+ENTRY = (EXAMPLES / "kettu-entry.yaml").read_bytes()
 VALID_TREE = yaml.safe_load((EXAMPLES / "kettu-tree.yaml").read_text())
 names = st.sampled_from(sorted({*ProcessSettings.__struct_fields__, "unknown"}))
 
@@ -34,8 +34,8 @@
 
 class SettingsFiles(unittest.TestCase):
     @FIXED
-    @given(st.binary(max_size=300) | damaged(VALID_SETTINGS))
-    def test_a_file_is_loaded_or_its_path_is_in_the_error(self, content):
+    @given(st.binary(max_size=300) | damaged(ENTRY))
+    def test_a_file_is_read_or_its_errors_are_named(self, content):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "entry.yaml"
             path.write_bytes(content)
@@ -46,7 +46,7 @@
 
     @FIXED
     @given(st.dictionaries(names, json_values, max_size=5) | json_values)
-    def test_data_is_parsed_or_its_source_is_in_the_error(self, data):
+    def test_data_is_taken_or_its_error_is_named(self, data):
         try:
             self.assertIsInstance(parse_settings(data, ProcessSettings, "here"), ProcessSettings)
         except SettingsError as error:
@@ -54,7 +54,7 @@
 
     @FIXED
     @given(json_values | changed_trees())
-    def test_a_tree_is_parsed_or_rejected(self, data):
+    def test_a_tree_is_read_or_refused(self, data):
         try:
             self.assertIsInstance(parse_tree(data, "here"), Tree)
         except (SettingsError, FormatError) as error:
--- a/tests/fuzz/test_targets.py
+++ b/tests/fuzz/test_targets.py
@@ -36,8 +36,8 @@
     service_target,
 )
 
-FEWER_EXAMPLES = settings(FIXED, max_examples=60)
-FEWEST_EXAMPLES = settings(FIXED, max_examples=15)
+FEWER = settings(FIXED, max_examples=60)
+FEWEST = settings(FIXED, max_examples=15)
 """For calls that are retried until their timeout."""
 
 STORE_TIMEOUT_S = 0.03
@@ -156,7 +156,7 @@
     return mock.patch.object(Exchange, "_on_connected", connect_and_pause)
 
 
-def is_not_object(body: bytes) -> bool:
+def is_no_object(body: bytes) -> bool:
     """Return whether a body is not a JSON object, so that it is no answer of the store."""
     return not body.strip().startswith(b"{")
 
@@ -172,9 +172,9 @@
         cls.client = cls.runner.run(client())
         cls.addClassCleanup(lambda: cls.runner.run(cls.client.close()))
 
-    @FEWER_EXAMPLES
+    @FEWER
     @given(st.binary(max_size=200) | damaged(STREAM))
-    def test_a_stream_with_text_is_not_reported_as_not_run(self, content):
+    def test_a_stream_ends_with_one_outcome_that_denies_nothing(self, content):
         async def generate():
             async with ScriptedServer(OK_STREAM + content) as server:
                 target = engine_target(server.url)
@@ -186,9 +186,9 @@
         if isinstance(last, EngineFailed) and text:
             self.assertIsNot(Verdict.NOT_RUN, last.failure.verdict)
 
-    @FEWER_EXAMPLES
+    @FEWER
     @given(answers | damaged(answer_bytes("200 OK", RESULT)))
-    def test_only_the_tool_reports_a_sent_call_as_not_run(self, content):
+    def test_a_tool_call_that_was_sent_is_denied_only_by_the_tool(self, content):
         async def call():
             async with ScriptedServer(content) as server:
                 return await call_tool(
@@ -207,9 +207,9 @@
         elif answer.err_value.verdict is Verdict.NOT_RUN:
             self.assertIn(b"not_run", content)
 
-    @FEWER_EXAMPLES
+    @FEWER
     @given(answers)
-    def test_an_engines_load_and_a_tools_outcome_are_decoded_or_rejected(self, content):
+    def test_an_engine_s_load_and_a_tool_s_memory_are_read_or_refused(self, content):
         async def ask():
             async with ScriptedServer(content, content) as server:
                 load = await read_load(self.client, engine_target(server.url))
@@ -220,9 +220,9 @@
             if answer.is_err():
                 self.assertIsInstance(answer.err_value, Failure)
 
-    @FEWEST_EXAMPLES
+    @FEWEST
     @given(answers)
-    def test_the_stores_answers_are_decoded_or_rejected(self, content):
+    def test_the_store_s_answers_are_read_or_refused(self, content):
         async def ask():
             async with ScriptedServer(*[content] * 20) as server:
                 settings = store_settings(server.url, timeout_s=STORE_TIMEOUT_S)
@@ -238,19 +238,19 @@
             if answer.is_err():
                 self.assertIsInstance(answer.err_value, Failure)
 
-    @FEWEST_EXAMPLES
-    @given(st.sampled_from(["200 OK", "500 No"]), st.binary(max_size=60).filter(is_not_object))
-    def test_garbage_does_not_report_a_sent_write_as_not_run(self, status, body):
-        self.check_verdict(self.run_async(write_once(answer_bytes(status, body))))
+    @FEWEST
+    @given(st.sampled_from(["200 OK", "500 No"]), st.binary(max_size=60).filter(is_no_object))
+    def test_a_write_to_the_store_is_not_denied_by_garbage(self, status, body):
+        self.check_denial(self.run_async(write_once(answer_bytes(status, body))))
 
     def test_a_sent_write_is_not_reported_as_not_run_before_the_store_receives_it(self):
         for pause_s in PAUSES_S:
             with self.subTest(pause_s=pause_s), pausing_after_a_write_is_sent(pause_s):
                 attempt = self.run_async(write_once(answer_bytes("200 OK", b"no object")))
                 self.assertTrue(attempt.sent)
-                self.check_verdict(attempt)
+                self.check_denial(attempt)
 
-    def check_verdict(self, attempt: WriteAttempt) -> None:
+    def check_denial(self, attempt: WriteAttempt) -> None:
         """Check that the write is reported as not run exactly if no request was sent.
 
         A sent request arrives, unless the client timed out while this process was paused.
