--- a/tests/prove/schedule.py
+++ b/tests/prove/schedule.py
@@ -46,7 +46,7 @@
     kind : FaultKind
         Kind of the fault.
     victim : int
-        Number of the entry or engine that is affected; the seed of a fault of the store.
+        Number of the affected entry or engine; for faults of the store, it determines their seed.
     after_s, lasts_s : float
         Delay in seconds from the start of the round, and duration in seconds.
     """
--- a/tests/soak/disks.py
+++ b/tests/soak/disks.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 MAX_INCOMPLETE_BYTES = 37
-"""Most random bytes after a journal's end, like those of a write that a power loss interrupts."""
+"""Most bytes that are appended to a journal, like those of a write cut short by a power loss."""
 
 
 def wipe(folder: Path) -> None:
--- a/tests/soak/interrupted_turns.py
+++ b/tests/soak/interrupted_turns.py
@@ -10,7 +10,7 @@
 from tests.soak.workload import Attempt
 
 LEDGER_WAIT_S = 1.5
-"""Longest wait in seconds for the ledger of a request during a fault."""
+"""Longest time in seconds for which a request waits for the ledger if a fault affects it."""
 
 ASKED_LAST_S = 1.0
 """Seconds for which unresponsive processes are asked last."""
@@ -35,7 +35,9 @@
     occurrences: Sequence[FaultOccurrence],
     ledgers: Sequence[str],
 ) -> list[str]:
-    """Return the turns that a server completed, and whose caller got no complete answer in time.
+    """Return the turns that a server completed but that ended early and incomplete for the caller.
+
+    Turns that ended after the timeout of the route, or during a fault that excuses it, are skipped.
 
     Parameters
     ----------
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -36,7 +36,7 @@
     FaultKind.PAUSE_LEDGER,
     FaultKind.SILENT_LINKS,
 }
-"""Faults that may delay an entry's updates from the store by more than seconds."""
+"""Faults during which an entry may need longer to learn of a change in the store."""
 
 CALLER_FAULTS = {
     FaultKind.KILL_ENTRY,
@@ -44,7 +44,7 @@
     FaultKind.PAUSE_ENTRY,
     FaultKind.SILENT_LINKS,
 }
-"""Faults of an entry that may leave its callers without an answer, beside those of their links."""
+"""Faults that may leave callers of an entry without an answer, beside faults of their links."""
 
 
 class Size(msgspec.Struct, frozen=True):
